--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -20,7 +20,7 @@
     settings::MarkedSettings,
     time::Millis,
 };
-use medlarspur_marked::{Fleet, Forwarder, News, Tuning};
+use medlarspur_marked::{Fleet, Forwarder, ForwarderOptions, News};
 use medlarspur_operator::MetersError;
 use medlarspur_platform::site::{packet, ready};
 use report::Metrics;
@@ -107,11 +107,12 @@
     );
     let regions = settings.regions.iter().map(|it| (it.domain.clone(), it.region.clone()));
     let regions = regions.collect();
-    let tuning = Tuning { domain: settings.domain.clone(), regions, seed: rand::random() };
+    let options =
+        ForwarderOptions { domain: settings.domain.clone(), regions, seed: rand::random() };
     let mut instance = Instance {
         name: settings.name.clone(),
         domain: settings.domain.clone(),
-        forwarder: Forwarder::new(tuning),
+        forwarder: Forwarder::new(options),
         datagrams: Datagrams::new(Asker::new(sender.clone()), settings.callers, clock.now()),
         peers,
         reading,
@@ -249,9 +250,9 @@
             }
         }
         self.begin();
-        let unknown = self.forwarder.counts().unknown;
+        let unknown = self.forwarder.counts().unknown_mark;
         self.take_packets()?;
-        if self.forwarder.counts().unknown > unknown {
+        if self.forwarder.counts().unknown_mark > unknown {
             self.catch_up();
         }
         self.take_events();
@@ -281,7 +282,12 @@
             for received in self.batch.iter() {
                 match packet::parse(received.bytes) {
                     Ok(segment) => {
-                        self.forwarder.packet(&segment, received.bytes, now, &mut self.datagrams);
+                        self.forwarder.handle_packet(
+                            &segment,
+                            received.bytes,
+                            now,
+                            &mut self.datagrams,
+                        );
                     }
                     Err(error) => {
                         self.numbers.malformed[error as usize] += 1;
@@ -344,7 +350,7 @@
                     self.with_fleet(|fleet, _| fleet.pull_failed(from, known, now));
                 }
                 Event::Found(target, finding) => {
-                    self.forwarder.answer(target, finding, now, &mut self.datagrams);
+                    self.forwarder.handle_probe_result(target, finding, now, &mut self.datagrams);
                 }
                 Event::Shown(question) => self.show_operator(question, now),
             }
@@ -362,7 +368,7 @@
     }
 
     fn learn(&mut self, news: News, now: Millis) {
-        self.forwarder.learn(news, now, &mut self.datagrams);
+        self.forwarder.apply_update(news, now, &mut self.datagrams);
     }
 
     fn with_fleet(&mut self, act: impl FnOnce(&mut Fleet, &Forwarder)) {
@@ -379,10 +385,10 @@
         while let Some((from, message)) = socket.receive() {
             // Merged one by one: each may go on from the one before.
             if let Some(news) = fleet.receive(from, message, self.forwarder.catalog(), now) {
-                self.forwarder.learn(news, now, &mut self.datagrams);
+                self.forwarder.apply_update(news, now, &mut self.datagrams);
             }
         }
-        self.forwarder.set_near(fleet.near());
+        self.forwarder.set_domain_size(fleet.near());
         self.forwarder.set_cut_off(fleet.is_cut_off(now));
         self.forwarder.set_seat(fleet.seat(now));
         let known = self.forwarder.revision();
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -64,7 +64,7 @@
             confirmed,
             revision: self.forwarder.revision(),
             version: config.map_or(0, |config| config.version.0),
-            reach: self.forwarder.reach(),
+            reach: self.forwarder.live_and_lost(),
             full: self.forwarder.count_full(),
             evacuated: self.forwarder.catalog().evacuated().count(),
             omitted: config.map_or(0, |config| config.omitted),
--- a/daemon/src/marked/output.rs
+++ b/daemon/src/marked/output.rs
@@ -67,7 +67,7 @@
         self.outbox.push(to, &packet::reset(flow, seq));
     }
 
-    fn ask(&mut self, target: &Target, path: &str) {
+    fn probe(&mut self, target: &Target, path: &str) {
         self.asker.ask(target, path);
     }
 
--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -9,8 +9,8 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Catalog, Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, News, Note,
-    Output, Revision, Route, Scope, Segment, Share, Span, Start, Target, Tuning, message,
+    Catalog, Change, Config, Content, FlowKey, Forwarder, ForwarderOptions, Incarnation, Kind,
+    Mark, News, Note, Output, Revision, Route, Scope, Segment, Share, Span, Start, Target, message,
 };
 use std::{fs, hint::black_box, net::SocketAddrV4, time::Instant};
 
@@ -28,7 +28,7 @@
         black_box((flow, seq));
     }
 
-    fn ask(&mut self, target: &Target, _path: &str) {
+    fn probe(&mut self, target: &Target, _path: &str) {
         black_box(target.address);
     }
 
@@ -149,9 +149,10 @@
 }
 
 fn forwarder(targets: usize, services: usize) -> Forwarder {
-    let tuning = Tuning { domain: DomainName::new("north"), regions: Default::default(), seed: 1 };
-    let mut forwarder = Forwarder::new(tuning);
-    forwarder.learn(site(targets, services), Millis(0), &mut Nowhere);
+    let options =
+        ForwarderOptions { domain: DomainName::new("north"), regions: Default::default(), seed: 1 };
+    let mut forwarder = Forwarder::new(options);
+    forwarder.apply_update(site(targets, services), Millis(0), &mut Nowhere);
     forwarder
 }
 
@@ -174,7 +175,7 @@
     };
     let all: Vec<Segment> = (0..flows).map(|nth| segment(nth, 0)).collect();
     for segment in &all {
-        forwarder.packet(segment, &[0; 134], Millis(1), &mut Nowhere);
+        forwarder.handle_packet(segment, &[0; 134], Millis(1), &mut Nowhere);
     }
     let held = (resident() - base) / flows as f64;
     row("a flow, resident (upper bound)", flows, held, "B");
@@ -184,7 +185,7 @@
         let known = all[nth % flows];
         let seq = known.seq + (nth / flows) as u32 * 100 + 100;
         let segment = Segment { seq, ..known };
-        forwarder.packet(&segment, &[0; 134], Millis(2), &mut Nowhere);
+        forwarder.handle_packet(&segment, &[0; 134], Millis(2), &mut Nowhere);
     }
     let nanos = start.elapsed().as_nanos() as f64 / rounds.max(flows) as f64;
     row("a packet in mid-flow, 5,600 targets", flows, nanos, "ns");
@@ -198,7 +199,7 @@
     for nth in 0..count {
         let key = flow(nth, 1);
         let open = Segment { key, kind: Kind::Open, seq: 1, ack: 0, len: 0, mark: None };
-        forwarder.packet(&open, &[0; 34], Millis(nth as u64 / 50), &mut Nowhere);
+        forwarder.handle_packet(&open, &[0; 34], Millis(nth as u64 / 50), &mut Nowhere);
     }
     let nanos = start.elapsed().as_nanos() as f64 / count as f64;
     row("an opening, targets of its service", targets, nanos, "ns");
--- a/marked/src/catalog/mod.rs
+++ b/marked/src/catalog/mod.rs
@@ -154,7 +154,7 @@
 
     /// Whether operators want the targets of a failure domain to get no new flows.
     pub fn is_evacuated(&self, domain: &DomainName) -> bool {
-        self.evacuations.holds(domain)
+        self.evacuations.is_evacuated(domain)
     }
 
     /// The failure domains whose targets are to get no new flows.
@@ -214,7 +214,7 @@
     /// The target that a mark of a flow means; none if the mark doesn't hold.
     pub fn marked(&self, mark: Mark, flow: &FlowKey) -> Option<&Entry> {
         let found = self.indexes.get(&mark.index())?;
-        let incarnation = found.iter().find(|&&it| mark.holds(it, flow))?;
+        let incarnation = found.iter().find(|&&it| mark.matches(it, flow))?;
         self.targets.get(incarnation)
     }
 
@@ -296,7 +296,7 @@
         for incarnation in old.map(|it| it.target.incarnation).collect::<Vec<_>>() {
             self.drop_target(incarnation);
         }
-        if let Some(revision) = self.evacuations.forget(RETENTION, now) {
+        if let Some(revision) = self.evacuations.forget_ended(RETENTION, now) {
             self.forgotten = revision.max(self.forgotten);
         }
         let (targets, forgotten) = (&self.targets, &mut self.forgotten);
--- a/marked/src/catalog/restore.rs
+++ b/marked/src/catalog/restore.rs
@@ -102,7 +102,7 @@
         for withdrawal in self.names.values_mut().filter_map(|it| it.withdrawn.as_mut()) {
             withdrawal.revision = start;
         }
-        self.evacuations.fall_back();
+        self.evacuations.reset_revisions();
     }
 
     /// Notes that a later era lists a target as it is known, which is no news for others.
--- a/marked/src/evacuation.rs
+++ b/marked/src/evacuation.rs
@@ -27,7 +27,7 @@
 
 impl Evacuations {
     /// Whether a domain's targets are to get no new flows.
-    pub(crate) fn holds(&self, domain: &DomainName) -> bool {
+    pub(crate) fn is_evacuated(&self, domain: &DomainName) -> bool {
         self.domains.get(domain).is_some_and(|it| it.ended.is_none())
     }
 
@@ -59,13 +59,13 @@
         if known.is_some_and(|it| it.revision >= revision) {
             return false;
         }
-        let held = self.holds(domain);
+        let was_evacuated = self.is_evacuated(domain);
         self.domains.insert(domain.clone(), Evacuation { revision, ended });
-        held != ended.is_none()
+        was_evacuated != ended.is_none()
     }
 
     /// Whatever the source says next wins over what is known.
-    pub(crate) fn fall_back(&mut self) {
+    pub(crate) fn reset_revisions(&mut self) {
         self.domains.values_mut().for_each(|it| it.revision = Revision::default());
     }
 
@@ -83,7 +83,7 @@
     /// Forgets ends that are longer ago than `span`; answers the latest revision among
     /// them. Without that anybody who may write to the store could fill the memory of all
     /// instances with names of domains.
-    pub(crate) fn forget(&mut self, span: Millis, now: Millis) -> Option<Revision> {
+    pub(crate) fn forget_ended(&mut self, span: Millis, now: Millis) -> Option<Revision> {
         let is_over = |it: &Evacuation| it.ended.is_some_and(|at| now.since(at) >= span);
         let latest = self.domains.values().filter(|it| is_over(it)).map(|it| it.revision).max();
         self.domains.retain(|_, it| !is_over(it));
--- a/marked/src/forwarder/closed.rs
+++ b/marked/src/forwarder/closed.rs
@@ -69,7 +69,7 @@
     /// Whether a failure domain is in one of these regions, or they are none. One whose region
     /// is not known may be anywhere, so it is in none of them.
     fn is_within(&self, domain: &DomainName, regions: &[RegionName]) -> bool {
-        let region = || self.tuning.regions.get(domain);
+        let region = || self.options.regions.get(domain);
         regions.is_empty() || region().is_some_and(|region| regions.contains(region))
     }
 
@@ -90,7 +90,7 @@
 
     /// Whether this instance's seat owns a target of its failure domain.
     pub(super) fn owns(&self, entry: &Entry) -> bool {
-        let is_near = entry.target.domain == self.tuning.domain;
+        let is_near = entry.target.domain == self.options.domain;
         is_near && self.seat.is_some_and(|seat| seat.owns(entry.target.incarnation.0))
     }
 
@@ -128,7 +128,7 @@
         let targets = targets.filter(|it| it.is_listed() && it.target.domain == domain).count();
         match self.catalog.is_evacuated(&domain) {
             true => Note::Evacuated { domain, revision, targets },
-            false => Note::Restored { domain, revision, targets },
+            false => Note::EvacuationEnded { domain, revision, targets },
         }
     }
 }
--- a/marked/src/forwarder/contested.rs
+++ b/marked/src/forwarder/contested.rs
@@ -16,7 +16,7 @@
     pub(super) fn acknowledged(&self, segment: &Segment) -> Option<Incarnation> {
         let flow = self.flows.get(&segment.key)?;
         let is_known = || self.catalog.entry(flow.target).is_some();
-        (flow.is_continued(segment) && is_known()).then_some(flow.target)
+        (flow.matches(segment) && is_known()).then_some(flow.target)
     }
 
     /// Takes the record of a flow that has a packet for a target. None if it is that of
--- a/marked/src/forwarder/counts.rs
+++ b/marked/src/forwarder/counts.rs
@@ -12,11 +12,11 @@
     /// Packets that callers sent again, since nothing had answered them.
     pub repeated: u64,
     /// Packets in mid-flow that were sent on.
-    pub passed: u64,
+    pub forwarded: u64,
     /// Packets that went nowhere because they carry no mark.
     pub unmarked: u64,
     /// Packets that went nowhere because their mark is unknown.
-    pub unknown: u64,
+    pub unknown_mark: u64,
     /// Flows that were moved while they were being opened.
     pub moved: u64,
     /// Flows reset because they have no route.
@@ -33,9 +33,9 @@
     /// Flows reset because no target is in the regions of their route.
     pub away: u64,
     /// Flows that went elsewhere while targets of their service were in an evacuated domain.
-    pub avoided: u64,
+    pub evacuated_avoided: u64,
     /// Flows that went elsewhere while targets of their service were slow after their start.
-    pub spared: u64,
+    pub warming_spared: u64,
     /// How often a target was found full.
     pub filled: u64,
     /// Openings that had to wait for room at their service.
@@ -47,9 +47,9 @@
     /// How often the source came back from a copy.
     pub restores: u64,
     /// Targets that were asked whether they answer.
-    pub asked: u64,
+    pub probes: u64,
     /// Targets that did, or did not.
-    pub found: [u64; Finding::ALL.len()],
+    pub probe_results: [u64; Finding::ALL.len()],
 }
 
 impl Counts {
--- a/marked/src/forwarder/dealt.rs
+++ b/marked/src/forwarder/dealt.rs
@@ -42,7 +42,7 @@
 
     fn deal(&self, service: &ServiceName, seat: Seat) -> Dealt {
         let is_dealt = |it: &&Entry| {
-            it.is_listed() && !it.target.leaving && it.target.domain == self.tuning.domain
+            it.is_listed() && !it.target.leaving && it.target.domain == self.options.domain
         };
         let targets = self.catalog.targets(service).filter(is_dealt);
         let mut all: Vec<u64> = targets.map(|it| it.target.incarnation.0).collect();
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -199,7 +199,8 @@
         }
         let flows = self.flows.values().filter(|flow| flow.target == target);
         let life = state.health.life();
-        let Some(since) = flows.filter_map(|flow| Some(flow.unanswered()?.max(life))).min() else {
+        let Some(since) = flows.filter_map(|flow| Some(flow.unanswered_since()?.max(life))).min()
+        else {
             return;
         };
         if now.since(since) >= limit {
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -37,7 +37,8 @@
 pub use output::{Output, Refusal, Span, Unroutable};
 
 use crate::{
-    Catalog, Config, Flow, FlowKey, Incarnation, Kind, Mark, Note, Revision, Segment, flow::Seen,
+    Catalog, Config, Flow, FlowKey, Incarnation, Kind, Mark, Note, Revision, Segment,
+    flow::Observation,
 };
 use dealt::Dealt;
 use heard::Heard;
@@ -61,7 +62,7 @@
 
 /// What an instance's place in the fleet makes different.
 #[derive(Debug, Clone)]
-pub struct Tuning {
+pub struct ForwarderOptions {
     /// The failure domain of this instance.
     pub domain: DomainName,
     /// The region of each failure domain, as far as it is known.
@@ -103,14 +104,14 @@
     /// When a target was found silent first since.
     alone: Option<Millis>,
     swept: Millis,
-    tuning: Tuning,
+    options: ForwarderOptions,
     random: Random,
     counts: Counts,
 }
 
 impl Forwarder {
     /// One that knows nothing yet.
-    pub fn new(tuning: Tuning) -> Forwarder {
+    pub fn new(options: ForwarderOptions) -> Forwarder {
         Forwarder {
             catalog: Catalog::default(),
             flows: SeededMap::default(),
@@ -131,8 +132,8 @@
             life: Millis(0),
             alone: None,
             swept: Millis(0),
-            random: Random::new(tuning.seed),
-            tuning,
+            random: Random::new(options.seed),
+            options,
             counts: Counts::default(),
         }
     }
@@ -163,7 +164,13 @@
     }
 
     /// Decides on one packet.
-    pub fn packet(&mut self, segment: &Segment, bytes: &[u8], now: Millis, out: &mut impl Output) {
+    pub fn handle_packet(
+        &mut self,
+        segment: &Segment,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut impl Output,
+    ) {
         if now.since(self.swept) >= SWEEP_PAUSE {
             self.sweep(now);
         }
@@ -184,7 +191,7 @@
             return;
         }
         self.follow(target, segment, now, out);
-        self.counts.passed += 1;
+        self.counts.forwarded += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
@@ -200,7 +207,7 @@
             None => Unroutable::Unmarked,
         };
         match reason {
-            Unroutable::UnknownMark => self.counts.unknown += 1,
+            Unroutable::UnknownMark => self.counts.unknown_mark += 1,
             Unroutable::Unmarked => self.counts.unmarked += 1,
         }
         out.note(Note::Dropped { flow: segment.key, reason, mark: segment.mark });
@@ -225,7 +232,7 @@
             (None, _) => return,
         };
         let class = flow.class;
-        let seen = flow.see(segment, now);
+        let seen = flow.observe(segment, now);
         self.account(&flow, 1);
         self.measure(&flow, seen, now, out);
         self.flows.insert(segment.key, flow);
@@ -235,27 +242,27 @@
         if seen.opened {
             self.see_taken(target, class, now, out);
         }
-        if let (Some(since), Some(goal)) = (seen.answered, goal) {
+        if let (Some(since), Some(goal)) = (seen.request_since, goal) {
             self.hear_answer(target, goal, now.since(since), now);
         }
-        if seen.life {
+        if seen.alive {
             self.see_life(target, now, out);
         }
-        if let Some(sent) = seen.repeats {
+        if let Some(sent) = seen.unanswered_since {
             self.counts.repeated += 1;
             self.doubt(target, segment.key, sent, now, out);
             self.watch(target, sent, now);
         }
     }
 
-    fn measure(&mut self, flow: &Flow, seen: Seen, now: Millis, out: &mut impl Output) {
+    fn measure(&mut self, flow: &Flow, seen: Observation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(flow.target) else { return };
         let service = entry.target.service.clone();
         if seen.opened {
-            out.measure(&service, flow.class, Span::Handshake(now.since(flow.since)));
-            self.heard.handshake(flow.since, flow.resent, now);
+            out.measure(&service, flow.class, Span::Handshake(now.since(flow.first_seen)));
+            self.heard.handshake(flow.first_seen, flow.resent, now);
         }
-        if let Some(since) = seen.answered {
+        if let Some(since) = seen.request_since {
             let span = now.since(since);
             out.measure(&service, flow.class, Span::Answer(span));
             self.heard.answer(&service, flow.class, span);
@@ -270,16 +277,16 @@
         if segment.kind == Kind::Close {
             self.follow(target, segment, now, out);
         }
-        let flow = self.flows.get(&segment.key).filter(|flow| flow.opened);
+        let flow = self.flows.get(&segment.key).filter(|flow| flow.opened_here);
         if let (Some(flow), Some(entry)) = (flow, self.catalog.entry(target)) {
-            let length = Span::Length(now.since(flow.since));
+            let length = Span::Length(now.since(flow.first_seen));
             out.measure(&entry.target.service, flow.class, length);
         }
         if let Some(flow) = self.flows.get(&segment.key).filter(|flow| !flow.is_opening()) {
             self.see_end(target, flow.class);
         }
         self.drop_flow(&segment.key);
-        self.counts.passed += 1;
+        self.counts.forwarded += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
@@ -352,7 +359,7 @@
     /// moment of its own, and looked at early it would be sent twice and have a target doubted
     /// that had no time to answer.
     fn is_awaited(&self, key: &FlowKey, due: Millis) -> bool {
-        self.flows.get(key).is_some_and(|flow| flow.is_opening() && flow.look == due)
+        self.flows.get(key).is_some_and(|flow| flow.is_opening() && flow.next_check == due)
     }
 
     /// Drops records of flows that ended without a word.
@@ -361,8 +368,8 @@
         let idle = self.catalog.config().map_or(Millis::secs(60), |config: &Config| config.idle);
         let is_over = |flow: &Flow| {
             let limit = if flow.is_opening() { OPENING_LIMIT } else { idle };
-            let waits = flow.waiting.is_some_and(|since| now.since(since) > WORK_LIMIT);
-            now.since(flow.touched) > limit || waits
+            let waits = flow.pending_since.is_some_and(|since| now.since(since) > WORK_LIMIT);
+            now.since(flow.last_seen) > limit || waits
         };
         let over: Vec<FlowKey> =
             self.flows.iter().filter(|(_, flow)| is_over(flow)).map(|(key, _)| *key).collect();
--- a/marked/src/forwarder/news.rs
+++ b/marked/src/forwarder/news.rs
@@ -6,7 +6,7 @@
 
 impl Forwarder {
     /// Takes in news of targets and routes.
-    pub fn learn(&mut self, news: News, now: Millis, out: &mut impl Output) {
+    pub fn apply_update(&mut self, news: News, now: Millis, out: &mut impl Output) {
         let version = self.version();
         let changed = self.catalog.merge(news, now);
         self.follow_changes(changed, version, now, out);
@@ -26,7 +26,7 @@
     ) {
         if let Some(restored) = changed.restore {
             self.counts.restores += 1;
-            out.note(Note::Era(restored));
+            out.note(Note::StoreRestored(restored));
         }
         for domain in changed.domains {
             let note = self.domain_note(domain);
--- a/marked/src/forwarder/output.rs
+++ b/marked/src/forwarder/output.rs
@@ -11,7 +11,7 @@
     /// expects next.
     fn reset(&mut self, flow: &FlowKey, seq: u32);
     /// Asks a target whether it answers.
-    fn ask(&mut self, target: &Target, path: &str);
+    fn probe(&mut self, target: &Target, path: &str);
     /// Writes down what was decided or is believed anew.
     fn note(&mut self, note: Note);
     /// Records a measured time of a class of a service.
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -96,7 +96,7 @@
     /// requests must not go any more: its copy would open the flow there after all.
     fn opened(&self, key: &FlowKey, now: Millis) -> Option<Incarnation> {
         let flow = self.flows.get(key)?;
-        let is_copy = flow.opened && now.since(flow.since) <= OPENING_LIMIT;
+        let is_copy = flow.opened_here && now.since(flow.first_seen) <= OPENING_LIMIT;
         let is_lost = self.states.get(&flow.target).is_some_and(|it| it.health.is_lost());
         let is_known = self.catalog.entry(flow.target).is_some();
         let is_late = flow.is_opening() && self.is_barred(key, flow.target);
@@ -124,7 +124,7 @@
     fn look_later(&mut self, key: FlowKey, now: Millis) {
         let due = now + self.opening_patience();
         if let Some(flow) = self.flows.get_mut(&key) {
-            flow.look = due;
+            flow.next_check = due;
             self.openings.push_back((due, key));
         }
     }
@@ -224,8 +224,8 @@
             // in mid-flow would go there.
             let meant = self.catalog.marked(Mark::new(target, key), key);
             if meant.is_some_and(|entry| entry.target.incarnation == target) {
-                self.counts.avoided += u64::from(evacuated);
-                self.counts.spared += u64::from(warming);
+                self.counts.evacuated_avoided += u64::from(evacuated);
+                self.counts.warming_spared += u64::from(warming);
                 let note = Note::Opened {
                     flow: *key,
                     target,
@@ -266,7 +266,7 @@
         if !state.vacancy.admits(class, state.opening) {
             return None;
         }
-        let near = entry.target.domain == self.tuning.domain;
+        let near = entry.target.domain == self.options.domain;
         let is_doubted = state.doubted.is_some_and(|at| now.since(at) < DOUBT_TIME);
         let is_doubted = is_doubted || self.stranded && !near;
         let tier = match entry.presence {
@@ -303,9 +303,9 @@
         if flow.overdue {
             return self.abandon(key, now, out);
         }
-        let (target, since, packet) = (flow.target, flow.since, packet.clone());
-        let is_first = flow.looks == 0;
-        flow.looks += 1;
+        let (target, since, packet) = (flow.target, flow.first_seen, packet.clone());
+        let is_first = flow.checks == 0;
+        flow.checks += 1;
         if self.is_barred(&key, target) {
             return self.move_opening(key, target, now, out);
         }
@@ -335,7 +335,7 @@
         let Some(mut flow) = self.flows.remove(&key) else { return };
         self.account(&flow, -1);
         flow.abandoned = true;
-        let (target, since) = (flow.target, flow.since);
+        let (target, since) = (flow.target, flow.first_seen);
         self.flows.insert(key, flow);
         self.doubt_late_opening(target, key, since, now, out);
     }
--- a/marked/src/forwarder/reach.rs
+++ b/marked/src/forwarder/reach.rs
@@ -38,7 +38,7 @@
 
 impl Forwarder {
     /// How many listed targets answer, and how many don't.
-    pub fn reach(&self) -> (usize, usize) {
+    pub fn live_and_lost(&self) -> (usize, usize) {
         let listed = self.catalog.entries().filter(|it| it.is_listed()).count();
         (listed.saturating_sub(self.lost.len()), self.lost.len())
     }
@@ -202,8 +202,8 @@
     pub(super) fn ask(&mut self, incarnation: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(incarnation) else { return };
         let Some(service) = self.catalog.service(&entry.target.service) else { return };
-        out.ask(&entry.target, &service.health);
-        self.counts.asked += 1;
+        out.probe(&entry.target, &service.health);
+        self.counts.probes += 1;
         let instances = self.instances();
         if let Some(state) = self.states.get_mut(&incarnation) {
             state.health.ask_again(now);
@@ -212,14 +212,14 @@
     }
 
     /// Takes in what asking a target brought.
-    pub fn answer(
+    pub fn handle_probe_result(
         &mut self,
         target: Incarnation,
         finding: Finding,
         now: Millis,
         out: &mut impl Output,
     ) {
-        self.counts.found[finding as usize] += 1;
+        self.counts.probe_results[finding as usize] += 1;
         match finding {
             Finding::Answers => self.find_room(target, now, out),
             Finding::Declines => self.find_declined(target, now, out),
@@ -249,7 +249,7 @@
     /// Asks a silent target again, and beside it one that should answer: a near
     /// one, which no cut between domains takes away.
     fn ask_beside(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
-        let domain = &self.tuning.domain;
+        let domain = &self.options.domain;
         let is_near = |entry: &&Entry| {
             let it = &entry.target;
             let state = self.states.get(&it.incarnation);
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -88,13 +88,13 @@
             return;
         }
         self.flows = self.flows.saturating_add_signed(sign);
-        let is_work = flow.is_opening() || flow.is_waiting();
+        let is_work = flow.is_opening() || flow.has_pending_request();
         if is_work && flow.class == Class::Request {
             self.requests = self.requests.saturating_add_signed(sign);
         }
         let field = if flow.is_opening() {
             &mut self.opening
-        } else if flow.is_waiting() {
+        } else if flow.has_pending_request() {
             &mut self.working
         } else if flow.class == Class::Feed {
             &mut self.feeds
--- a/marked/src/forwarder/stranded.rs
+++ b/marked/src/forwarder/stranded.rs
@@ -23,7 +23,7 @@
 
     /// Whether a domain's targets get no new flows because operators have emptied it.
     pub(super) fn is_emptied(&self, domain: &DomainName) -> bool {
-        let is_own = || *domain == self.tuning.domain;
+        let is_own = || *domain == self.options.domain;
         self.catalog.is_evacuated(domain) && !(self.stranded && is_own())
     }
 
@@ -47,7 +47,7 @@
     /// How long ago a target that may be used elsewhere last showed life; none unless this
     /// domain is evacuated, the store is not heard, and there are such targets.
     fn silence_elsewhere(&self, now: Millis) -> Option<Millis> {
-        if !self.cut_off || !self.catalog.is_evacuated(&self.tuning.domain) {
+        if !self.cut_off || !self.catalog.is_evacuated(&self.options.domain) {
             return None;
         }
         let is_elsewhere = |entry: &&Entry| !self.catalog.is_evacuated(&entry.target.domain);
@@ -59,7 +59,7 @@
     /// Moves openings that nobody has answered. Their callers still wait, and would give up
     /// before the targets elsewhere are found silent one by one.
     fn bring_openings_home(&mut self, now: Millis, out: &mut impl Output) {
-        let domain = &self.tuning.domain;
+        let domain = &self.options.domain;
         let is_elsewhere =
             |target| self.catalog.entry(target).is_some_and(|entry| entry.target.domain != *domain);
         let openings = self.flows.iter().filter(|(_, flow)| flow.is_opening());
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -48,7 +48,7 @@
 
 impl Forwarder {
     /// Tells how many instances of this failure domain there are, this one included.
-    pub fn set_near(&mut self, count: usize) {
+    pub fn set_domain_size(&mut self, count: usize) {
         self.near = count.max(1);
     }
 
--- a/marked/src/mark.rs
+++ b/marked/src/mark.rs
@@ -57,7 +57,7 @@
     }
 
     /// Whether this is the mark of the flow at that target.
-    pub fn holds(self, incarnation: Incarnation, flow: &FlowKey) -> bool {
+    pub fn matches(self, incarnation: Incarnation, flow: &FlowKey) -> bool {
         self == Mark::new(incarnation, flow)
     }
 }
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -131,7 +131,7 @@
         targets: usize,
     },
     /// Operators have taken that back.
-    Restored {
+    EvacuationEnded {
         /// The failure domain.
         domain: DomainName,
         /// The revision that says so, or up to which no evacuation is listed any more.
@@ -148,7 +148,7 @@
     /// That is over.
     Rejoined,
     /// The source came back from a copy.
-    Era(Restored),
+    StoreRestored(Restored),
     /// A config is in force.
     Config {
         /// Its version.
@@ -193,8 +193,8 @@
     Doubted,
     /// [`Note::Lost`], [`Note::Regained`], [`Note::Full`] and [`Note::Vacant`].
     Reach,
-    /// [`Note::Entry`], [`Note::Config`], [`Note::Evacuated`], [`Note::Restored`],
-    /// [`Note::Stranded`], [`Note::Rejoined`] and [`Note::Era`].
+    /// [`Note::Entry`], [`Note::Config`], [`Note::Evacuated`], [`Note::EvacuationEnded`],
+    /// [`Note::Stranded`], [`Note::Rejoined`] and [`Note::StoreRestored`].
     News,
 }
 
@@ -242,8 +242,8 @@
             Note::Lost { .. } | Note::Regained { .. } => NoteKind::Reach,
             Note::Full { .. } | Note::Vacant { .. } => NoteKind::Reach,
             Note::Entry { .. } | Note::Config { .. } => NoteKind::News,
-            Note::Evacuated { .. } | Note::Restored { .. } => NoteKind::News,
-            Note::Stranded { .. } | Note::Rejoined | Note::Era(_) => NoteKind::News,
+            Note::Evacuated { .. } | Note::EvacuationEnded { .. } => NoteKind::News,
+            Note::Stranded { .. } | Note::Rejoined | Note::StoreRestored(_) => NoteKind::News,
         }
     }
 
@@ -262,10 +262,10 @@
             Note::Vacant { .. } => "target vacant",
             Note::Entry { .. } => "target entry",
             Note::Evacuated { .. } => "domain evacuated",
-            Note::Restored { .. } => "domain restored",
+            Note::EvacuationEnded { .. } => "domain restored",
             Note::Stranded { .. } => "domain stranded",
             Note::Rejoined => "domain rejoined",
-            Note::Era(_) => "platform restored",
+            Note::StoreRestored(_) => "platform restored",
             Note::Config { .. } => "config in force",
         }
     }
@@ -329,14 +329,14 @@
                 ("revision", revision.to_string()),
             ],
             Note::Evacuated { domain, revision, targets }
-            | Note::Restored { domain, revision, targets } => vec![
+            | Note::EvacuationEnded { domain, revision, targets } => vec![
                 ("domain", domain.to_string()),
                 ("revision", revision.to_string()),
                 ("targets", targets.to_string()),
             ],
             Note::Stranded { silent } => vec![("silent_ms", silent.to_string())],
             Note::Rejoined => Vec::new(),
-            Note::Era(it) => vec![
+            Note::StoreRestored(it) => vec![
                 ("from", it.from.to_string()),
                 ("to", it.to.to_string()),
                 ("changed", it.changed.to_string()),
--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -7,8 +7,8 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, News, Note, Output,
-    Refusal, Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Tuning,
+    Change, Config, Content, FlowKey, Forwarder, ForwarderOptions, Incarnation, Kind, Mark, News,
+    Note, Output, Refusal, Revision, Route, Scope, Segment, Service, Share, Span, Start, Target,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -143,7 +143,7 @@
         self.notes.push(note);
     }
 
-    fn ask(&mut self, target: &Target, _path: &str) {
+    fn probe(&mut self, target: &Target, _path: &str) {
         self.asked.push(target.incarnation);
     }
 }
@@ -174,20 +174,20 @@
         let regions =
             places.map(|(domain, region)| (DomainName::new(domain), RegionName::new(region)));
         let regions = regions.into_iter().collect();
-        let tuning = Tuning { domain: DomainName::new(domain), regions, seed };
+        let options = ForwarderOptions { domain: DomainName::new(domain), regions, seed };
         let mut instance =
-            Instance { forwarder: Forwarder::new(tuning), out: Decisions::default() };
+            Instance { forwarder: Forwarder::new(options), out: Decisions::default() };
         instance.learn(all(targets), 0);
         instance.out.asked.clear();
         instance
     }
 
     pub fn learn(&mut self, news: News, now: u64) {
-        self.forwarder.learn(news, millis(now), &mut self.out);
+        self.forwarder.apply_update(news, millis(now), &mut self.out);
     }
 
     pub fn packet(&mut self, segment: Segment, now: u64) {
-        self.forwarder.packet(&segment, b"packet", millis(now), &mut self.out);
+        self.forwarder.handle_packet(&segment, b"packet", millis(now), &mut self.out);
     }
 
     /// Sends the opening packet of a flow; answers where it went.
--- a/marked/tests/test_contested.rs
+++ b/marked/tests/test_contested.rs
@@ -17,7 +17,12 @@
     let key = flow(1, REQUEST);
     let first = instance.open(key, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(first, Finding::Declines, millis(1_031), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        first,
+        Finding::Declines,
+        millis(1_031),
+        &mut instance.out,
+    );
     let second = instance.last();
     assert_ne!(second, first);
     Moved { instance, key, first, second }
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -133,7 +133,12 @@
     }
     instance.out.sent.clear();
 
-    instance.forwarder.answer(one.incarnation, Finding::Gone, millis(40), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        one.incarnation,
+        Finding::Gone,
+        millis(40),
+        &mut instance.out,
+    );
 
     assert!(!instance.out.sent.is_empty());
     assert!(instance.out.sent.iter().all(|(to, ..)| *to == other.incarnation));
@@ -151,7 +156,12 @@
     instance.tick(1_030);
     instance.packet(middle(feed, south, 1001, 500, 100), 1_040);
     instance.packet(middle(feed, south, 1101, 700, 0), 1_090);
-    instance.forwarder.answer(south, Finding::Silent, millis(1_330), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        south,
+        Finding::Silent,
+        millis(1_330),
+        &mut instance.out,
+    );
     assert_eq!(usage(&instance, south, 1_340), TargetUse::Full);
 
     instance.learn(evacuated(101), 1_400);
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -14,7 +14,7 @@
     instance.packet(middle(flow(1, FEED), unknown, 1001, 500, 100), 0);
 
     assert!(instance.out.sent.is_empty() && instance.out.resets.is_empty());
-    assert_eq!(instance.forwarder.counts().unknown, 1);
+    assert_eq!(instance.forwarder.counts().unknown_mark, 1);
 }
 
 #[test]
@@ -75,7 +75,7 @@
     assert_eq!(instance.forwarder.counts().repeated, 1);
     instance.opened(flow(2, super::fixtures::UPLOAD), 250);
     let now = super::fixtures::millis(300);
-    instance.forwarder.answer(at, Finding::Silent, now, &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Silent, now, &mut instance.out);
     assert_eq!(instance.out.resets.len(), 1);
 }
 
@@ -93,7 +93,7 @@
     instance.out.asked.clear();
     let silent = |instance: &mut Instance, now| {
         let now = super::fixtures::millis(now);
-        instance.forwarder.answer(at, Finding::Silent, now, &mut instance.out);
+        instance.forwarder.handle_probe_result(at, Finding::Silent, now, &mut instance.out);
     };
 
     silent(&mut instance, 510);
@@ -119,7 +119,12 @@
     let silent = |instance: &mut Instance, now: u64| {
         for it in &targets {
             let now = super::fixtures::millis(now);
-            instance.forwarder.answer(it.incarnation, Finding::Silent, now, &mut instance.out);
+            instance.forwarder.handle_probe_result(
+                it.incarnation,
+                Finding::Silent,
+                now,
+                &mut instance.out,
+            );
         }
     };
     for number in 0..40 {
@@ -142,7 +147,12 @@
 fn a_packet_for_a_lost_target_is_answered_by_a_reset() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let at = target(1, "desk").incarnation;
-    instance.forwarder.answer(at, Finding::Gone, super::fixtures::millis(0), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        Finding::Gone,
+        super::fixtures::millis(0),
+        &mut instance.out,
+    );
 
     instance.packet(middle(flow(1, FEED), at, 1001, 4242, 100), 10);
 
--- a/marked/tests/test_full.rs
+++ b/marked/tests/test_full.rs
@@ -14,7 +14,7 @@
 }
 
 fn silent(instance: &mut Instance, at: Incarnation, now: u64) {
-    instance.forwarder.answer(at, Finding::Silent, millis(now), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Silent, millis(now), &mut instance.out);
 }
 
 /// Opens flows until one goes to `at`.
@@ -190,12 +190,12 @@
     let (mut instance, _, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_330), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
     instance.out.asked.clear();
     instance.tick(1_830);
     assert!(instance.out.asked.contains(&at), "it is asked again after 500 ms");
 
-    instance.forwarder.answer(at, Finding::Answers, millis(1_835), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_835), &mut instance.out);
     let trial = open_at(&mut instance, at, 100..120, 1_840);
     for number in 120..140 {
         assert_ne!(instance.open(flow(number, FEED), 1_845), at, "one at a time");
@@ -221,7 +221,7 @@
     let (mut instance, feed, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
 
     let mut end = middle(feed, at, 1001, 500, 0);
     end.kind = Kind::Close;
@@ -242,7 +242,7 @@
     instance.packet(middle(request, at, 1001, 500, 100), 508);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
     let mut end = middle(request, at, 1101, 700, 0);
     end.kind = Kind::Close;
     instance.packet(end, 1_100);
@@ -258,8 +258,8 @@
     let (mut instance, _, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_330), &mut instance.out);
-    instance.forwarder.answer(at, Finding::Answers, millis(1_835), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_835), &mut instance.out);
 
     for round in 0..8 {
         assert_eq!(usage(&instance, at, 1_840), TargetUse::Full);
@@ -279,7 +279,7 @@
     let mut instance = Instance::new(&[target(1, "desk")]);
     let it = target(1, "desk");
     let at = it.incarnation;
-    instance.forwarder.answer(at, Finding::Gone, millis(1_000), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Gone, millis(1_000), &mut instance.out);
     instance.learn(one(200, Content::Removed(it.name.clone())), 1_100);
     instance.tick(3_000);
     instance.out.asked.clear();
@@ -288,7 +288,7 @@
     instance.tick(4_500);
 
     assert_eq!(instance.out.asked, [at]);
-    instance.forwarder.answer(at, Finding::Answers, millis(4_510), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(4_510), &mut instance.out);
     assert_eq!(instance.open(flow(5, FEED), 4_520), at);
 }
 
@@ -300,7 +300,7 @@
     let mut instances: Vec<Instance> =
         (0..160).map(|seed| Instance::seeded(std::slice::from_ref(&it), seed)).collect();
     for instance in &mut instances {
-        instance.forwarder.answer(at, Finding::Gone, millis(1_000), &mut instance.out);
+        instance.forwarder.handle_probe_result(at, Finding::Gone, millis(1_000), &mut instance.out);
         instance.learn(one(200, Content::Removed(it.name.clone())), 1_100);
         instance.tick(3_000);
         instance.out.asked.clear();
@@ -347,7 +347,7 @@
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
 
-    instance.forwarder.answer(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
 
     assert_eq!(usage(&instance, at, 1_034), TargetUse::Full);
     assert_ne!(instance.last(), at, "what was being opened went elsewhere");
@@ -361,7 +361,7 @@
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
 
-    instance.forwarder.answer(at, Finding::Declines, millis(1_210), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_210), &mut instance.out);
 
     assert_eq!(usage(&instance, at, 1_600), TargetUse::Good);
 }
@@ -375,7 +375,7 @@
     instance.learn(one(200, Content::Target(leaving)), 500);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
 
-    instance.forwarder.answer(at, Finding::Gone, millis(1_020), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Gone, millis(1_020), &mut instance.out);
 
     assert!(instance.out.resets.is_empty());
     instance.packet(middle(feed, at, 1101, 700, 0), 1_060);
@@ -389,9 +389,9 @@
     let first = open_at(&mut instance, at, 200..230, 1_000);
     let second = open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Answers, millis(1_032), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_032), &mut instance.out);
     for it in [target(1, "desk"), target(2, "desk")] {
-        instance.forwarder.answer(
+        instance.forwarder.handle_probe_result(
             it.incarnation,
             Finding::Answers,
             millis(1_033),
@@ -416,7 +416,7 @@
     let first = open_at(&mut instance, at, 200..230, 1_000);
     open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Answers, millis(1_032), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_032), &mut instance.out);
 
     for now in (1_040..1_400).step_by(10) {
         instance.tick(now);
@@ -457,7 +457,12 @@
         instance.tick(now + 30);
         for it in [target(1, "desk"), target(2, "desk")] {
             let answers = Finding::Answers;
-            instance.forwarder.answer(it.incarnation, answers, millis(now + 33), &mut instance.out);
+            instance.forwarder.handle_probe_result(
+                it.incarnation,
+                answers,
+                millis(now + 33),
+                &mut instance.out,
+            );
         }
         let other = open_other(instance, at, 400..900, now + 40);
         instance.packet(middle(other.0, other.1, 1001, 500, 0), now + 48);
@@ -476,10 +481,10 @@
 /// How often one of so many instances asks a full target from the second half-minute on.
 fn questions(instances: usize) -> usize {
     let (mut instance, _, at) = two();
-    instance.forwarder.set_near(instances);
+    instance.forwarder.set_domain_size(instances);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_031), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_031), &mut instance.out);
     for now in (1_340..60_000).step_by(20) {
         if now == 30_000 {
             instance.out.asked.clear();
@@ -487,7 +492,12 @@
         let before = instance.out.asked.len();
         instance.tick(now);
         if instance.out.asked.len() > before {
-            instance.forwarder.answer(at, Finding::Declines, millis(now + 1), &mut instance.out);
+            instance.forwarder.handle_probe_result(
+                at,
+                Finding::Declines,
+                millis(now + 1),
+                &mut instance.out,
+            );
         }
     }
     instance.out.asked.len()
--- a/marked/tests/test_mark.rs
+++ b/marked/tests/test_mark.rs
@@ -21,7 +21,7 @@
         let read = Mark::from_wire(mark.to_wire()).expect("no mark is 0");
 
         prop_assert_eq!(read, mark);
-        prop_assert!(read.holds(Incarnation(id), &key));
+        prop_assert!(read.matches(Incarnation(id), &key));
     }
 
     #[test]
@@ -32,8 +32,8 @@
         let mark = Mark::new(Incarnation(id), &key);
 
         // Either holds by chance once in four million cases.
-        prop_assert!(!mark.holds(Incarnation(other), &key));
-        prop_assert!(!mark.holds(Incarnation(id), &elsewhere));
+        prop_assert!(!mark.matches(Incarnation(other), &key));
+        prop_assert!(!mark.matches(Incarnation(id), &elsewhere));
     }
 }
 
@@ -58,7 +58,7 @@
 
     assert!(instance.out.sent.is_empty());
     assert!(instance.out.resets.is_empty());
-    assert_eq!(instance.forwarder.counts().unknown, 1);
+    assert_eq!(instance.forwarder.counts().unknown_mark, 1);
 }
 
 /// An address is used again by a target of another service. A mark that named
--- a/marked/tests/test_openings.rs
+++ b/marked/tests/test_openings.rs
@@ -105,7 +105,12 @@
     let dead = open[0].1;
     instance.out.sent.clear();
 
-    instance.forwarder.answer(dead, Finding::Gone, super::fixtures::millis(100), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        dead,
+        Finding::Gone,
+        super::fixtures::millis(100),
+        &mut instance.out,
+    );
 
     let expected = open.iter().filter(|(_, at)| *at == dead).count();
     assert_eq!(instance.out.resets.len(), expected);
@@ -123,7 +128,12 @@
     let at = instance.opened(key, 0);
     instance.packet(middle(key, at, 1001, 7777, 100), 20);
 
-    instance.forwarder.answer(at, Finding::Gone, super::fixtures::millis(100), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        Finding::Gone,
+        super::fixtures::millis(100),
+        &mut instance.out,
+    );
 
     assert_eq!(instance.out.resets, [(key, 7777, Refusal::TargetLost)]);
 }
@@ -135,7 +145,12 @@
     let mut instance = Instance::new(&[target(1, "desk")]);
     let only = target(1, "desk").incarnation;
     let answer = |instance: &mut Instance, finding, now| {
-        instance.forwarder.answer(only, finding, super::fixtures::millis(now), &mut instance.out);
+        instance.forwarder.handle_probe_result(
+            only,
+            finding,
+            super::fixtures::millis(now),
+            &mut instance.out,
+        );
     };
     answer(&mut instance, Finding::Silent, 100);
     instance.packet(segment(flow(1, FEED), Kind::Open), 150);
@@ -157,7 +172,7 @@
     let only = target(1, "desk").incarnation;
     instance.learn(one(200, Content::Removed(name(1))), 1000);
     assert_eq!(instance.out.asked, [only]);
-    instance.forwarder.answer(
+    instance.forwarder.handle_probe_result(
         only,
         Finding::Answers,
         super::fixtures::millis(1010),
@@ -250,7 +265,7 @@
     let now = super::fixtures::millis(1_000);
     let gone = target(1, "desk").incarnation;
 
-    instance.forwarder.answer(gone, Finding::Gone, now, &mut instance.out);
+    instance.forwarder.handle_probe_result(gone, Finding::Gone, now, &mut instance.out);
 
     assert!(instance.out.asked.is_empty());
 }
@@ -269,7 +284,7 @@
     instance.packet(middle(key, at, 1101, 2500, 0), 1_250);
 
     let now = super::fixtures::millis(1_320);
-    instance.forwarder.answer(at, Finding::Silent, now, &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Silent, now, &mut instance.out);
 
     assert!(instance.out.resets.is_empty());
     assert_eq!(instance.open(flow(2, FEED), 1_330), at);
@@ -304,7 +319,12 @@
 fn a_moved_opening_is_looked_at_anew() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let first = instance.open(flow(1, REQUEST), 0);
-    instance.forwarder.answer(first, Finding::Gone, super::fixtures::millis(25), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        first,
+        Finding::Gone,
+        super::fixtures::millis(25),
+        &mut instance.out,
+    );
     instance.out.sent.clear();
     instance.out.asked.clear();
 
--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -108,7 +108,7 @@
                     let findings = [Finding::Answers, Finding::Gone, Finding::Silent];
                     let (at, finding) = (of(target).incarnation, findings[usize::from(finding)]);
                     let time = super::fixtures::millis(now);
-                    instance.forwarder.answer(at, finding, time, &mut instance.out);
+                    instance.forwarder.handle_probe_result(at, finding, time, &mut instance.out);
                 }
                 Step::Wait { millis } => {
                     now += millis;
--- a/marked/tests/test_regions.rs
+++ b/marked/tests/test_regions.rs
@@ -85,7 +85,7 @@
     opened(&mut instance, 20, 10);
     instance.out.sent.clear();
 
-    instance.forwarder.answer(north, Finding::Gone, millis(40), &mut instance.out);
+    instance.forwarder.handle_probe_result(north, Finding::Gone, millis(40), &mut instance.out);
 
     assert!(!instance.out.sent.is_empty());
     assert!(instance.out.sent.iter().all(|(to, ..)| *to != south));
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -100,7 +100,12 @@
 #[test]
 fn what_was_believed_of_the_earlier_start_is_not_held_against_the_later_one() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
-    instance.forwarder.answer(incarnation(FIRST), Finding::Gone, millis(500), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        incarnation(FIRST),
+        Finding::Gone,
+        millis(500),
+        &mut instance.out,
+    );
 
     instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
 
@@ -116,7 +121,7 @@
     let key = flow(1, FEED);
     let at = instance.opened(key, 1_010);
 
-    instance.forwarder.answer(
+    instance.forwarder.handle_probe_result(
         incarnation(FIRST),
         Finding::Silent,
         millis(1_100),
@@ -143,7 +148,7 @@
     instance.learn(one(200, Content::Target(moved)), 2_000);
     assert_eq!(instance.out.asked, [incarnation(FIRST)]);
 
-    instance.forwarder.answer(at, Finding::Gone, millis(2_010), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, Finding::Gone, millis(2_010), &mut instance.out);
 
     assert_eq!(instance.out.resets.len(), 1);
     assert_eq!(instance.open(flow(2, FEED), 2_100), incarnation(SECOND));
@@ -235,12 +240,12 @@
     started.learn(picture_without_one(500), 0);
     started.packet(middle(key, gone, 1001, 500, 100), 100);
     assert_eq!((started.last(), &started.out.asked[..]), (gone, &[gone][..]));
-    started.forwarder.answer(gone, Finding::Gone, millis(110), &mut started.out);
+    started.forwarder.handle_probe_result(gone, Finding::Gone, millis(110), &mut started.out);
     started.packet(middle(key, gone, 1001, 500, 100), 300);
 
     // At once, and again for what the caller still sends.
     assert_eq!(started.out.resets, [(key, 500, Refusal::TargetLost); 2]);
-    assert_eq!(started.forwarder.counts().unknown, 0);
+    assert_eq!(started.forwarder.counts().unknown_mark, 0);
 }
 
 /// Guards against new flows to a target that is known for its old ones, and for how long.
--- a/marked/tests/test_waiting.rs
+++ b/marked/tests/test_waiting.rs
@@ -266,7 +266,12 @@
     for now in (1_010..1_400).step_by(10) {
         instance.tick(now);
     }
-    instance.forwarder.answer(target, Finding::Answers, millis(1_400), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        target,
+        Finding::Answers,
+        millis(1_400),
+        &mut instance.out,
+    );
 
     assert_eq!(instance.forwarder.counts().filled, 0);
     assert_eq!(instance.forwarder.counts().moved, 0);
@@ -290,7 +295,12 @@
     let (mut instance, target) = opened_for_nobody();
 
     instance.tick(1_100);
-    instance.forwarder.answer(target, Finding::Declines, millis(1_105), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        target,
+        Finding::Declines,
+        millis(1_105),
+        &mut instance.out,
+    );
 
     assert_eq!(instance.forwarder.count_full(), 1);
 }
@@ -305,7 +315,12 @@
         instance.packet(middle(key, target, 1101, 700, 0), 1_200);
     }
 
-    instance.forwarder.answer(target, Finding::Silent, millis(1_400), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        target,
+        Finding::Silent,
+        millis(1_400),
+        &mut instance.out,
+    );
 
     assert_eq!(instance.forwarder.count_full(), 1);
 }
@@ -342,7 +357,7 @@
 fn an_instance_that_knows_no_other_uses_all_slots() {
     let mut alone = busy(140);
     let mut one_of_four = busy(140);
-    one_of_four.forwarder.set_near(4);
+    one_of_four.forwarder.set_domain_size(4);
     let under_way = |instance: &mut Instance| {
         fill(instance, REQUEST, 500);
         opened(instance).len()
