--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Forwarder,
-    closed::{Bounds, Closed},
+    exclusion::{Bounds, Closed},
 };
 use crate::{Entry, FlowKey, Presence, Revision};
 use medlarspur_lib::{
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -17,18 +17,18 @@
 //! - When a target is found lost, its open flows are reset at once, and what
 //!   was being opened there goes to another one.
 
-mod closed;
+mod exclusion;
 mod contested;
 mod counts;
-mod dealt;
+mod subset;
 mod explain;
 mod full;
-mod heard;
-mod leaving;
-mod news;
+mod estimates;
+mod failover;
+mod update;
 mod output;
 mod placing;
-mod reach;
+mod probing;
 mod state;
 mod stranded;
 mod waiting;
@@ -40,8 +40,8 @@
     Catalog, Config, Flow, FlowKey, Incarnation, Kind, Mark, Note, Revision, Segment,
     flow::Observation,
 };
-use dealt::Dealt;
-use heard::Heard;
+use subset::Dealt;
+use estimates::Heard;
 use medlarspur_lib::{
     collections::{Map, SeededMap},
     ids::{DomainName, RegionName, ServiceName},
@@ -49,7 +49,7 @@
 };
 use medlarspur_load::{random::Random, warmup::Seat};
 use placing::OPENING_LIMIT;
-use reach::Lapses;
+use probing::Lapses;
 use state::State;
 use std::collections::VecDeque;
 use waiting::{NewFlow, Rooms};
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -2,9 +2,9 @@
 
 use super::{
     Forwarder, Output, Refusal,
-    closed::Closed,
-    dealt::Dealt,
-    reach::DOUBT_TIME,
+    exclusion::Closed,
+    subset::Dealt,
+    probing::DOUBT_TIME,
     waiting::{self, NewFlow},
 };
 use crate::{Entry, Flow, FlowKey, Incarnation, Mark, Note, Phase, Presence, Segment};
