--- a/marked/src/forwarder/contested.rs
+++ b/marked/src/forwarder/contested.rs
@@ -13,7 +13,7 @@
 impl Forwarder {
     /// The target whose answer the caller of this packet's flow has acknowledged, if that was
     /// seen here.
-    pub(super) fn acknowledged(&self, segment: &Segment) -> Option<Incarnation> {
+    pub(super) fn acknowledged_target(&self, segment: &Segment) -> Option<Incarnation> {
         let flow = self.flows.get(&segment.key)?;
         let is_known = || self.catalog.entry(flow.target).is_some();
         (flow.matches(segment) && is_known()).then_some(flow.target)
@@ -25,7 +25,7 @@
         let mut flow = self.flows.remove(key)?;
         self.account(&flow, -1);
         if flow.target != target {
-            if !flow.is_opening() || !self.is_served(key, target) {
+            if !flow.is_opening() || !self.is_possible_target(key, target) {
                 return None;
             }
             flow.target = target;
@@ -36,7 +36,7 @@
     }
 
     /// Whether an opening of this flow may have gone to a target. A mark may lead elsewhere.
-    fn is_served(&self, key: &FlowKey, target: Incarnation) -> bool {
+    fn is_possible_target(&self, key: &FlowKey, target: Incarnation) -> bool {
         let (route, entry) = (self.catalog.route(key.service), self.catalog.entry(target));
         route.zip(entry).is_some_and(|(route, entry)| {
             route.shares.iter().any(|share| share.service == entry.target.service)
--- a/marked/src/forwarder/exclusion.rs
+++ b/marked/src/forwarder/exclusion.rs
@@ -16,7 +16,7 @@
 
 /// Why a target that is listed and answers gets no new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Closed {
+pub(super) enum Exclusion {
     /// Operators have emptied its failure domain.
     Evacuated,
     /// It is outside of the regions in which the route's requests must stay.
@@ -27,13 +27,13 @@
 
 /// What closes targets to new flows of a route, beside evacuations.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Bounds<'a> {
+pub(super) struct Restrictions<'a> {
     warmup: Option<Warmup>,
     /// Where its requests must stay; anywhere if it is empty.
     regions: &'a [RegionName],
 }
 
-impl Bounds<'_> {
+impl Restrictions<'_> {
     /// Whether they close no target.
     pub(super) fn is_empty(&self) -> bool {
         self.warmup.is_none() && self.regions.is_empty()
@@ -42,39 +42,44 @@
 
 impl Forwarder {
     /// What closes targets of a service whatever the route is.
-    pub(super) fn service_bounds(&self, service: &ServiceName) -> Bounds<'_> {
+    pub(super) fn service_restrictions(&self, service: &ServiceName) -> Restrictions<'_> {
         let warmup = self.catalog.service(service).and_then(|it| it.warmup);
-        Bounds { warmup, regions: &[] }
+        Restrictions { warmup, regions: &[] }
     }
 
     /// What closes targets of a service to new flows to an address and port.
-    pub(super) fn bounds(&self, service: &ServiceName, flow: &FlowKey) -> Bounds<'_> {
+    pub(super) fn restrictions(&self, service: &ServiceName, flow: &FlowKey) -> Restrictions<'_> {
         let regions = self.catalog.route(flow.service).map(|route| route.regions.as_slice());
-        Bounds { regions: regions.unwrap_or_default(), ..self.service_bounds(service) }
+        Restrictions { regions: regions.unwrap_or_default(), ..self.service_restrictions(service) }
     }
 
     /// Why a target is to get no new flows with these bounds, if anything says so.
-    pub(super) fn closed(&self, entry: &Entry, bounds: Bounds<'_>, now: Millis) -> Option<Closed> {
+    pub(super) fn exclusion(
+        &self,
+        entry: &Entry,
+        restrictions: Restrictions<'_>,
+        now: Millis,
+    ) -> Option<Exclusion> {
         let domain = &entry.target.domain;
-        if self.is_emptied(domain) {
-            return Some(Closed::Evacuated);
+        if self.is_evacuation_active(domain) {
+            return Some(Exclusion::Evacuated);
         }
-        if !self.is_within(domain, bounds.regions) {
-            return Some(Closed::Away);
+        if !self.is_in_regions(domain, restrictions.regions) {
+            return Some(Exclusion::Away);
         }
-        let warmup = bounds.warmup.filter(|it| self.is_slow(entry, *it, now))?;
-        (!self.may_warm(entry, warmup, now)).then_some(Closed::Warming)
+        let warmup = restrictions.warmup.filter(|it| self.is_warming(entry, *it, now))?;
+        (!self.may_open_at_warming(entry, warmup, now)).then_some(Exclusion::Warming)
     }
 
     /// Whether a failure domain is in one of these regions, or they are none. One whose region
     /// is not known may be anywhere, so it is in none of them.
-    fn is_within(&self, domain: &DomainName, regions: &[RegionName]) -> bool {
+    fn is_in_regions(&self, domain: &DomainName, regions: &[RegionName]) -> bool {
         let region = || self.options.regions.get(domain);
         regions.is_empty() || region().is_some_and(|region| regions.contains(region))
     }
 
     /// Whether a target is slow after its start, as far as this instance knows.
-    fn is_slow(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
+    fn is_warming(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
         // Targets that got nothing while their domain was evacuated may have become slow.
         // They say so some time after the evacuation has ended; until then they would get
         // all that is opened, being idle.
@@ -83,8 +88,8 @@
     }
 
     /// Whether this instance owns a slow target and may open a flow there now.
-    fn may_warm(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
-        let last = self.states.get(&entry.target.incarnation).and_then(|state| state.warmed);
+    fn may_open_at_warming(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
+        let last = self.states.get(&entry.target.incarnation).and_then(|state| state.warmed_at);
         self.owns(entry) && last.is_none_or(|at| now.since(at) >= warmup::pause(warmup.rate))
     }
 
@@ -95,12 +100,12 @@
     }
 
     /// Notes that a flow is opened at a target, which counts if that is slow.
-    pub(super) fn note_warmup(&mut self, target: Incarnation, now: Millis) {
+    pub(super) fn record_warmup_opening(&mut self, target: Incarnation, now: Millis) {
         let Some(entry) = self.catalog.entry(target) else { return };
-        let warmup = self.service_bounds(&entry.target.service).warmup;
-        let is_slow = warmup.is_some_and(|it| self.is_slow(entry, it, now));
-        if let Some(state) = self.states.get_mut(&target).filter(|_| is_slow) {
-            state.warmed = Some(now);
+        let warmup = self.service_restrictions(&entry.target.service).warmup;
+        let is_warming = warmup.is_some_and(|it| self.is_warming(entry, it, now));
+        if let Some(state) = self.states.get_mut(&target).filter(|_| is_warming) {
+            state.warmed_at = Some(now);
         }
     }
 
@@ -108,21 +113,21 @@
     pub fn set_seat(&mut self, seat: Option<Seat>) {
         if self.seat != seat {
             self.seat = seat;
-            self.forget_dealt();
+            self.clear_subsets();
         }
     }
 
     /// Whether operators have emptied the failure domain of a flow's target, or have said that
     /// requests of its route must stay in other regions.
-    pub(super) fn is_barred(&self, flow: &FlowKey, target: Incarnation) -> bool {
+    pub(super) fn is_evacuated_or_away(&self, flow: &FlowKey, target: Incarnation) -> bool {
         let Some(entry) = self.catalog.entry(target) else { return false };
         let domain = &entry.target.domain;
-        let regions = self.bounds(&entry.target.service, flow).regions;
-        self.is_emptied(domain) || !self.is_within(domain, regions)
+        let regions = self.restrictions(&entry.target.service, flow).regions;
+        self.is_evacuation_active(domain) || !self.is_in_regions(domain, regions)
     }
 
     /// What is written down of a failure domain that was emptied or is in use again.
-    pub(super) fn domain_note(&self, domain: DomainName) -> Note {
+    pub(super) fn evacuation_note(&self, domain: DomainName) -> Note {
         let revision = self.catalog.evacuation(&domain).unwrap_or_default();
         let targets = self.catalog.entries();
         let targets = targets.filter(|it| it.is_listed() && it.target.domain == domain).count();
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -2,7 +2,7 @@
 
 use super::{
     Forwarder,
-    exclusion::{Bounds, Closed},
+    exclusion::{Exclusion, Restrictions},
 };
 use crate::{Entry, FlowKey, Presence, Revision};
 use medlarspur_lib::{
@@ -25,9 +25,9 @@
         let services = route.iter().flat_map(|route| &route.shares);
         let services: Vec<_> = services.map(|share| &share.service).collect();
         let entries = services.into_iter().flat_map(|service| self.catalog.targets(service));
-        let bounds = |entry: &Entry| self.bounds(&entry.target.service, key);
-        let shown = |entry| self.shown(entry, bounds(entry), now);
-        let candidates: Vec<_> = entries.map(shown).collect();
+        let restrictions = |entry: &Entry| self.restrictions(&entry.target.service, key);
+        let target_status = |entry| self.target_status(entry, restrictions(entry), now);
+        let candidates: Vec<_> = entries.map(target_status).collect();
         let known = self.flows.get(key).and_then(|flow| self.catalog.entry(flow.target));
         let takes = |it: &MarkedTarget| {
             matches!(it.usage, TargetUse::Good | TargetUse::Unlisted | TargetUse::Doubtful)
@@ -51,7 +51,7 @@
             },
             reason,
             class: route.map(|route| route.class),
-            target: known.map(shown),
+            target: known.map(target_status),
             candidates,
             picture: self.picture(age),
         }
@@ -61,14 +61,14 @@
     pub fn picture(&self, age: Option<Millis>) -> Picture {
         let version = self.catalog.config().map(|config| config.version);
         let mut evacuated: Vec<_> =
-            self.catalog.evacuated().map(|it| self.shown_domain(it)).collect();
+            self.catalog.evacuated().map(|it| self.domain_status(it)).collect();
         evacuated.sort_by(|one, other| one.domain.cmp(&other.domain));
         let omitted = self.catalog.config().map_or(0, |config| config.omitted);
         let Revision { era, count } = self.revision();
         Picture { version, era, revision: count, age, evacuated, omitted }
     }
 
-    fn shown_domain(&self, domain: &DomainName) -> EvacuatedDomain {
+    fn domain_status(&self, domain: &DomainName) -> EvacuatedDomain {
         let revision = self.catalog.evacuation(domain).unwrap_or_default();
         EvacuatedDomain { domain: domain.clone(), revision: revision.count }
     }
@@ -79,18 +79,23 @@
             self.catalog.entries().map(|it| &it.target.service).collect();
         let mut names: Vec<_> = names.into_iter().collect();
         names.sort_unstable();
-        names.into_iter().map(|name| self.service(name, now)).collect()
+        names.into_iter().map(|name| self.service_status(name, now)).collect()
     }
 
-    fn service(&self, name: &ServiceName, now: Millis) -> MarkedService {
-        let (pressure, waiting) = self.room(name);
-        let bounds = self.service_bounds(name);
+    fn service_status(&self, name: &ServiceName, now: Millis) -> MarkedService {
+        let (pressure, waiting) = self.pressure_and_backlog(name);
+        let restrictions = self.service_restrictions(name);
         let targets = self.catalog.targets(name);
-        let targets = targets.map(|entry| self.shown(entry, bounds, now)).collect();
+        let targets = targets.map(|entry| self.target_status(entry, restrictions, now)).collect();
         MarkedService { name: name.clone(), pressure, waiting, targets }
     }
 
-    fn shown(&self, entry: &Entry, bounds: Bounds<'_>, now: Millis) -> MarkedTarget {
+    fn target_status(
+        &self,
+        entry: &Entry,
+        restrictions: Restrictions<'_>,
+        now: Millis,
+    ) -> MarkedTarget {
         let target = &entry.target;
         let state = self.states.get(&target.incarnation);
         MarkedTarget {
@@ -98,26 +103,26 @@
             start: target.start.0,
             address: target.address,
             domain: target.domain.clone(),
-            usage: self.usage(entry, bounds, now),
+            usage: self.usage(entry, restrictions, now),
             work: state.map_or(0, |state| state.working + state.opening),
             feeds: state.map_or(0, |state| state.feeds),
         }
     }
 
-    fn usage(&self, entry: &Entry, bounds: Bounds<'_>, now: Millis) -> TargetUse {
+    fn usage(&self, entry: &Entry, restrictions: Restrictions<'_>, now: Millis) -> TargetUse {
         let is_lost =
             self.states.get(&entry.target.incarnation).is_some_and(|it| it.health.is_lost());
-        let closed = self.closed(entry, bounds, now);
+        let exclusion = self.exclusion(entry, restrictions, now);
         if entry.is_listed() && !is_lost && !entry.target.leaving {
-            match closed {
-                Some(Closed::Evacuated) => return TargetUse::Evacuated,
-                Some(Closed::Away) => return TargetUse::Away,
-                Some(Closed::Warming) => return TargetUse::Warming,
+            match exclusion {
+                Some(Exclusion::Evacuated) => return TargetUse::Evacuated,
+                Some(Exclusion::Away) => return TargetUse::Away,
+                Some(Exclusion::Warming) => return TargetUse::Warming,
                 None if self.is_full(entry) => return TargetUse::Full,
                 None => {}
             }
         }
-        let candidate = self.candidate(entry, Class::Request, now).filter(|_| closed.is_none());
+        let candidate = self.candidate(entry, Class::Request, now).filter(|_| exclusion.is_none());
         match candidate.map(|it| it.tier) {
             Some(Tier::Good) => TargetUse::Good,
             Some(Tier::Unlisted) => TargetUse::Unlisted,
--- a/marked/src/forwarder/failover.rs
+++ b/marked/src/forwarder/failover.rs
@@ -1,12 +1,12 @@
 //! Taking flows away from targets that don't answer.
 
-use super::{Forwarder, Output, Refusal, placing::OVERDUE, waiting::NewFlow};
+use super::{Forwarder, Output, Refusal, placing::OVERDUE_WAIT, waiting::NewFlow};
 use crate::{Finding, Flow, FlowKey, Incarnation, Note, Phase};
 use medlarspur_lib::time::Millis;
 use medlarspur_load::vacancy::Vacancy;
 
 impl Forwarder {
-    pub(super) fn find_lost(
+    pub(super) fn mark_lost(
         &mut self,
         target: Incarnation,
         finding: Finding,
@@ -19,12 +19,12 @@
             return;
         }
         state.vacancy = Vacancy::default();
-        state.check = None;
+        state.check_at = None;
         let flows = self.flows.values().filter(|flow| flow.target == target).count();
         out.note(Note::Lost { target, finding, silent, flows });
         self.lost.push(target);
         self.full.retain(|it| *it != target);
-        self.leave(target, now, out);
+        self.remove_flows(target, now, out);
     }
 
     /// Has what is being opened at a target go elsewhere. Nothing runs before a flow is
@@ -55,7 +55,7 @@
             return self.drop_flow(&key);
         }
         let Phase::Opening { packet } = flow.phase.clone() else { return };
-        let waited = if flow.overdue { OVERDUE } else { Millis(0) };
+        let waited = if flow.overdue { OVERDUE_WAIT } else { Millis(0) };
         let Some(route) = self.catalog.route(key.service) else {
             self.drop_flow(&key);
             return self.refuse(&key, Refusal::NoRoute, out);
@@ -67,7 +67,7 @@
     }
 
     /// Takes all flows away from a target that was found lost.
-    fn leave(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    fn remove_flows(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let flows = self.flows.iter().filter(|(_, flow)| flow.target == target);
         let keys: Vec<FlowKey> = flows.map(|(key, _)| *key).collect();
         for key in keys {
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -10,27 +10,27 @@
 //! them, and bring their callers back as new flows that fill the next target. The ways that
 //! were weighed are in `docs/design/full.md`.
 
-use super::{Forwarder, Output, State};
+use super::{Forwarder, Output, TargetState};
 use crate::{Entry, Finding, Incarnation, Note};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
 /// How long open flows must be unanswered at least before a silent target is lost: what
 /// a caller repeats after 200 ms, and the time in which that is answered.
-const LEAST_SILENCE: Millis = Millis(250);
+const MIN_SILENCE: Millis = Millis(250);
 /// The most that is waited for, whatever was usual: callers give up after 1.5 s.
-const MOST_SILENCE: Millis = Millis(1_200);
+const MAX_SILENCE: Millis = Millis(1_200);
 /// How long they must be unanswered while it isn't known how long answers take: an
 /// instance that starts into a crowd finds queues that are full, and hears from a target
 /// a few times a second.
-const UNKNOWN_SILENCE: Millis = Millis(1_000);
+const DEFAULT_SILENCE: Millis = Millis(1_000);
 
 /// How many openings a target that lives must leave unanswered to count as full. One may
 /// be lost on the way, or its handshake may end by another instance.
-const UNANSWERED: u32 = 2;
+const MIN_UNANSWERED: u32 = 2;
 /// How long an opening waits at a target that was full, at most, where nothing else shows
 /// that this instance hears answers in time.
-const FULL_PATIENCE: Millis = Millis(90);
+const MAX_FULL_WAIT: Millis = Millis(90);
 
 impl Forwarder {
     /// How many targets take no openings.
@@ -45,7 +45,7 @@
     }
 
     /// It took an opening.
-    pub(super) fn see_taken(
+    pub(super) fn record_opening_taken(
         &mut self,
         target: Incarnation,
         class: Class,
@@ -54,37 +54,42 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         state.health.see_taken(now);
-        state.refused = 0;
-        state.unsure = false;
+        state.unanswered = 0;
+        state.late_unanswered = false;
         if state.vacancy.take(class) {
-            self.free(target, out);
+            self.mark_vacant(target, out);
         }
     }
 
     /// A flow has ended there.
-    pub(super) fn see_end(&mut self, target: Incarnation, class: Class) {
+    pub(super) fn record_flow_end(&mut self, target: Incarnation, class: Class) {
         if let Some(state) = self.states.get_mut(&target) {
             state.vacancy.leave(class);
         }
     }
 
     /// It answers questions.
-    pub(super) fn find_room(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
-        self.see_life(target, now, out);
+    pub(super) fn handle_answered_probe(
+        &mut self,
+        target: Incarnation,
+        now: Millis,
+        out: &mut impl Output,
+    ) {
+        self.record_life(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.check = None;
+        state.check_at = None;
         state.vacancy.answer();
         if state.vacancy.is_full() && !state.declined {
             // Nothing but silence spoke of it: it was cut off or late, and is there again.
             state.vacancy = Vacancy::default();
-            self.free(target, out);
+            self.mark_vacant(target, out);
         }
     }
 
-    fn free(&mut self, target: Incarnation, out: &mut impl Output) {
+    fn mark_vacant(&mut self, target: Incarnation, out: &mut impl Output) {
         if let Some(state) = self.states.get_mut(&target) {
             state.declined = false;
-            state.refused = 0;
+            state.unanswered = 0;
         }
         self.full.retain(|it| *it != target);
         out.note(Note::Vacant { target });
@@ -95,7 +100,7 @@
     /// opening that came later must have been answered elsewhere: this instance may be
     /// late itself, or be leaving, and the ends of handshakes go by others then. Answers
     /// whether the target is full.
-    pub(super) fn refuse_place(
+    pub(super) fn mark_full_if_declining(
         &mut self,
         target: Incarnation,
         since: Millis,
@@ -104,59 +109,64 @@
     ) -> bool {
         let Some(state) = self.states.get(&target) else { return false };
         let health = &state.health;
-        let is_passed = self.heard.answered_since(since) && health.taken() < since;
+        let is_passed = self.estimates.has_answered_since(since) && health.taken() < since;
         let is_full = match state.vacancy.is_full() {
-            true => is_passed || now.since(since) >= FULL_PATIENCE,
-            false => is_passed && state.refused >= UNANSWERED && health.life() > since,
+            true => is_passed || now.since(since) >= MAX_FULL_WAIT,
+            false => is_passed && state.unanswered >= MIN_UNANSWERED && health.life() > since,
         };
         if is_full {
             if let Some(state) = self.states.get_mut(&target) {
                 state.declined = true;
             }
-            self.fill(target, now, out);
+            self.mark_full(target, now, out);
         }
         is_full
     }
 
     /// It ended the connection by which it was asked: it lives, and has no room if an
     /// opening there is unanswered as well. A connection may also be reset on the way.
-    pub(super) fn find_declined(
+    pub(super) fn handle_declined_probe(
         &mut self,
         target: Incarnation,
         now: Millis,
         out: &mut impl Output,
     ) {
-        self.see_life(target, now, out);
+        self.record_life(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
-        if state.is_declining() || state.vacancy.is_full() {
+        if state.has_unanswered() || state.vacancy.is_full() {
             state.declined = true;
-            self.fill(target, now, out);
+            self.mark_full(target, now, out);
         }
     }
 
     /// A question stayed without an answer.
-    pub(super) fn find_silent(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    pub(super) fn handle_silent_probe(
+        &mut self,
+        target: Incarnation,
+        now: Millis,
+        out: &mut impl Output,
+    ) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let Some(state) = self.states.get(&target) else { return };
         let health = state.health;
-        let is_heard = health.asked().is_some_and(|asked| health.life() > asked);
-        let is_taken = health.asked().is_some_and(|asked| health.taken() > asked);
-        if health.is_lost() || !is_heard && !entry.is_listed() {
+        let has_shown_life = health.asked().is_some_and(|asked| health.life() > asked);
+        let has_taken_opening = health.asked().is_some_and(|asked| health.taken() > asked);
+        if health.is_lost() || !has_shown_life && !entry.is_listed() {
             // Its entry went too, which no full target's does.
-            return self.find_lost(target, Finding::Silent, now, out);
+            return self.mark_lost(target, Finding::Silent, now, out);
         }
-        if is_taken || is_heard && !state.is_declining() {
+        if has_taken_opening || has_shown_life && !state.has_unanswered() {
             return;
         }
         if let Some(state) = self.states.get_mut(&target) {
-            state.silent = !is_heard;
+            state.silent = !has_shown_life;
         }
-        self.fill(target, now, out);
-        self.check(target, now, out);
+        self.mark_full(target, now, out);
+        self.check_silent(target, now, out);
     }
 
     /// Has new flows leave a target.
-    fn fill(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    fn mark_full(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
         let is_new = state.vacancy.refuse(now);
         let health = state.health;
@@ -172,28 +182,33 @@
 
     /// A caller has repeated what it first sent at `sent` to a target. If that is silent,
     /// what is open there must be looked at.
-    pub(super) fn watch(&mut self, target: Incarnation, sent: Millis, now: Millis) {
-        let Some(limit) = self.silence(target) else { return };
+    pub(super) fn schedule_silence_check(
+        &mut self,
+        target: Incarnation,
+        sent: Millis,
+        now: Millis,
+    ) {
+        let Some(limit) = self.silence_limit(target) else { return };
         let Some(state) = self.states.get_mut(&target).filter(|state| state.silent) else { return };
         let due = now.max(sent.max(state.health.life()) + limit);
-        state.check = Some(state.check.map_or(due, |check| check.min(due)));
+        state.check_at = Some(state.check_at.map_or(due, |check| check.min(due)));
     }
 
     /// Looks at silent targets whose flows may be unanswered for too long.
-    pub(super) fn check_full(&mut self, now: Millis, out: &mut impl Output) {
-        let is_due = |state: &State| state.check.is_some_and(|at| at <= now);
+    pub(super) fn check_silent_targets(&mut self, now: Millis, out: &mut impl Output) {
+        let is_due = |state: &TargetState| state.check_at.is_some_and(|at| at <= now);
         let due = self.full.iter().filter(|it| self.states.get(*it).is_some_and(is_due));
         for target in due.copied().collect::<Vec<_>>() {
-            self.check(target, now, out);
+            self.check_silent(target, now, out);
         }
     }
 
     /// Whether the open flows of a silent target are unanswered for longer than answers
     /// usually take: then it is lost.
-    fn check(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
-        let Some(limit) = self.silence(target) else { return };
+    fn check_silent(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+        let Some(limit) = self.silence_limit(target) else { return };
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.check = None;
+        state.check_at = None;
         if !state.silent {
             return;
         }
@@ -204,40 +219,40 @@
             return;
         };
         if now.since(since) >= limit {
-            return self.find_lost(target, Finding::Silent, now, out);
+            return self.mark_lost(target, Finding::Silent, now, out);
         }
-        state.check = Some(since + limit);
+        state.check_at = Some(since + limit);
     }
 
     /// How long the open flows of a target may be unanswered. None if it isn't known.
-    fn silence(&self, target: Incarnation) -> Option<Millis> {
+    fn silence_limit(&self, target: Incarnation) -> Option<Millis> {
         let entry = self.catalog.entry(target)?;
         let service = &entry.target.service;
-        let usual = self.heard.longest_answer(service).unwrap_or(UNKNOWN_SILENCE);
-        Some(usual.clamp(LEAST_SILENCE, MOST_SILENCE))
+        let usual = self.estimates.longest_answer(service).unwrap_or(DEFAULT_SILENCE);
+        Some(usual.clamp(MIN_SILENCE, MAX_SILENCE))
     }
 
     /// Asks full targets whose pause is over whether they have room. One that leaves or whose
     /// domain is evacuated takes none, and one that is not listed may be again, and is only
     /// asked then.
-    pub(super) fn ask_full(&mut self, now: Millis, out: &mut impl Output) {
-        let instances = self.instances();
+    pub(super) fn probe_full(&mut self, now: Millis, out: &mut impl Output) {
+        let instances = self.instance_count();
         let states = &self.states;
         self.full.retain(|it| states.contains_key(it));
         let is_due = |it: &&Incarnation| states[*it].vacancy.retry().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.full.iter().filter(is_due).copied().collect();
         for target in due {
-            if self.may_have_room(target) {
-                self.ask(target, now, out);
+            if self.should_probe_full(target) {
+                self.probe(target, now, out);
             } else if let Some(state) = self.states.get_mut(&target) {
                 state.vacancy.ask(now, instances);
             }
         }
     }
 
-    fn may_have_room(&self, target: Incarnation) -> bool {
+    fn should_probe_full(&self, target: Incarnation) -> bool {
         let Some(entry) = self.catalog.entry(target) else { return false };
         let is_open = entry.is_listed() && !entry.target.leaving;
-        is_open && !self.is_emptied(&entry.target.domain)
+        is_open && !self.is_evacuation_active(&entry.target.domain)
     }
 }
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -17,20 +17,20 @@
 //! - When a target is found lost, its open flows are reset at once, and what
 //!   was being opened there goes to another one.
 
-mod exclusion;
 mod contested;
 mod counts;
-mod subset;
-mod explain;
-mod full;
 mod estimates;
+mod exclusion;
+mod explain;
 mod failover;
-mod update;
+mod full;
 mod output;
 mod placing;
 mod probing;
 mod state;
 mod stranded;
+mod subset;
+mod update;
 mod waiting;
 
 pub use counts::Counts;
@@ -40,8 +40,7 @@
     Catalog, Config, Flow, FlowKey, Incarnation, Kind, Mark, Note, Revision, Segment,
     flow::Observation,
 };
-use subset::Dealt;
-use estimates::Heard;
+use estimates::Estimates;
 use medlarspur_lib::{
     collections::{Map, SeededMap},
     ids::{DomainName, RegionName, ServiceName},
@@ -49,16 +48,17 @@
 };
 use medlarspur_load::{random::Random, warmup::Seat};
 use placing::OPENING_LIMIT;
-use probing::Lapses;
-use state::State;
+use probing::LapseProbes;
+use state::TargetState;
 use std::collections::VecDeque;
-use waiting::{NewFlow, Rooms};
+use subset::Subset;
+use waiting::{Admissions, NewFlow};
 
 /// How long a request may wait for its answer and still count as work of its
 /// target. Callers give up after 8 s at most.
-const WORK_LIMIT: Millis = Millis::secs(8);
+const MAX_REQUEST_AGE: Millis = Millis::secs(8);
 /// How often records of flows that ended without a word are dropped.
-const SWEEP_PAUSE: Millis = Millis::secs(1);
+const SWEEP_INTERVAL: Millis = Millis::secs(1);
 
 /// What an instance's place in the fleet makes different.
 #[derive(Debug, Clone)]
@@ -76,34 +76,34 @@
 pub struct Forwarder {
     catalog: Catalog,
     flows: SeededMap<FlowKey, Flow>,
-    states: Map<Incarnation, State>,
+    states: Map<Incarnation, TargetState>,
     openings: VecDeque<(Millis, FlowKey)>,
     /// Flows that wait to be opened, and the room at their services.
     held: SeededMap<FlowKey, NewFlow>,
-    rooms: Rooms,
+    admissions: Admissions,
     /// How many instances of this failure domain there are, this one included, and how
     /// many domains have targets.
-    near: usize,
-    domains: usize,
+    domain_size: usize,
+    domain_count: usize,
     lost: Vec<Incarnation>,
-    lapses: Lapses,
+    lapse_probes: LapseProbes,
     /// Targets that take no openings.
     full: Vec<Incarnation>,
     /// What was learnt from answers.
-    heard: Heard,
+    estimates: Estimates,
     /// This instance's seat in its failure domain, while it is known.
     seat: Option<Seat>,
     /// This instance's part of the targets of its domain, by service.
-    dealt: Map<ServiceName, Dealt>,
+    subsets: Map<ServiceName, Subset>,
     /// Whether nobody of this failure domain hears from the store.
     cut_off: bool,
     /// Whether this domain is evacuated and no target elsewhere can be reached.
     stranded: bool,
     /// When any target showed life last.
-    life: Millis,
+    last_life: Millis,
     /// When a target was found silent first since.
-    alone: Option<Millis>,
-    swept: Millis,
+    isolated_since: Option<Millis>,
+    last_sweep: Millis,
     options: ForwarderOptions,
     random: Random,
     counts: Counts,
@@ -118,20 +118,20 @@
             states: Map::default(),
             openings: VecDeque::new(),
             held: SeededMap::default(),
-            rooms: Rooms::default(),
-            near: 1,
-            domains: 1,
+            admissions: Admissions::default(),
+            domain_size: 1,
+            domain_count: 1,
             lost: Vec::new(),
-            lapses: Lapses::default(),
+            lapse_probes: LapseProbes::default(),
             full: Vec::new(),
-            heard: Heard::default(),
+            estimates: Estimates::default(),
             seat: None,
-            dealt: Map::default(),
+            subsets: Map::default(),
             cut_off: false,
             stranded: false,
-            life: Millis(0),
-            alone: None,
-            swept: Millis(0),
+            last_life: Millis(0),
+            isolated_since: None,
+            last_sweep: Millis(0),
             random: Random::new(options.seed),
             options,
             counts: Counts::default(),
@@ -171,36 +171,42 @@
         now: Millis,
         out: &mut impl Output,
     ) {
-        if now.since(self.swept) >= SWEEP_PAUSE {
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
             self.sweep(now);
         }
         match segment.kind {
-            Kind::Open => self.open(segment, bytes, now, out),
-            Kind::Middle => self.middle(segment, bytes, now, out),
-            Kind::Close | Kind::Abort => self.close(segment, bytes, now, out),
+            Kind::Open => self.handle_open(segment, bytes, now, out),
+            Kind::Middle => self.handle_middle(segment, bytes, now, out),
+            Kind::Close | Kind::Abort => self.handle_close(segment, bytes, now, out),
         }
     }
 
-    fn middle(&mut self, segment: &Segment, bytes: &[u8], now: Millis, out: &mut impl Output) {
-        let Some(target) = self.target(segment, out) else { return };
+    fn handle_middle(
+        &mut self,
+        segment: &Segment,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut impl Output,
+    ) {
+        let Some(target) = self.resolve_target(segment, out) else { return };
         // A copy of its opening may wait here. Opened now, the flow would have a second target.
-        self.forget(&segment.key);
+        self.cancel_held(&segment.key);
         let is_lost = self.states.get(&target).is_some_and(|state| state.health.is_lost());
         if is_lost {
             self.reset(&segment.key, segment.ack, target, now, out);
             return;
         }
-        self.follow(target, segment, now, out);
+        self.track(target, segment, now, out);
         self.counts.forwarded += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
     /// Where a packet in mid-flow goes: where its mark says, unless its flow is known to be
     /// open at another target, and nowhere without a mark that holds.
-    fn target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
+    fn resolve_target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
         let marked = segment.mark.and_then(|mark| self.catalog.marked(mark, &segment.key));
         if let Some(entry) = marked {
-            return Some(self.acknowledged(segment).unwrap_or(entry.target.incarnation));
+            return Some(self.acknowledged_target(segment).unwrap_or(entry.target.incarnation));
         }
         let reason = match segment.mark {
             Some(_) => Unroutable::UnknownMark,
@@ -215,7 +221,7 @@
     }
 
     /// Notes what a packet shows of its target.
-    fn follow(
+    fn track(
         &mut self,
         target: Incarnation,
         segment: &Segment,
@@ -225,7 +231,8 @@
         let known = self.take_record(target, &segment.key);
         let is_resumed = known.is_none();
         let route = self.catalog.route(segment.key.service);
-        let (class, goal) = (route.map(|route| route.class), route.and_then(waiting::goal));
+        let (class, objective) =
+            (route.map(|route| route.class), route.and_then(waiting::objective));
         let mut flow = match (known, class) {
             (Some(flow), _) => flow,
             (None, Some(class)) if segment.len > 0 => Flow::resume(target, class, segment, now),
@@ -234,48 +241,54 @@
         let class = flow.class;
         let seen = flow.observe(segment, now);
         self.account(&flow, 1);
-        self.measure(&flow, seen, now, out);
+        self.record_times(&flow, seen, now, out);
         self.flows.insert(segment.key, flow);
         if is_resumed {
-            self.ask_unasked(target, now, out);
+            self.probe_unprobed(target, now, out);
         }
         if seen.opened {
-            self.see_taken(target, class, now, out);
+            self.record_opening_taken(target, class, now, out);
         }
-        if let (Some(since), Some(goal)) = (seen.request_since, goal) {
-            self.hear_answer(target, goal, now.since(since), now);
+        if let (Some(since), Some(objective)) = (seen.request_since, objective) {
+            self.record_answer(target, objective, now.since(since), now);
         }
         if seen.alive {
-            self.see_life(target, now, out);
+            self.record_life(target, now, out);
         }
         if let Some(sent) = seen.unanswered_since {
             self.counts.repeated += 1;
             self.doubt(target, segment.key, sent, now, out);
-            self.watch(target, sent, now);
+            self.schedule_silence_check(target, sent, now);
         }
     }
 
-    fn measure(&mut self, flow: &Flow, seen: Observation, now: Millis, out: &mut impl Output) {
+    fn record_times(&mut self, flow: &Flow, seen: Observation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(flow.target) else { return };
         let service = entry.target.service.clone();
         if seen.opened {
             out.measure(&service, flow.class, Span::Handshake(now.since(flow.first_seen)));
-            self.heard.handshake(flow.first_seen, flow.resent, now);
+            self.estimates.add_handshake(flow.first_seen, flow.resent, now);
         }
         if let Some(since) = seen.request_since {
             let span = now.since(since);
             out.measure(&service, flow.class, Span::Answer(span));
-            self.heard.answer(&service, flow.class, span);
+            self.estimates.add_answer(&service, flow.class, span);
         }
     }
 
-    fn close(&mut self, segment: &Segment, bytes: &[u8], now: Millis, out: &mut impl Output) {
+    fn handle_close(
+        &mut self,
+        segment: &Segment,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut impl Output,
+    ) {
         if self.is_held(&segment.key) {
-            return self.forget(&segment.key);
+            return self.cancel_held(&segment.key);
         }
-        let Some(target) = self.target(segment, out) else { return };
+        let Some(target) = self.resolve_target(segment, out) else { return };
         if segment.kind == Kind::Close {
-            self.follow(target, segment, now, out);
+            self.track(target, segment, now, out);
         }
         let flow = self.flows.get(&segment.key).filter(|flow| flow.opened_here);
         if let (Some(flow), Some(entry)) = (flow, self.catalog.entry(target)) {
@@ -283,7 +296,7 @@
             out.measure(&entry.target.service, flow.class, length);
         }
         if let Some(flow) = self.flows.get(&segment.key).filter(|flow| !flow.is_opening()) {
-            self.see_end(target, flow.class);
+            self.record_flow_end(target, flow.class);
         }
         self.drop_flow(&segment.key);
         self.counts.forwarded += 1;
@@ -324,23 +337,23 @@
 
     /// Does what is due by now.
     pub fn tick(&mut self, now: Millis, out: &mut impl Output) {
-        self.confirm(now, out);
-        self.judge_stranding(now, out);
+        self.confirm_restore(now, out);
+        self.update_stranded(now, out);
         while let Some((due, key)) = self.openings.pop_front_if(|(due, _)| *due <= now) {
-            if self.is_awaited(&key, due) {
-                self.remind(key, now, out);
+            if self.is_check_due(&key, due) {
+                self.check_opening(key, now, out);
             }
         }
-        self.release(now, out);
-        self.check_full(now, out);
-        self.ask_lost(now, out);
-        self.ask_full(now, out);
+        self.release_held(now, out);
+        self.check_silent_targets(now, out);
+        self.probe_lost(now, out);
+        self.probe_full(now, out);
     }
 
     /// When [`tick`](Self::tick) has something to do next.
     pub fn deadline(&mut self) -> Option<Millis> {
         while let Some(&(due, key)) = self.openings.front() {
-            if self.is_awaited(&key, due) {
+            if self.is_check_due(&key, due) {
                 break;
             }
             self.openings.pop_front();
@@ -349,8 +362,8 @@
         let states = &self.states;
         let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.retry());
         let full = self.full.iter().filter_map(|it| states.get(it));
-        let full = full.flat_map(|state| state.check.into_iter().chain(state.vacancy.retry()));
-        let others = retries.chain(full).chain(self.patience()).chain(self.catalog.deadline());
+        let full = full.flat_map(|state| state.check_at.into_iter().chain(state.vacancy.retry()));
+        let others = retries.chain(full).chain(self.held_deadline()).chain(self.catalog.deadline());
         opening.into_iter().chain(others).min()
     }
 
@@ -358,17 +371,17 @@
     /// moved to another target since, or its ports may belong to another flow; either has a
     /// moment of its own, and looked at early it would be sent twice and have a target doubted
     /// that had no time to answer.
-    fn is_awaited(&self, key: &FlowKey, due: Millis) -> bool {
+    fn is_check_due(&self, key: &FlowKey, due: Millis) -> bool {
         self.flows.get(key).is_some_and(|flow| flow.is_opening() && flow.next_check == due)
     }
 
     /// Drops records of flows that ended without a word.
     fn sweep(&mut self, now: Millis) {
-        self.swept = now;
+        self.last_sweep = now;
         let idle = self.catalog.config().map_or(Millis::secs(60), |config: &Config| config.idle);
         let is_over = |flow: &Flow| {
             let limit = if flow.is_opening() { OPENING_LIMIT } else { idle };
-            let waits = flow.pending_since.is_some_and(|since| now.since(since) > WORK_LIMIT);
+            let waits = flow.pending_since.is_some_and(|since| now.since(since) > MAX_REQUEST_AGE);
             now.since(flow.last_seen) > limit || waits
         };
         let over: Vec<FlowKey> =
@@ -378,7 +391,7 @@
         }
     }
 
-    pub(super) fn keep(&mut self, key: FlowKey, flow: Flow) {
+    pub(super) fn insert_flow(&mut self, key: FlowKey, flow: Flow) {
         self.account(&flow, 1);
         self.flows.insert(key, flow);
     }
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -2,9 +2,9 @@
 
 use super::{
     Forwarder, Output, Refusal,
-    exclusion::Closed,
-    subset::Dealt,
+    exclusion::Exclusion,
     probing::DOUBT_TIME,
+    subset::Subset,
     waiting::{self, NewFlow},
 };
 use crate::{Entry, Flow, FlowKey, Incarnation, Mark, Note, Phase, Presence, Segment};
@@ -22,21 +22,21 @@
 /// How long an opening packet may go without the end of the handshake, at least, before
 /// it is sent again and its target doubted. A round trip through caller and target
 /// takes up to 12 ms where failure domains are 1.4 ms apart and callers 3 ms away.
-const LEAST_PATIENCE: Millis = Millis(30);
+const MIN_OPENING_TIMEOUT: Millis = Millis(30);
 /// The same, at most: callers repeat an opening after 200 ms, when some answers are late
 /// already. Between the two it is the longest handshake that is usual here, so that openings
 /// of callers who are far aren't all sent twice.
-const MOST_PATIENCE: Millis = Millis(100);
+const MAX_OPENING_TIMEOUT: Millis = Millis(100);
 /// Until when an unanswered opening is looked at. After 200 ms its caller sends it again
 /// by itself, and each copy has the target asked if it is silent.
-const LAST_LOOK: Millis = Millis(200);
+const LAST_CHECK: Millis = Millis(200);
 /// How long a flow must have waited here for its caller to count as maybe gone. Callers
 /// with several flows go on with the one that becomes free first, and end no handshake of
 /// the others. Until 200 ms no caller has sent its opening again, so most are still there.
-pub(super) const OVERDUE: Millis = Millis(200);
+pub(super) const OVERDUE_WAIT: Millis = Millis(200);
 /// How much later than usual an end of the handshake may be looked at: a round of an
 /// instance with a twentieth of a core takes some milliseconds.
-const LATENESS: Millis = Millis(10);
+const TIMEOUT_MARGIN: Millis = Millis(10);
 /// How long a caller tries to open a flow, with some room.
 pub(super) const OPENING_LIMIT: Millis = Millis(1_600);
 /// How long a target that is not listed any more gets new flows if it answers:
@@ -55,14 +55,14 @@
 }
 
 impl Forwarder {
-    pub(super) fn open(
+    pub(super) fn handle_open(
         &mut self,
         segment: &Segment,
         bytes: &[u8],
         now: Millis,
         out: &mut impl Output,
     ) {
-        if let Some(target) = self.opened(&segment.key, now) {
+        if let Some(target) = self.copy_target(&segment.key, now) {
             self.counts.reopened += 1;
             if let Some(flow) = self.flows.get_mut(&segment.key) {
                 flow.resent = true;
@@ -76,7 +76,7 @@
         let Some(route) = self.catalog.route(segment.key.service) else {
             return self.refuse(&segment.key, Refusal::NoRoute, out);
         };
-        let goal = waiting::goal(route);
+        let objective = waiting::objective(route);
         let new = NewFlow {
             key: segment.key,
             seq: segment.seq,
@@ -85,7 +85,7 @@
             packet: bytes.into(),
             waited: Millis(0),
         };
-        if let Some(new) = self.hold(new, goal, now, out) {
+        if let Some(new) = self.hold_if_busy(new, objective, now, out) {
             self.place(new, now, out);
         }
     }
@@ -94,13 +94,13 @@
     /// answer. Later, the same ports are a new flow. An opening that nothing has answered
     /// leaves a failure domain that operators have emptied meanwhile, or where its route's
     /// requests must not go any more: its copy would open the flow there after all.
-    fn opened(&self, key: &FlowKey, now: Millis) -> Option<Incarnation> {
+    fn copy_target(&self, key: &FlowKey, now: Millis) -> Option<Incarnation> {
         let flow = self.flows.get(key)?;
         let is_copy = flow.opened_here && now.since(flow.first_seen) <= OPENING_LIMIT;
         let is_lost = self.states.get(&flow.target).is_some_and(|it| it.health.is_lost());
         let is_known = self.catalog.entry(flow.target).is_some();
-        let is_late = flow.is_opening() && self.is_barred(key, flow.target);
-        (is_copy && !is_lost && is_known && !is_late).then_some(flow.target)
+        let must_move = flow.is_opening() && self.is_evacuated_or_away(key, flow.target);
+        (is_copy && !is_lost && is_known && !must_move).then_some(flow.target)
     }
 
     /// Gives a new flow a target.
@@ -108,30 +108,33 @@
         let NewFlow { key, seq, class, service, packet, waited } = it;
         self.drop_flow(&key);
         let Some((target, note)) = self.choose(&service, class, &key, now) else {
-            return self.refuse(&key, self.excluded(&service, &key, now), out);
+            return self.refuse(&key, self.refusal_reason(&service, &key, now), out);
         };
         self.counts.opened += 1;
-        self.note_warmup(target, now);
+        self.record_warmup_opening(target, now);
         out.note(note);
         self.send(target, &key, &packet, out);
         let mut flow = Flow::open(target, class, packet, seq, now);
-        flow.overdue = waited >= OVERDUE;
-        self.keep(key, flow);
-        self.look_later(key, now);
+        flow.overdue = waited >= OVERDUE_WAIT;
+        self.insert_flow(key, flow);
+        self.schedule_opening_check(key, now);
     }
 
     /// Has an unanswered opening looked at when it is late.
-    fn look_later(&mut self, key: FlowKey, now: Millis) {
-        let due = now + self.opening_patience();
+    fn schedule_opening_check(&mut self, key: FlowKey, now: Millis) {
+        let due = now + self.opening_timeout();
         if let Some(flow) = self.flows.get_mut(&key) {
             flow.next_check = due;
             self.openings.push_back((due, key));
         }
     }
 
-    fn opening_patience(&self) -> Millis {
-        let usual = self.heard.longest_handshake().map_or(LEAST_PATIENCE, |usual| usual + LATENESS);
-        usual.clamp(LEAST_PATIENCE, MOST_PATIENCE)
+    fn opening_timeout(&self) -> Millis {
+        let usual = self
+            .estimates
+            .longest_handshake()
+            .map_or(MIN_OPENING_TIMEOUT, |usual| usual + TIMEOUT_MARGIN);
+        usual.clamp(MIN_OPENING_TIMEOUT, MAX_OPENING_TIMEOUT)
     }
 
     fn choose(
@@ -141,34 +144,36 @@
         key: &FlowKey,
         now: Millis,
     ) -> Option<(Incarnation, Note)> {
-        let dealt = self.dealt(service);
-        let first =
-            dealt.as_ref().and_then(|dealt| self.choose_own(service, dealt, class, key, now));
+        let subset = self.subset(service);
+        let first = subset
+            .as_ref()
+            .and_then(|subset| self.subset_options(service, subset, class, key, now));
         let options =
-            first.unwrap_or_else(|| self.options(service, dealt.as_ref(), class, key, now));
+            first.unwrap_or_else(|| self.all_options(service, subset.as_ref(), class, key, now));
         self.choose_among(options, class, key)
     }
 
     /// The targets of this instance's own part, if nothing closes any of the service's and one
     /// of them costs no more than any other could. Few flows go on to look at all targets, so
     /// that the work for one doesn't grow with their number.
-    fn choose_own(
+    fn subset_options(
         &self,
         service: &ServiceName,
-        dealt: &Dealt,
+        subset: &Subset,
         class: Class,
         key: &FlowKey,
         now: Millis,
     ) -> Option<Options> {
-        let bounds = self.bounds(service, key);
-        if !bounds.is_empty() || self.catalog.evacuated().next().is_some() {
+        let restrictions = self.restrictions(service, key);
+        if !restrictions.is_empty() || self.catalog.evacuated().next().is_some() {
             return None;
         }
-        let mix = self.heard.mix(service);
+        let mix = self.estimates.mix(service);
         let mut options = Options::default();
-        for entry in dealt.own.iter().filter_map(|it| self.catalog.entry(*it)) {
+        for entry in subset.own.iter().filter_map(|it| self.catalog.entry(*it)) {
             let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-            candidate.kept = class != Class::Upload && dealt.is_kept(entry.target.incarnation, mix);
+            candidate.kept =
+                class != Class::Upload && subset.is_reserved(entry.target.incarnation, mix);
             options.targets.push(entry.target.incarnation);
             options.candidates.push(candidate);
         }
@@ -176,33 +181,33 @@
     }
 
     /// All targets that could take a flow.
-    fn options(
+    fn all_options(
         &self,
         service: &ServiceName,
-        dealt: Option<&Dealt>,
+        subset: Option<&Subset>,
         class: Class,
         key: &FlowKey,
         now: Millis,
     ) -> Options {
-        let bounds = self.bounds(service, key);
+        let restrictions = self.restrictions(service, key);
         let (mut options, mut entries) = (Options::default(), Vec::new());
         for entry in self.catalog.targets(service) {
-            match self.closed(entry, bounds, now) {
-                Some(Closed::Evacuated) => options.evacuated = true,
-                Some(Closed::Warming) => options.warming = true,
-                Some(Closed::Away) => {}
+            match self.exclusion(entry, restrictions, now) {
+                Some(Exclusion::Evacuated) => options.evacuated = true,
+                Some(Exclusion::Warming) => options.warming = true,
+                Some(Exclusion::Away) => {}
                 None => {
                     let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-                    let is_own = |dealt: &Dealt| dealt.owns(entry.target.incarnation);
-                    candidate.shared = candidate.near && dealt.is_some_and(|it| !is_own(it));
+                    let is_own = |subset: &Subset| subset.contains(entry.target.incarnation);
+                    candidate.shared = candidate.near && subset.is_some_and(|it| !is_own(it));
                     entries.push(entry);
                     options.candidates.push(candidate);
                 }
             }
         }
         if class != Class::Upload {
-            let mix = self.heard.mix(service);
-            keep_for_requests(mix, &entries, &mut options.candidates);
+            let mix = self.estimates.mix(service);
+            reserve_for_requests(mix, &entries, &mut options.candidates);
         }
         options.targets = entries.iter().map(|entry| entry.target.incarnation).collect();
         options
@@ -240,23 +245,24 @@
     }
 
     /// Why no target of a service can take a flow.
-    fn excluded(&self, service: &ServiceName, key: &FlowKey, now: Millis) -> Refusal {
+    fn refusal_reason(&self, service: &ServiceName, key: &FlowKey, now: Millis) -> Refusal {
         let targets = self.catalog.targets(service).filter(|it| !it.target.leaving);
         let targets: Vec<&Entry> = targets.collect();
-        let bounds = self.bounds(service, key);
-        let closed = |it: &&Entry| it.is_listed().then(|| self.closed(it, bounds, now)).flatten();
-        if targets.iter().any(|entry| closed(entry).is_none() && self.is_full(entry)) {
+        let restrictions = self.restrictions(service, key);
+        let exclusion =
+            |it: &&Entry| it.is_listed().then(|| self.exclusion(it, restrictions, now)).flatten();
+        if targets.iter().any(|entry| exclusion(entry).is_none() && self.is_full(entry)) {
             return Refusal::Full;
         }
-        match targets.iter().find_map(closed) {
-            Some(Closed::Warming) => Refusal::Warming,
-            Some(Closed::Evacuated) => Refusal::Evacuated,
-            Some(Closed::Away) => Refusal::Away,
+        match targets.iter().find_map(exclusion) {
+            Some(Exclusion::Warming) => Refusal::Warming,
+            Some(Exclusion::Evacuated) => Refusal::Evacuated,
+            Some(Exclusion::Away) => Refusal::Away,
             None => Refusal::NoTarget,
         }
     }
 
-    /// A target as one that could take a flow, unless it is [closed](Closed); none if it
+    /// A target as one that could take a flow, unless it is [closed](Exclusion); none if it
     /// must not.
     pub(super) fn candidate(&self, entry: &Entry, class: Class, now: Millis) -> Option<Candidate> {
         let state = self.states.get(&entry.target.incarnation)?;
@@ -267,7 +273,7 @@
             return None;
         }
         let near = entry.target.domain == self.options.domain;
-        let is_doubted = state.doubted.is_some_and(|at| now.since(at) < DOUBT_TIME);
+        let is_doubted = state.doubted_at.is_some_and(|at| now.since(at) < DOUBT_TIME);
         let is_doubted = is_doubted || self.stranded && !near;
         let tier = match entry.presence {
             Presence::Removed(since)
@@ -297,7 +303,7 @@
     /// asked, and looks again after as long. What the target then still leaves unanswered
     /// it has no room for, also if it answers questions; without the second look the flow
     /// would wait there until its caller gives up.
-    pub(super) fn remind(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
+    pub(super) fn check_opening(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
         let Some(flow) = self.flows.get_mut(&key) else { return };
         let Phase::Opening { packet } = &flow.phase else { return };
         if flow.overdue {
@@ -306,10 +312,10 @@
         let (target, since, packet) = (flow.target, flow.first_seen, packet.clone());
         let is_first = flow.checks == 0;
         flow.checks += 1;
-        if self.is_barred(&key, target) {
+        if self.is_evacuated_or_away(&key, target) {
             return self.move_opening(key, target, now, out);
         }
-        if self.refuse_place(target, since, now, out) {
+        if self.mark_full_if_declining(target, since, now, out) {
             return;
         }
         if is_first {
@@ -319,8 +325,8 @@
             self.send(target, &key, &packet, out);
             self.doubt_opening(target, key, since, now, out);
         }
-        if now.since(since) < LAST_LOOK {
-            self.look_later(key, now);
+        if now.since(since) < LAST_CHECK {
+            self.schedule_opening_check(key, now);
         }
     }
 
@@ -350,7 +356,7 @@
 
 /// Marks the targets that feeds should leave to requests: in each failure domain the first ones
 /// by their numbers, which all instances rank alike.
-fn keep_for_requests(mix: Mix, entries: &[&Entry], candidates: &mut [Candidate]) {
+fn reserve_for_requests(mix: Mix, entries: &[&Entry], candidates: &mut [Candidate]) {
     let mut domains: Map<&DomainName, Vec<(Incarnation, usize)>> = Map::default();
     for (at, entry) in entries.iter().enumerate() {
         let domain = domains.entry(&entry.target.domain).or_default();
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -1,38 +1,38 @@
 //! Noticing targets that do not answer.
 
-use super::{Forwarder, Output, State};
+use super::{Forwarder, Output, TargetState};
 use crate::{Entry, EntryState, Finding, FlowKey, Health, Incarnation, Note, Presence, Target};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 
 /// How long targets may be silent while none at all shows life before that
 /// counts: three questions of 300 ms. Their number says nothing, since a link that
 /// is full makes all silent in the same moment.
-const ALONE_LIMIT: Millis = Millis(900);
+const ISOLATION_LIMIT: Millis = Millis(900);
 /// How long instances wait at most before they ask a target that is listed again. After a
 /// cut of a failure domain the news of its entry comes to hundreds of instances in the same
 /// moment, and a target resets most of as many connections.
-const RELISTED_PAUSE: Millis = Millis(500);
+const MAX_RELISTED_DELAY: Millis = Millis(500);
 /// How many targets whose entries went an instance without a seat asks in a second, beside
 /// those where it may have flows.
-const MAX_LAPSES: u32 = 16;
+const MAX_LAPSE_PROBES: u32 = 16;
 /// How long after a request to a target went unanswered others are preferred.
 pub(super) const DOUBT_TIME: Millis = Millis(300);
 
 /// Questions to targets whose entries went, in this second.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct Lapses {
+pub(super) struct LapseProbes {
     since: Millis,
     count: u32,
 }
 
-impl Lapses {
+impl LapseProbes {
     /// Whether one more may be asked.
     fn take(&mut self, now: Millis) -> bool {
         if now.since(self.since) >= Millis::secs(1) {
-            *self = Lapses { since: now, count: 0 };
+            *self = LapseProbes { since: now, count: 0 };
         }
         self.count += 1;
-        self.count <= MAX_LAPSES
+        self.count <= MAX_LAPSE_PROBES
     }
 }
 
@@ -43,7 +43,7 @@
         (listed.saturating_sub(self.lost.len()), self.lost.len())
     }
 
-    pub(super) fn learn_entry(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    pub(super) fn apply_entry(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let state = match entry.presence {
             Presence::Removed(_) => EntryState::Removed,
@@ -56,9 +56,9 @@
         let revision = entry.revision;
         out.note(Note::Entry { target, name: name.clone(), start, state, revision });
         match state {
-            EntryState::Listed => self.await_relisted(target, now),
-            EntryState::Removed if !leaving => self.learn_removed(target, now, out),
-            EntryState::Replaced => self.learn_replaced(target, &name, now, out),
+            EntryState::Listed => self.schedule_relisted_probe(target, now),
+            EntryState::Removed if !leaving => self.handle_removed(target, now, out),
+            EntryState::Replaced => self.handle_replaced(target, &name, now, out),
             _ => {}
         }
     }
@@ -68,33 +68,38 @@
     /// all lapse in one moment; if every instance asked all of its targets, they would get
     /// targets times instances questions. One instance of the domain asks each all the same,
     /// for new flows; without a seat each asks a few.
-    fn learn_removed(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
-        let is_asker = match self.seat {
+    fn handle_removed(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+        let is_prober = match self.seat {
             Some(_) => self.catalog.entry(target).is_some_and(|entry| self.owns(entry)),
-            None => self.lapses.take(now),
+            None => self.lapse_probes.take(now),
         };
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.unasked = state.flows == 0 && !is_asker;
-        if !state.unasked {
-            self.ask(target, now, out);
+        state.unprobed = state.flows == 0 && !is_prober;
+        if !state.unprobed {
+            self.probe(target, now, out);
         }
     }
 
     /// A flow that others opened goes to a target. Asks that if its entry went and nobody here
     /// has asked it since.
-    pub(super) fn ask_unasked(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
-        let state = self.states.get_mut(&target).filter(|state| state.unasked);
+    pub(super) fn probe_unprobed(
+        &mut self,
+        target: Incarnation,
+        now: Millis,
+        out: &mut impl Output,
+    ) {
+        let state = self.states.get_mut(&target).filter(|state| state.unprobed);
         if let Some(state) = state {
-            state.unasked = false;
-            self.ask(target, now, out);
+            state.unprobed = false;
+            self.probe(target, now, out);
         }
     }
 
     /// A target that was lost is listed again: its entry had lapsed, and nothing asks it any
     /// more. Without a question it would stay out of use until it starts again. Each instance
     /// asks at a moment of its own, since all hear the news in the same one.
-    fn await_relisted(&mut self, target: Incarnation, now: Millis) {
-        let pause = Millis(self.random.draw() % RELISTED_PAUSE.0);
+    fn schedule_relisted_probe(&mut self, target: Incarnation, now: Millis) {
+        let pause = Millis(self.random.draw() % MAX_RELISTED_DELAY.0);
         let Some(state) = self.states.get_mut(&target) else { return };
         if state.health.is_lost() && !self.lost.contains(&target) {
             state.health.defer(now + pause);
@@ -107,7 +112,7 @@
     /// later one. To reset them as flows of a dead process would break them; the process
     /// itself resets what it doesn't hold. Where the address is another one, the earlier
     /// process is asked, and its flows are reset once it is found gone.
-    fn learn_replaced(
+    fn handle_replaced(
         &mut self,
         target: Incarnation,
         name: &TargetName,
@@ -116,18 +121,18 @@
     ) {
         let address = |entry: Option<&Entry>| entry.map(|it| it.target.address);
         if address(self.catalog.entry(target)) != address(self.catalog.latest(name)) {
-            return self.ask(target, now, out);
+            return self.probe(target, now, out);
         }
         if let Some(state) = self.states.get_mut(&target) {
             state.health = Health::new(now);
         }
     }
 
-    pub(super) fn see_life(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    pub(super) fn record_life(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        self.life = now;
-        self.alone = None;
-        state.doubted = None;
+        self.last_life = now;
+        self.isolated_since = None;
+        state.doubted_at = None;
         state.silent = false;
         if state.health.see_life(now) {
             self.lost.retain(|it| *it != target);
@@ -146,7 +151,7 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         if state.health.doubt(sent, now) {
-            self.ask_doubted(target, flow, sent, now, out);
+            self.probe_doubted(target, flow, sent, now, out);
         }
     }
 
@@ -160,9 +165,9 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.refuse(sent, now);
+        state.count_unanswered(sent, now);
         if state.health.doubt_opening(sent, now) {
-            self.ask_doubted(target, flow, sent, now, out);
+            self.probe_doubted(target, flow, sent, now, out);
         }
     }
 
@@ -177,14 +182,14 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.unsure = true;
+        state.late_unanswered = true;
         if state.health.doubt_opening(sent, now) {
             out.note(Note::Doubted { target, flow, silent: now.since(sent) });
-            self.ask(target, now, out);
+            self.probe(target, now, out);
         }
     }
 
-    fn ask_doubted(
+    fn probe_doubted(
         &mut self,
         target: Incarnation,
         flow: FlowKey,
@@ -193,18 +198,18 @@
         out: &mut impl Output,
     ) {
         if let Some(state) = self.states.get_mut(&target) {
-            state.doubted = Some(now);
+            state.doubted_at = Some(now);
         }
         out.note(Note::Doubted { target, flow, silent: now.since(sent) });
-        self.ask(target, now, out);
+        self.probe(target, now, out);
     }
 
-    pub(super) fn ask(&mut self, incarnation: Incarnation, now: Millis, out: &mut impl Output) {
+    pub(super) fn probe(&mut self, incarnation: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(incarnation) else { return };
         let Some(service) = self.catalog.service(&entry.target.service) else { return };
         out.probe(&entry.target, &service.health);
         self.counts.probes += 1;
-        let instances = self.instances();
+        let instances = self.instance_count();
         if let Some(state) = self.states.get_mut(&incarnation) {
             state.health.ask_again(now);
             state.vacancy.ask(now, instances);
@@ -221,13 +226,15 @@
     ) {
         self.counts.probe_results[finding as usize] += 1;
         match finding {
-            Finding::Answers => self.find_room(target, now, out),
-            Finding::Declines => self.find_declined(target, now, out),
-            Finding::Silent if self.is_alone(target, now) => self.ask_beside(target, now, out),
-            Finding::Silent => self.find_silent(target, now, out),
+            Finding::Answers => self.handle_answered_probe(target, now, out),
+            Finding::Declines => self.handle_declined_probe(target, now, out),
+            Finding::Silent if self.is_isolated(target, now) => {
+                self.probe_with_another(target, now, out)
+            }
+            Finding::Silent => self.handle_silent_probe(target, now, out),
             // A target that leaves stops listening before it ends its last flows.
-            Finding::Gone if self.is_leaving(target) => self.find_silent(target, now, out),
-            Finding::Gone => self.find_lost(target, finding, now, out),
+            Finding::Gone if self.is_leaving(target) => self.handle_silent_probe(target, now, out),
+            Finding::Gone => self.mark_lost(target, finding, now, out),
         }
     }
 
@@ -239,34 +246,35 @@
     /// may be this machine that hears nobody: its link is full or cut, and to reset
     /// the flows of targets that are well would break them. Not for long: a link
     /// that stays full for a second is no longer one that flows pass.
-    fn is_alone(&mut self, target: Incarnation, now: Millis) -> bool {
+    fn is_isolated(&mut self, target: Incarnation, now: Millis) -> bool {
         let state = self.states.get(&target);
         let asked = state.filter(|it| !it.health.is_lost()).and_then(|it| it.health.asked());
-        let hears_nobody = asked.is_some_and(|asked| self.life <= asked);
-        hears_nobody && now.since(*self.alone.get_or_insert(now)) < ALONE_LIMIT
+        let is_silent_everywhere = asked.is_some_and(|asked| self.last_life <= asked);
+        is_silent_everywhere && now.since(*self.isolated_since.get_or_insert(now)) < ISOLATION_LIMIT
     }
 
     /// Asks a silent target again, and beside it one that should answer: a near
     /// one, which no cut between domains takes away.
-    fn ask_beside(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    fn probe_with_another(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let domain = &self.options.domain;
         let is_near = |entry: &&Entry| {
             let it = &entry.target;
             let state = self.states.get(&it.incarnation);
-            let is_asked =
-                |state: &State| state.health.asked().is_some_and(|at| now.since(at) < DOUBT_TIME);
-            let is_out = state.is_none_or(|state| state.health.is_lost() || is_asked(state));
+            let is_probed = |state: &TargetState| {
+                state.health.asked().is_some_and(|at| now.since(at) < DOUBT_TIME)
+            };
+            let is_out = state.is_none_or(|state| state.health.is_lost() || is_probed(state));
             it.incarnation != target && entry.is_listed() && !is_out
         };
         let others = self.catalog.entries().filter(is_near);
         let beside = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold));
         let beside = beside.map(|entry| entry.target.incarnation);
         for asked in beside.into_iter().chain([target]) {
-            self.ask(asked, now, out);
+            self.probe(asked, now, out);
         }
     }
 
-    pub(super) fn ask_lost(&mut self, now: Millis, out: &mut impl Output) {
+    pub(super) fn probe_lost(&mut self, now: Millis, out: &mut impl Output) {
         let states = &self.states;
         let catalog = &self.catalog;
         let is_listed =
@@ -276,7 +284,7 @@
             |it: &&Incarnation| self.states[*it].health.retry().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.lost.iter().filter(is_due).copied().collect();
         for target in due {
-            self.ask(target, now, out);
+            self.probe(target, now, out);
         }
     }
 }
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -8,29 +8,29 @@
 /// instances come and go, the ends of some handshakes go by others; at a large site, where
 /// an instance opens a flow at a target every few seconds, such openings would add up, and
 /// targets look full that are not.
-const TOGETHER: Millis = Millis::secs(2);
+const UNANSWERED_WINDOW: Millis = Millis::secs(2);
 
 /// What is known of a target besides its entry.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct State {
+pub(super) struct TargetState {
     pub(super) health: Health,
-    pub(super) doubted: Option<Millis>,
+    pub(super) doubted_at: Option<Millis>,
     /// Whether it has room for new flows.
     pub(super) vacancy: Vacancy,
     /// How many openings there are unanswered since the last one that was taken, and when
     /// the latest of them was found to be.
-    pub(super) refused: u32,
-    pub(super) refused_at: Millis,
+    pub(super) unanswered: u32,
+    pub(super) unanswered_at: Millis,
     /// Whether an opening there is unanswered whose caller may have gone.
-    pub(super) unsure: bool,
+    pub(super) late_unanswered: bool,
     /// Whether it has declined openings, and not only been silent, since it was found full.
     pub(super) declined: bool,
     /// Whether the last question there stayed without an answer.
     pub(super) silent: bool,
     /// When to look whether its open flows are still unanswered.
-    pub(super) check: Option<Millis>,
+    pub(super) check_at: Option<Millis>,
     /// When this instance opened a flow there last while it was slow.
-    pub(super) warmed: Option<Millis>,
+    pub(super) warmed_at: Option<Millis>,
     pub(super) working: u32,
     pub(super) opening: u32,
     pub(super) feeds: u32,
@@ -39,28 +39,28 @@
     /// All flows there.
     pub(super) flows: u32,
     /// Whether its entry went and it was not asked since.
-    pub(super) unasked: bool,
+    pub(super) unprobed: bool,
 }
 
-impl State {
-    pub(super) fn new(now: Millis) -> State {
-        State {
+impl TargetState {
+    pub(super) fn new(now: Millis) -> TargetState {
+        TargetState {
             health: Health::new(now),
-            doubted: None,
+            doubted_at: None,
             vacancy: Vacancy::default(),
-            refused: 0,
-            refused_at: now,
-            unsure: false,
+            unanswered: 0,
+            unanswered_at: now,
+            late_unanswered: false,
             declined: false,
             silent: false,
-            check: None,
-            warmed: None,
+            check_at: None,
+            warmed_at: None,
             working: 0,
             opening: 0,
             feeds: 0,
             requests: 0,
             flows: 0,
-            unasked: false,
+            unprobed: false,
         }
     }
 
@@ -68,18 +68,18 @@
     /// speaks against a target only together with what asking it brings: where everybody
     /// waits here, there are no other openings, and a full target that is silent would
     /// swallow all that is opened late.
-    pub(super) fn is_declining(&self) -> bool {
-        self.refused > 0 || self.unsure
+    pub(super) fn has_unanswered(&self) -> bool {
+        self.unanswered > 0 || self.late_unanswered
     }
 
     /// Notes that an opening which came at `sent` is unanswered.
-    pub(super) fn refuse(&mut self, sent: Millis, now: Millis) {
+    pub(super) fn count_unanswered(&mut self, sent: Millis, now: Millis) {
         if self.health.taken() > sent {
             return;
         }
-        let is_together = now.since(self.refused_at) < TOGETHER;
-        self.refused = if is_together { self.refused + 1 } else { 1 };
-        self.refused_at = now;
+        let is_recent = now.since(self.unanswered_at) < UNANSWERED_WINDOW;
+        self.unanswered = if is_recent { self.unanswered + 1 } else { 1 };
+        self.unanswered_at = now;
     }
 
     /// Adds or takes away what a flow means for its target.
--- a/marked/src/forwarder/stranded.rs
+++ b/marked/src/forwarder/stranded.rs
@@ -13,7 +13,7 @@
 
 /// How long no target elsewhere must have shown life. With the own domain evacuated all
 /// new flows go elsewhere, so that signs of life come many times a second.
-const SILENCE: Millis = Millis::secs(1);
+const MIN_SILENCE: Millis = Millis::secs(1);
 
 impl Forwarder {
     /// Tells whether nobody of this instance's failure domain hears from the store.
@@ -22,15 +22,15 @@
     }
 
     /// Whether a domain's targets get no new flows because operators have emptied it.
-    pub(super) fn is_emptied(&self, domain: &DomainName) -> bool {
+    pub(super) fn is_evacuation_active(&self, domain: &DomainName) -> bool {
         let is_own = || *domain == self.options.domain;
         self.catalog.is_evacuated(domain) && !(self.stranded && is_own())
     }
 
     /// Decides whether this domain is evacuated and cut off.
-    pub(super) fn judge_stranding(&mut self, now: Millis, out: &mut impl Output) {
+    pub(super) fn update_stranded(&mut self, now: Millis, out: &mut impl Output) {
         let silent = self.silence_elsewhere(now);
-        let is_stranded = silent.is_some_and(|silent| silent >= SILENCE);
+        let is_stranded = silent.is_some_and(|silent| silent >= MIN_SILENCE);
         if is_stranded == self.stranded {
             return;
         }
@@ -38,7 +38,7 @@
         match silent {
             Some(silent) if is_stranded => {
                 out.note(Note::Stranded { silent });
-                self.bring_openings_home(now, out);
+                self.move_openings_home(now, out);
             }
             _ => out.note(Note::Rejoined),
         }
@@ -58,7 +58,7 @@
 
     /// Moves openings that nobody has answered. Their callers still wait, and would give up
     /// before the targets elsewhere are found silent one by one.
-    fn bring_openings_home(&mut self, now: Millis, out: &mut impl Output) {
+    fn move_openings_home(&mut self, now: Millis, out: &mut impl Output) {
         let domain = &self.options.domain;
         let is_elsewhere =
             |target| self.catalog.entry(target).is_some_and(|entry| entry.target.domain != *domain);
--- a/marked/src/forwarder/subset.rs
+++ b/marked/src/forwarder/subset.rs
@@ -8,20 +8,20 @@
 
 /// The targets of a service in this failure domain, as they were dealt last.
 #[derive(Debug, Clone, Default)]
-pub(super) struct Dealt {
+pub(super) struct Subset {
     /// Those that this instance takes first, in the order of their numbers.
     pub(super) own: Arc<[Incarnation]>,
     /// All of the domain, in the order of their numbers.
     all: Arc<[Incarnation]>,
 }
 
-impl Dealt {
-    pub(super) fn owns(&self, target: Incarnation) -> bool {
+impl Subset {
+    pub(super) fn contains(&self, target: Incarnation) -> bool {
         self.own.binary_search(&target).is_ok()
     }
 
     /// Whether feeds leave one of them to requests, which are the first by their numbers.
-    pub(super) fn is_kept(&self, target: Incarnation, mix: Mix) -> bool {
+    pub(super) fn is_reserved(&self, target: Incarnation, mix: Mix) -> bool {
         let kept = mix.kept(self.all.len());
         self.all[..kept].last().is_some_and(|last| target <= *last)
     }
@@ -30,29 +30,29 @@
 impl Forwarder {
     /// This instance's part of a service's targets in its failure domain; none while its seat
     /// is not known.
-    pub(super) fn dealt(&mut self, service: &ServiceName) -> Option<Dealt> {
+    pub(super) fn subset(&mut self, service: &ServiceName) -> Option<Subset> {
         let seat = self.seat?;
-        if let Some(dealt) = self.dealt.get(service) {
-            return Some(dealt.clone());
+        if let Some(subset) = self.subsets.get(service) {
+            return Some(subset.clone());
         }
-        let dealt = self.deal(service, seat);
-        self.dealt.insert(service.clone(), dealt.clone());
-        Some(dealt)
+        let subset = self.build_subset(service, seat);
+        self.subsets.insert(service.clone(), subset.clone());
+        Some(subset)
     }
 
-    fn deal(&self, service: &ServiceName, seat: Seat) -> Dealt {
-        let is_dealt = |it: &&Entry| {
+    fn build_subset(&self, service: &ServiceName, seat: Seat) -> Subset {
+        let is_eligible = |it: &&Entry| {
             it.is_listed() && !it.target.leaving && it.target.domain == self.options.domain
         };
-        let targets = self.catalog.targets(service).filter(is_dealt);
+        let targets = self.catalog.targets(service).filter(is_eligible);
         let mut all: Vec<u64> = targets.map(|it| it.target.incarnation.0).collect();
         all.sort_unstable();
         let own = dealing::deal(seat, &all).into_iter().map(Incarnation).collect();
-        Dealt { own, all: all.into_iter().map(Incarnation).collect() }
+        Subset { own, all: all.into_iter().map(Incarnation).collect() }
     }
 
     /// Deals anew, with the next flow, as targets or seats are others now.
-    pub(super) fn forget_dealt(&mut self) {
-        self.dealt.clear();
+    pub(super) fn clear_subsets(&mut self) {
+        self.subsets.clear();
     }
 }
--- a/marked/src/forwarder/update.rs
+++ b/marked/src/forwarder/update.rs
@@ -1,6 +1,6 @@
 //! Taking in news of targets and routes.
 
-use super::{Forwarder, Output, State};
+use super::{Forwarder, Output, TargetState};
 use crate::{Changed, Health, News, Note};
 use medlarspur_lib::{ids::Version, time::Millis};
 
@@ -9,7 +9,7 @@
     pub fn apply_update(&mut self, news: News, now: Millis, out: &mut impl Output) {
         let version = self.version();
         let changed = self.catalog.merge(news, now);
-        self.follow_changes(changed, version, now, out);
+        self.apply_changes(changed, version, now, out);
     }
 
     fn version(&self) -> Option<Version> {
@@ -17,7 +17,7 @@
     }
 
     /// Acts on what news has changed; `version` was that of the config before.
-    fn follow_changes(
+    fn apply_changes(
         &mut self,
         changed: Changed,
         version: Option<Version>,
@@ -29,21 +29,21 @@
             out.note(Note::StoreRestored(restored));
         }
         for domain in changed.domains {
-            let note = self.domain_note(domain);
+            let note = self.evacuation_note(domain);
             out.note(note);
         }
         if !changed.targets.is_empty() {
-            self.forget_dealt();
+            self.clear_subsets();
         }
         for incarnation in changed.formers {
             // Nothing was heard of it here, so it gets new flows only once it has answered.
             let health = Health::new(Millis(0));
-            let state = State { unasked: true, health, ..State::new(now) };
+            let state = TargetState { unprobed: true, health, ..TargetState::new(now) };
             self.states.entry(incarnation).or_insert(state);
         }
         for incarnation in changed.targets {
-            self.states.entry(incarnation).or_insert_with(|| State::new(now));
-            self.learn_entry(incarnation, now, out);
+            self.states.entry(incarnation).or_insert_with(|| TargetState::new(now));
+            self.apply_entry(incarnation, now, out);
         }
         if let Some((revision, config)) = self.catalog.config_at()
             && Some(config.version) != version
@@ -52,7 +52,7 @@
             out.note(Note::Config { version: config.version, revision, routes });
         }
         self.count_domains();
-        self.forget_rooms();
+        self.drop_unused_admissions();
         let catalog = &self.catalog;
         self.states.retain(|incarnation, _| catalog.entry(*incarnation).is_some());
     }
@@ -63,10 +63,10 @@
     }
 
     /// Takes in what the source said after it came back from a copy, once that is due.
-    pub(super) fn confirm(&mut self, now: Millis, out: &mut impl Output) {
+    pub(super) fn confirm_restore(&mut self, now: Millis, out: &mut impl Output) {
         if self.catalog.deadline().is_some_and(|due| due <= now) {
             let changed = self.catalog.confirm(now);
-            self.follow_changes(changed, self.version(), now, out);
+            self.apply_changes(changed, self.version(), now, out);
         }
     }
 }
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -18,7 +18,7 @@
 
 /// What is under way at a service, and what waits for it.
 #[derive(Debug, Default)]
-pub(super) struct Room {
+pub(super) struct Admission {
     limit: Limit,
     backlog: Backlog<FlowKey>,
 }
@@ -49,28 +49,28 @@
 impl Forwarder {
     /// Tells how many instances of this failure domain there are, this one included.
     pub fn set_domain_size(&mut self, count: usize) {
-        self.near = count.max(1);
+        self.domain_size = count.max(1);
     }
 
     /// Counts the failure domains that have targets. Instances of the others are not
     /// known here; there are taken to be as many in each.
     pub(super) fn count_domains(&mut self) {
         let domains: Set<_> = self.catalog.entries().map(|it| &it.target.domain).collect();
-        self.domains = domains.len().max(1);
+        self.domain_count = domains.len().max(1);
     }
 
     /// About how many instances there are.
-    pub(super) fn instances(&self) -> usize {
-        self.near * self.domains
+    pub(super) fn instance_count(&self) -> usize {
+        self.domain_size * self.domain_count
     }
 
     /// Drops what is known of services that have no targets any more.
-    pub(super) fn forget_rooms(&mut self) {
+    pub(super) fn drop_unused_admissions(&mut self) {
         let catalog = &self.catalog;
-        self.rooms.retain(|service, room| {
-            !room.backlog.is_empty() || catalog.targets(service).next().is_some()
+        self.admissions.retain(|service, admission| {
+            !admission.backlog.is_empty() || catalog.targets(service).next().is_some()
         });
-        self.heard.retain(|service| catalog.targets(service).next().is_some());
+        self.estimates.retain(|service| catalog.targets(service).next().is_some());
     }
 
     /// Whether a flow waits to be opened.
@@ -79,35 +79,35 @@
     }
 
     /// Has the flow wait if its service has no room; gives it back if it has.
-    pub(super) fn hold(
+    pub(super) fn hold_if_busy(
         &mut self,
         it: NewFlow,
-        goal: Option<Millis>,
+        objective: Option<Millis>,
         now: Millis,
         out: &mut impl Output,
     ) -> Option<NewFlow> {
-        let Some(goal) = goal else { return Some(it) };
+        let Some(objective) = objective else { return Some(it) };
         let is_open = self
-            .rooms
+            .admissions
             .get(&it.service)
-            .is_none_or(|room| room.backlog.is_empty() && room.limit.is_open(now));
+            .is_none_or(|admission| admission.backlog.is_empty() && admission.limit.is_open(now));
         if is_open {
             return Some(it);
         }
         let Load { work, .. } = self.load(&it.service);
-        let room = self.rooms.entry(it.service.clone()).or_default();
-        if room.backlog.admits(it.class) && room.limit.admits(it.class, work, now) {
+        let admission = self.admissions.entry(it.service.clone()).or_default();
+        if admission.backlog.admits(it.class) && admission.limit.admits(it.class, work, now) {
             return Some(it);
         }
-        let until = now + patience(goal);
+        let until = now + patience(objective);
         let waiting = Waiting { key: it.key, class: it.class, asked: now, until };
-        let count = room.backlog.len();
-        if room.backlog.push(waiting).is_some() {
+        let count = admission.backlog.len();
+        if admission.backlog.push(waiting).is_some() {
             self.refuse(&it.key, Refusal::Busy, out);
             return None;
         }
         self.counts.held += 1;
-        let pressure = room.limit.pressure();
+        let pressure = admission.limit.pressure();
         out.note(Note::Held {
             flow: it.key,
             class: it.class,
@@ -120,64 +120,64 @@
     }
 
     /// Forgets a flow that waits and that its caller has given up.
-    pub(super) fn forget(&mut self, key: &FlowKey) {
+    pub(super) fn cancel_held(&mut self, key: &FlowKey) {
         let Some(it) = self.held.remove(key) else { return };
-        if let Some(room) = self.rooms.get_mut(&it.service) {
-            room.backlog.remove(*key);
+        if let Some(admission) = self.admissions.get_mut(&it.service) {
+            admission.backlog.remove(*key);
         }
     }
 
     /// Takes in how long a request to a target took.
-    pub(super) fn hear_answer(
+    pub(super) fn record_answer(
         &mut self,
         target: Incarnation,
-        goal: Millis,
+        objective: Millis,
         span: Millis,
         now: Millis,
     ) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let service = entry.target.service.clone();
-        if !self.rooms.entry(service.clone()).or_default().limit.hear(span, goal, now) {
+        if !self.admissions.entry(service.clone()).or_default().limit.hear(span, objective, now) {
             return;
         }
         let Load { work, part } = self.load(&service);
-        if let Some(room) = self.rooms.get_mut(&service) {
-            room.limit.adjust(work.all, part, now);
+        if let Some(admission) = self.admissions.get_mut(&service) {
+            admission.limit.adjust(work.all, part, now);
         }
     }
 
     /// Opens what has waited and finds room now, and turns away what has waited too
     /// long.
-    pub(super) fn release(&mut self, now: Millis, out: &mut impl Output) {
+    pub(super) fn release_held(&mut self, now: Millis, out: &mut impl Output) {
         if self.held.is_empty() {
             return;
         }
-        let services: Vec<ServiceName> = self.rooms.keys().cloned().collect();
+        let services: Vec<ServiceName> = self.admissions.keys().cloned().collect();
         for service in services {
             self.open_held(&service, now, out);
-            self.expire(&service, now, out);
+            self.refuse_expired(&service, now, out);
         }
     }
 
     fn open_held(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
         loop {
             let Load { work, .. } = self.load(service);
-            let Some(room) = self.rooms.get_mut(service) else { return };
-            let Some(next) = room.backlog.next() else { return };
-            if !room.limit.admits(next.class, work, now) {
+            let Some(admission) = self.admissions.get_mut(service) else { return };
+            let Some(next) = admission.backlog.next() else { return };
+            if !admission.limit.admits(next.class, work, now) {
                 return;
             }
-            room.backlog.remove(next.key);
+            admission.backlog.remove(next.key);
             if let Some(it) = self.held.remove(&next.key) {
-                self.place_late(it, next.asked, now, out);
+                self.place_held(it, next.asked, now, out);
             }
         }
     }
 
-    fn expire(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
+    fn refuse_expired(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
         loop {
-            let Some(room) = self.rooms.get_mut(service) else { return };
-            let Some(late) = room.backlog.expire(now) else { return };
+            let Some(admission) = self.admissions.get_mut(service) else { return };
+            let Some(late) = admission.backlog.expire(now) else { return };
             if self.held.remove(&late.key).is_some() {
                 self.refuse(&late.key, Refusal::Busy, out);
             }
@@ -185,7 +185,7 @@
     }
 
     /// Opens a flow that has waited since `asked`, by the config that is in force now.
-    fn place_late(&mut self, mut it: NewFlow, asked: Millis, now: Millis, out: &mut impl Output) {
+    fn place_held(&mut self, mut it: NewFlow, asked: Millis, now: Millis, out: &mut impl Output) {
         it.waited = now.since(asked);
         let Some(route) = self.catalog.route(it.key.service) else {
             return self.refuse(&it.key, Refusal::NoRoute, out);
@@ -198,14 +198,16 @@
 
     /// How long answers of a service take, in hundredths of their goals, and how many
     /// flows wait for it.
-    pub(super) fn room(&self, service: &ServiceName) -> (u32, u64) {
-        let room = self.rooms.get(service);
-        room.map_or((0, 0), |room| (room.limit.pressure(), room.backlog.len() as u64))
+    pub(super) fn pressure_and_backlog(&self, service: &ServiceName) -> (u32, u64) {
+        let admission = self.admissions.get(service);
+        admission.map_or((0, 0), |admission| {
+            (admission.limit.pressure(), admission.backlog.len() as u64)
+        })
     }
 
     /// When the first flow has waited too long.
-    pub(super) fn patience(&self) -> Option<Millis> {
-        self.rooms.values().filter_map(|room| room.backlog.deadline()).min()
+    pub(super) fn held_deadline(&self) -> Option<Millis> {
+        self.admissions.values().filter_map(|admission| admission.backlog.deadline()).min()
     }
 
     fn load(&self, service: &ServiceName) -> Load {
@@ -213,7 +215,7 @@
         for entry in self.catalog.targets(service) {
             let Some(state) = self.states.get(&entry.target.incarnation) else { continue };
             // What goes on in an evacuated domain takes no room from those that are used.
-            if self.is_emptied(&entry.target.domain) {
+            if self.is_evacuation_active(&entry.target.domain) {
                 continue;
             }
             work.all += state.working + state.opening;
@@ -222,7 +224,7 @@
                 slots += entry.target.slots;
             }
         }
-        Load { work, part: slots as f32 / self.instances() as f32 }
+        Load { work, part: slots as f32 / self.instance_count() as f32 }
     }
 }
 
@@ -230,9 +232,9 @@
 ///
 /// Uploads don't wait: most of their time is that of their bytes on the way, which says
 /// nothing about the targets.
-pub(super) fn goal(route: &Route) -> Option<Millis> {
+pub(super) fn objective(route: &Route) -> Option<Millis> {
     route.goal.filter(|_| route.class != Class::Upload)
 }
 
 /// The rooms of all services.
-pub(super) type Rooms = Map<ServiceName, Room>;
+pub(super) type Admissions = Map<ServiceName, Admission>;
