--- a/marked/src/evacuation.rs
+++ b/marked/src/evacuation.rs
@@ -1,54 +1,54 @@
-//! Which failure domains operators have emptied.
+//! Failure domains that operators have evacuated.
 //!
-//! Operators empty a failure domain before its power or its network is worked on. Its
-//! targets then get no new flows, those that they have go on, and all of it is taken back
-//! by a later word. The domain is kept apart from the entries of its targets: an entry
-//! that a target writes meanwhile says nothing of what operators want, and a target that
-//! starts meanwhile must not get flows either.
+//! Operators evacuate a failure domain before maintenance of its power or network. Its targets
+//! then get no new flows and keep those that they have, until operators end the evacuation.
+//! Evacuations are stored apart from the entries of targets: an entry written in the meantime
+//! says nothing about what operators want, and a target that starts in the meantime must not
+//! get flows either.
 //!
-//! The options that were weighed are in `docs/design/evacuation.md`.
+//! The design alternatives are in `docs/design/evacuation.md`.
 
 use crate::{Change, Content, Revision};
 use medlarspur_lib::{collections::Map, ids::DomainName, time::Millis};
 
-/// Whether operators want a failure domain to be empty, and since which revision.
+/// The last known evacuation of a failure domain, or its end.
 #[derive(Debug, Clone, Copy)]
 struct Evacuation {
     revision: Revision,
-    /// When this instance heard that it is taken back; none while it holds.
+    /// Time at which this instance learned of the end; none while the evacuation is in force.
     ended: Option<Millis>,
 }
 
-/// What operators have said of failure domains.
+/// Evacuations by failure domain.
 #[derive(Debug, Default)]
 pub(crate) struct Evacuations {
     domains: Map<DomainName, Evacuation>,
 }
 
 impl Evacuations {
-    /// Whether a domain's targets are to get no new flows.
+    /// Whether an evacuation of the domain is in force.
     pub(crate) fn is_evacuated(&self, domain: &DomainName) -> bool {
         self.domains.get(domain).is_some_and(|it| it.ended.is_none())
     }
 
-    /// The domains whose targets are to get no new flows.
+    /// Domains with an evacuation in force.
     pub(crate) fn evacuated(&self) -> impl Iterator<Item = &DomainName> {
         self.domains.iter().filter(|(_, it)| it.ended.is_none()).map(|(name, _)| name)
     }
 
-    /// Since which revision a domain is evacuated, or is not any more.
+    /// Revision at which the domain was last evacuated, or its evacuation ended.
     pub(crate) fn revision(&self, domain: &DomainName) -> Option<Revision> {
         self.domains.get(domain).map(|it| it.revision)
     }
 
-    /// When this instance heard that an evacuation of a domain is taken back.
+    /// Time at which this instance learned that an evacuation of the domain ended.
     pub(crate) fn ended(&self, domain: &DomainName) -> Option<Millis> {
         self.domains.get(domain)?.ended
     }
 
-    /// A domain is to be empty, or is not any more since `ended`. Answers whether that
-    /// changes anything. What an older revision says is no news: told after the later
-    /// word, it would send flows to a domain that operators have just emptied.
+    /// Records that an evacuation began, or that it ended at `ended`. Returns whether that
+    /// changes the state. Changes of older revisions are ignored: delivered after a newer one,
+    /// they would send flows to a domain that operators have just evacuated.
     pub(crate) fn set(
         &mut self,
         domain: &DomainName,
@@ -64,12 +64,12 @@
         was_evacuated != ended.is_none()
     }
 
-    /// Whatever the source says next wins over what is known.
+    /// Accepts whatever the store says next in place of the known state.
     pub(crate) fn reset_revisions(&mut self) {
         self.domains.values_mut().for_each(|it| it.revision = Revision::default());
     }
 
-    /// What is known, as news.
+    /// The known state as changes of an update.
     pub(crate) fn changes(&self) -> impl Iterator<Item = Change> {
         self.domains.iter().map(|(domain, it)| {
             let content = match it.ended {
@@ -80,9 +80,9 @@
         })
     }
 
-    /// Forgets ends that are longer ago than `span`; answers the latest revision among
-    /// them. Without that anybody who may write to the store could fill the memory of all
-    /// instances with names of domains.
+    /// Removes evacuations that ended at least `span` ago and returns the latest revision among
+    /// them. Otherwise anyone with write access to the store could fill the memory of all
+    /// instances with domain names.
     pub(crate) fn forget_ended(&mut self, span: Millis, now: Millis) -> Option<Revision> {
         let is_over = |it: &Evacuation| it.ended.is_some_and(|at| now.since(at) >= span);
         let latest = self.domains.values().filter(|it| is_over(it)).map(|it| it.revision).max();
--- a/marked/src/flow.rs
+++ b/marked/src/flow.rs
@@ -1,92 +1,92 @@
-//! One flow as an instance sees it: the caller's half only.
+//! State of one flow, derived from the caller's packets alone.
 //!
-//! Answers go from the target straight to the caller, so the target's part is
-//! worked out from what the caller acknowledges. The record is a help, not a
-//! need: without it a packet finds its target by its mark.
+//! Targets answer callers directly, so a target's progress is inferred from what the caller
+//! acknowledges. The record is an aid and not a requirement: without it a packet still finds
+//! its target by its mark.
 
 use crate::{Incarnation, Segment, segment::is_after};
 use medlarspur_lib::{bundle::Class, time::Millis};
 
-/// How many bytes a caller may have sent that the target did not acknowledge:
-/// sixteen packets of 1,200 bytes. More new data shows that it did.
+/// Maximum number of bytes that a caller sends without an acknowledgement from the target:
+/// sixteen packets of 1,200 bytes. More new data shows that the target has acknowledged some.
 const MAX_UNACKED: u32 = 16 * 1200;
 
-/// How far the numbers of a packet may be from those that were seen last, in bytes, for it to
-/// belong to the same flow. Either end has [`MAX_UNACKED`] bytes under way at most.
+/// Maximum distance in bytes between the numbers of a packet and those seen last for the packet
+/// to belong to the same flow. Either end has at most [`MAX_UNACKED`] bytes in flight.
 const MAX_SEQ_DISTANCE: u32 = 2 * MAX_UNACKED;
 
-/// How long after new data a packet with older data counts as repeated. Callers
-/// repeat after 200 ms at the earliest; packets of one burst may overtake each
-/// other by a few milliseconds.
+/// Minimum time after new data for a packet with older data to count as a retransmission.
+/// Callers retransmit after 200 ms at the earliest; packets of one burst are reordered by a few
+/// milliseconds.
 const MIN_RETRANSMIT_AGE: Millis = Millis(150);
 
-/// How far a flow has come.
+/// Progress of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// Its opening packet was sent on; nothing shows that the target took it.
+    /// The opening packet was forwarded; nothing shows yet that the target accepted it.
     Opening {
-        /// The packet, to be sent again or to another target.
+        /// The packet, kept for sending it again or to another target.
         packet: Box<[u8]>,
     },
-    /// The caller has the target's answer to the opening packet.
+    /// The caller has received the target's answer to the opening packet.
     Open,
 }
 
-/// What an instance remembers of a flow.
+/// The record that an instance keeps of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Flow {
-    /// Where it goes.
+    /// The target that receives the flow's packets.
     pub target: Incarnation,
-    /// The class of the requests inside.
+    /// Class of the requests in the flow.
     pub class: Class,
-    /// How far it has come.
+    /// Progress of the flow.
     pub phase: Phase,
-    /// Whether its opening packet came here.
+    /// Whether this instance received the opening packet.
     pub opened_here: bool,
-    /// Whether its opening packet was sent on more than once.
+    /// Whether the opening packet was forwarded more than once.
     pub resent: bool,
-    /// How often it was looked at while its opening was unanswered.
+    /// Number of checks while the opening was unanswered.
     pub checks: u8,
-    /// When it is looked at next, while its opening is unanswered.
+    /// Time of the next check while the opening is unanswered.
     pub next_check: Millis,
-    /// Whether it waited here for so long that its caller may have gone.
+    /// Whether the flow was held here for so long that its caller may have gone.
     pub overdue: bool,
-    /// Whether it is overdue and was not opened within the usual time. Then it counts as
-    /// work of its target only once it is opened after all.
+    /// Whether the flow is overdue and its handshake did not end within the usual time. Such a
+    /// flow counts as work of its target only if the handshake ends after all.
     pub abandoned: bool,
-    /// When its opening packet came, or the first packet that was seen here.
+    /// Arrival of the opening packet, or of the first packet seen here.
     pub first_seen: Millis,
-    /// When its last packet came.
+    /// Arrival of the last packet.
     pub last_seen: Millis,
-    /// Since when a request waits for the first byte of its answer.
+    /// Start of the request whose first answer byte is pending.
     pub pending_since: Option<Millis>,
-    /// What the caller acknowledged last.
+    /// Last acknowledgement number of the caller.
     pub acked: u32,
-    /// Behind the last byte that the caller sent.
+    /// Number after the last byte that the caller sent.
     sent_end: u32,
-    /// When that byte was seen first.
+    /// Time at which that byte was first seen.
     sent_at: Millis,
-    /// What `sent_end` was at the last sign of life of the target.
+    /// Value of `sent_end` when the target last showed that it is alive.
     answered_end: u32,
-    /// Whether the caller has sent something again since that.
+    /// Whether the caller has retransmitted since then.
     retransmitted: bool,
 }
 
-/// What a packet shows of its flow's target.
+/// What a packet shows about its flow's target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
-    /// It ends the handshake.
+    /// Whether the packet ends the handshake.
     pub opened: bool,
-    /// The target has answered something.
+    /// Whether the packet shows that the target has answered.
     pub alive: bool,
-    /// The caller repeats data, first sent at this time, that nothing answers.
+    /// Time at which unanswered data was first sent, if the packet retransmits it.
     pub unanswered_since: Option<Millis>,
-    /// The first answer to the request that has waited since then.
+    /// Start of the pending request whose first answer the packet acknowledges.
     pub request_since: Option<Millis>,
 }
 
 impl Flow {
-    /// A flow whose opening packet goes to `target`.
+    /// Creates the record of a flow whose opening packet is forwarded to `target`.
     pub fn open(
         target: Incarnation,
         class: Class,
@@ -98,7 +98,8 @@
         Flow { phase, opened_here: true, ..Flow::new(target, class, 0, seq, now) }
     }
 
-    /// A flow that another instance opened, from the first packet seen here.
+    /// Creates the record of a flow that another instance opened, from the first packet seen
+    /// here.
     pub fn resume(target: Incarnation, class: Class, segment: &Segment, now: Millis) -> Flow {
         Flow::new(target, class, segment.ack, segment.seq, now)
     }
@@ -125,25 +126,25 @@
         }
     }
 
-    /// Whether its opening packet is unanswered.
+    /// Whether the opening packet is unanswered.
     pub fn is_opening(&self) -> bool {
         matches!(self.phase, Phase::Opening { .. })
     }
 
-    /// Whether a request waits for its answer.
+    /// Whether a request is waiting for its answer.
     pub fn has_pending_request(&self) -> bool {
         self.pending_since.is_some()
     }
 
-    /// Since when data that the caller has sent more than once is unanswered. Data that
-    /// was sent once says nothing: its answer may go by another instance, while what is
-    /// repeated here is still waited for.
+    /// Time at which retransmitted data that is still unanswered was first sent. Data that was
+    /// sent only once is not reported: its answer may pass through another instance, whereas
+    /// the caller still waits for what it retransmits here.
     pub fn unanswered_since(&self) -> Option<Millis> {
         self.retransmitted.then_some(self.sent_at)
     }
 
-    /// Whether a packet goes on with the flow that was opened here, and not with another one of
-    /// the same ports, whose numbers are others.
+    /// Whether a packet continues the flow that was opened here. Another flow of the same ports
+    /// has other sequence numbers.
     pub fn matches(&self, segment: &Segment) -> bool {
         let is_near =
             |a: u32, b: u32| a.wrapping_sub(b).cast_signed().unsigned_abs() <= MAX_SEQ_DISTANCE;
@@ -153,7 +154,7 @@
             && is_near(segment.seq, self.sent_end)
     }
 
-    /// Takes in a packet that is no opening one.
+    /// Updates the record with a packet other than the opening one.
     pub fn observe(&mut self, segment: &Segment, now: Millis) -> Observation {
         self.last_seen = now;
         let opened = self.observe_handshake(segment, now);
@@ -172,7 +173,7 @@
         }
     }
 
-    /// The caller can only go on once it has the target's answer.
+    /// Ends the handshake: the caller sends other packets only once it has the target's answer.
     fn observe_handshake(&mut self, segment: &Segment, now: Millis) -> bool {
         if !self.is_opening() {
             return false;
--- a/marked/src/forwarder/contested.rs
+++ b/marked/src/forwarder/contested.rs
@@ -1,11 +1,11 @@
-//! Flows whose opening more than one target has answered.
+//! Flows whose opening was answered by more than one target.
 //!
-//! An opening moves to another target when the first one leaves it unanswered, and a copy of
-//! it may reach another instance, which chooses for itself. Either way two targets may answer.
-//! The caller goes on with the numbers of the answer that came first, but puts the mark that
-//! came last into its packets. Sent by that mark, its data would reach a target that doesn't
-//! have the flow, and the caller would wait until it gives up. So where this instance has seen
-//! which answer the caller acknowledged, that decides, and not the mark.
+//! An opening moves to another target when the first one leaves it unanswered, and a copy of it
+//! may reach another instance, which makes its own choice. In both cases two targets may
+//! answer. The caller continues with the sequence numbers of the first answer but puts the mark
+//! that it received last into its packets. Forwarded by that mark, its data would reach a
+//! target without the flow, and the caller would wait until it gives up. Therefore, if this
+//! instance has seen which answer the caller acknowledged, that takes precedence over the mark.
 
 use super::Forwarder;
 use crate::{Flow, FlowKey, Incarnation, Segment};
@@ -19,8 +19,8 @@
         (flow.matches(segment) && is_known()).then_some(flow.target)
     }
 
-    /// Takes the record of a flow that has a packet for a target. None if it is that of
-    /// another flow, which had the same ports before.
+    /// Removes and returns the record of a flow that has a packet for `target`. Returns none if
+    /// the record belongs to an earlier flow of the same ports.
     pub(super) fn take_record(&mut self, target: Incarnation, key: &FlowKey) -> Option<Flow> {
         let mut flow = self.flows.remove(key)?;
         self.account(&flow, -1);
@@ -29,13 +29,14 @@
                 return None;
             }
             flow.target = target;
-            // The answer may be to either opening, so the time that it took says nothing.
+            // The answer may be to either opening, so the handshake's duration is ambiguous.
             flow.resent = true;
         }
         Some(flow)
     }
 
-    /// Whether an opening of this flow may have gone to a target. A mark may lead elsewhere.
+    /// Whether an opening of this flow may have been sent to the target. A mark alone may name
+    /// a target of another service.
     fn is_possible_target(&self, key: &FlowKey, target: Incarnation) -> bool {
         let (route, entry) = (self.catalog.route(key.service), self.catalog.entry(target));
         route.zip(entry).is_some_and(|(route, entry)| {
--- a/marked/src/forwarder/counts.rs
+++ b/marked/src/forwarder/counts.rs
@@ -1,23 +1,23 @@
-//! What a forwarder counts.
+//! Counters of the forwarder.
 
 use crate::{Finding, Refusal};
 
-/// Counts since the start.
+/// Counters since the start of the process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Flows that were given a target.
+    /// Flows for which a target was chosen.
     pub opened: u64,
-    /// Opening packets that were sent on again.
+    /// Opening packets that were forwarded again.
     pub reopened: u64,
-    /// Packets that callers sent again, since nothing had answered them.
+    /// Packets that callers retransmitted because nothing had answered them.
     pub repeated: u64,
-    /// Packets in mid-flow that were sent on.
+    /// Packets in mid-flow that were forwarded.
     pub forwarded: u64,
-    /// Packets that went nowhere because they carry no mark.
+    /// Packets dropped because they carry no mark.
     pub unmarked: u64,
-    /// Packets that went nowhere because their mark is unknown.
+    /// Packets dropped because their mark is unknown.
     pub unknown_mark: u64,
-    /// Flows that were moved while they were being opened.
+    /// Flows moved to another target before their handshake ended.
     pub moved: u64,
     /// Flows reset because they have no route.
     pub no_route: u64,
@@ -25,30 +25,29 @@
     pub no_target: u64,
     /// Flows reset because all targets that could take them are full.
     pub full: u64,
-    /// Flows reset because operators have emptied the domains of all targets that could
-    /// take them.
+    /// Flows reset because all targets that could take them are in evacuated domains.
     pub evacuated: u64,
-    /// Flows reset because all targets that could take them are slow after their start.
+    /// Flows reset because all targets that could take them are in slow start.
     pub warming: u64,
     /// Flows reset because no target is in the regions of their route.
     pub away: u64,
-    /// Flows that went elsewhere while targets of their service were in an evacuated domain.
+    /// Flows opened while targets of their service were left out because of an evacuation.
     pub evacuated_avoided: u64,
-    /// Flows that went elsewhere while targets of their service were slow after their start.
+    /// Flows opened while targets of their service were left out because of slow start.
     pub warming_spared: u64,
-    /// How often a target was found full.
+    /// Number of times that a target was found full.
     pub filled: u64,
-    /// Openings that had to wait for room at their service.
+    /// Openings held until their service had capacity.
     pub held: u64,
-    /// Flows reset because their service had no room within their goal.
+    /// Flows reset because their service had no capacity in time.
     pub busy: u64,
     /// Flows reset because their target is lost.
     pub lost: u64,
-    /// How often the source came back from a copy.
+    /// Number of times that the store came back from a copy.
     pub restores: u64,
-    /// Targets that were asked whether they answer.
+    /// Probes sent to targets.
     pub probes: u64,
-    /// Targets that did, or did not.
+    /// Probe results, by kind.
     pub probe_results: [u64; Finding::ALL.len()],
 }
 
--- a/marked/src/forwarder/estimates.rs
+++ b/marked/src/forwarder/estimates.rs
@@ -1,19 +1,20 @@
-//! What an instance learns from the answers that it hears.
+//! Estimates derived from the answers that pass through this instance.
 
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
 use medlarspur_load::{estimate::Estimate, reserve::Mix};
 
-/// How many handshakes in a row whose opening was sent again say nothing of how long
-/// handshakes take. A few targets that are full at once make fewer.
+/// Number of ambiguous handshakes in a row that are left out of the estimate. A few targets
+/// that are full at the same time cause fewer. A handshake is ambiguous if its opening was sent
+/// more than once.
 const MAX_AMBIGUOUS: u32 = 8;
 
-/// How long things take, and which part of the work is that of requests.
+/// Usual handshake and answer times, and the share of requests in the work.
 #[derive(Debug, Default)]
 pub(super) struct Estimates {
     handshakes: Estimate,
-    /// How many handshakes in a row may have been answers to either of two openings.
+    /// Number of handshakes in a row whose answer may be to either of two openings.
     ambiguous: u32,
-    /// When the latest opening came that a target has answered.
+    /// Arrival of the latest opening that a target has answered.
     last_answered: Millis,
     services: Map<ServiceName, ServiceEstimates>,
 }
@@ -25,10 +26,10 @@
 }
 
 impl Estimates {
-    /// Takes in the end of a handshake whose opening came at `since`. Where that was sent
-    /// more than once, the answer may be to either, and a target that leaves the first
-    /// unanswered would make all openings wait longer. Callers who are far make all of
-    /// them so; then they count.
+    /// Adds the handshake of an opening that arrived at `since`. If the opening was sent more
+    /// than once, the answer may be to either copy, and one target that leaves the first copy
+    /// unanswered would lengthen the timeout of all openings. Distant callers make all
+    /// handshakes ambiguous; those count.
     pub(super) fn add_handshake(&mut self, since: Millis, is_resent: bool, now: Millis) {
         self.last_answered = self.last_answered.max(since);
         self.ambiguous = if is_resent { self.ambiguous + 1 } else { 0 };
@@ -37,35 +38,35 @@
         }
     }
 
-    /// Takes in that a service's answer to a class took that long.
+    /// Adds the answer time of a request of a class.
     pub(super) fn add_answer(&mut self, service: &ServiceName, class: Class, span: Millis) {
         let service = self.services.entry(service.clone()).or_default();
         service.answers.hear(span);
         service.mix.hear(class, span);
     }
 
-    /// Whether an opening was answered that came after that.
+    /// Whether an opening that arrived later than `since` was answered.
     pub(super) fn has_answered_since(&self, since: Millis) -> bool {
         self.last_answered > since
     }
 
-    /// The longest handshake that is usual, once it is known.
+    /// Upper bound of the usual handshake time, once known.
     pub(super) fn longest_handshake(&self) -> Option<Millis> {
         self.handshakes.bound()
     }
 
-    /// The longest time that answers of a service usually take, once it is known.
+    /// Upper bound of a service's usual answer time, once known.
     pub(super) fn longest_answer(&self, service: &ServiceName) -> Option<Millis> {
         self.services.get(service)?.answers.bound()
     }
 
-    /// Which part of the work of a service is that of requests.
+    /// Share of requests in the work of a service.
     pub(super) fn mix(&self, service: &ServiceName) -> Mix {
         self.services.get(service).map(|service| service.mix).unwrap_or_default()
     }
 
-    /// Forgets services that are gone.
-    pub(super) fn retain(&mut self, is_there: impl Fn(&ServiceName) -> bool) {
-        self.services.retain(|service, _| is_there(service));
+    /// Removes services that no longer exist.
+    pub(super) fn retain(&mut self, has_targets: impl Fn(&ServiceName) -> bool) {
+        self.services.retain(|service, _| has_targets(service));
     }
 }
--- a/marked/src/forwarder/exclusion.rs
+++ b/marked/src/forwarder/exclusion.rs
@@ -1,10 +1,10 @@
-//! Targets that live, have room and are to get no new flows all the same.
+//! Targets that are alive and have capacity but must not get new flows.
 //!
-//! Operators have emptied their failure domain; or the route's requests must stay in other
-//! regions; or they are slow after their start and bear only so many requests a second from
-//! all instances together. No instance sees what the others open there, so each such target
-//! has one owner until it is warm, by [`warmup`], and gets nothing from others. The options
-//! that were weighed are in `docs/design/evacuation.md`.
+//! Their failure domain is evacuated, or the route's requests must stay in other regions, or
+//! they are in slow start and can take only a limited number of requests per second from all
+//! instances together. No instance sees what others open, so each target in slow start has one
+//! owner, chosen by [`warmup`], and gets nothing from other instances until it is warm. The
+//! design alternatives are in `docs/design/evacuation.md`.
 
 use super::Forwarder;
 use crate::{Entry, FlowKey, Incarnation, Note, Warmup};
@@ -14,46 +14,46 @@
 };
 use medlarspur_load::warmup::{self, Seat};
 
-/// Why a target that is listed and answers gets no new flows.
+/// Reason why a listed target that answers gets no new flows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Exclusion {
-    /// Operators have emptied its failure domain.
+    /// Its failure domain is evacuated.
     Evacuated,
-    /// It is outside of the regions in which the route's requests must stay.
+    /// It is outside the regions in which the route's requests must stay.
     Away,
-    /// It is slow after its start, and its service bounds what it gets meanwhile.
+    /// It is in slow start, and its service limits the rate of new flows.
     Warming,
 }
 
-/// What closes targets to new flows of a route, beside evacuations.
+/// Restrictions of a route on its targets, apart from evacuations.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Restrictions<'a> {
     warmup: Option<Warmup>,
-    /// Where its requests must stay; anywhere if it is empty.
+    /// Regions in which the requests must stay; any region if empty.
     regions: &'a [RegionName],
 }
 
 impl Restrictions<'_> {
-    /// Whether they close no target.
+    /// Whether there are no restrictions.
     pub(super) fn is_empty(&self) -> bool {
         self.warmup.is_none() && self.regions.is_empty()
     }
 }
 
 impl Forwarder {
-    /// What closes targets of a service whatever the route is.
+    /// Restrictions of a service that apply to all routes.
     pub(super) fn service_restrictions(&self, service: &ServiceName) -> Restrictions<'_> {
         let warmup = self.catalog.service(service).and_then(|it| it.warmup);
         Restrictions { warmup, regions: &[] }
     }
 
-    /// What closes targets of a service to new flows to an address and port.
+    /// Restrictions of a service for flows to an address and port.
     pub(super) fn restrictions(&self, service: &ServiceName, flow: &FlowKey) -> Restrictions<'_> {
         let regions = self.catalog.route(flow.service).map(|route| route.regions.as_slice());
         Restrictions { regions: regions.unwrap_or_default(), ..self.service_restrictions(service) }
     }
 
-    /// Why a target is to get no new flows with these bounds, if anything says so.
+    /// Returns the reason why a target must not get new flows, if there is one.
     pub(super) fn exclusion(
         &self,
         entry: &Entry,
@@ -71,35 +71,35 @@
         (!self.may_open_at_warming(entry, warmup, now)).then_some(Exclusion::Warming)
     }
 
-    /// Whether a failure domain is in one of these regions, or they are none. One whose region
-    /// is not known may be anywhere, so it is in none of them.
+    /// Whether a failure domain is in one of the regions, or no regions are given. A domain of
+    /// unknown region is in none of them.
     fn is_in_regions(&self, domain: &DomainName, regions: &[RegionName]) -> bool {
         let region = || self.options.regions.get(domain);
         regions.is_empty() || region().is_some_and(|region| regions.contains(region))
     }
 
-    /// Whether a target is slow after its start, as far as this instance knows.
+    /// Whether a target is in slow start, as far as this instance knows.
     fn is_warming(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
-        // Targets that got nothing while their domain was evacuated may have become slow.
-        // They say so some time after the evacuation has ended; until then they would get
-        // all that is opened, being idle.
+        // Targets that got no flows while their domain was evacuated may have become cold. They
+        // announce that only some time after the evacuation has ended; until then they would
+        // get all new flows, since they are idle.
         let restored = self.catalog.restored(&entry.target.domain);
         now < entry.cold || restored.is_some_and(|at| now < at + warmup.span)
     }
 
-    /// Whether this instance owns a slow target and may open a flow there now.
+    /// Whether this instance owns a target in slow start and may open a flow there now.
     fn may_open_at_warming(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
         let last = self.states.get(&entry.target.incarnation).and_then(|state| state.warmed_at);
         self.owns(entry) && last.is_none_or(|at| now.since(at) >= warmup::pause(warmup.rate))
     }
 
-    /// Whether this instance's seat owns a target of its failure domain.
+    /// Whether this instance owns a target of its failure domain in slow start.
     pub(super) fn owns(&self, entry: &Entry) -> bool {
         let is_near = entry.target.domain == self.options.domain;
         is_near && self.seat.is_some_and(|seat| seat.owns(entry.target.incarnation.0))
     }
 
-    /// Notes that a flow is opened at a target, which counts if that is slow.
+    /// Records that a flow was opened at a target, if the target is in slow start.
     pub(super) fn record_warmup_opening(&mut self, target: Incarnation, now: Millis) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let warmup = self.service_restrictions(&entry.target.service).warmup;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Tells this instance's seat in its failure domain.
+    /// Sets the seat of this instance in its failure domain.
     pub fn set_seat(&mut self, seat: Option<Seat>) {
         if self.seat != seat {
             self.seat = seat;
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Whether operators have emptied the failure domain of a flow's target, or have said that
-    /// requests of its route must stay in other regions.
+    /// Whether the target of a flow is in an evacuated domain or outside the regions of the
+    /// flow's route.
     pub(super) fn is_evacuated_or_away(&self, flow: &FlowKey, target: Incarnation) -> bool {
         let Some(entry) = self.catalog.entry(target) else { return false };
         let domain = &entry.target.domain;
@@ -126,7 +126,7 @@
         self.is_evacuation_active(domain) || !self.is_in_regions(domain, regions)
     }
 
-    /// What is written down of a failure domain that was emptied or is in use again.
+    /// Creates the note of a domain that was evacuated or whose evacuation ended.
     pub(super) fn evacuation_note(&self, domain: DomainName) -> Note {
         let revision = self.catalog.evacuation(&domain).unwrap_or_default();
         let targets = self.catalog.entries();
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -1,4 +1,4 @@
-//! What the forwarder knows and why flows go where they go, for operators.
+//! Status and explanations of routing decisions for operators.
 
 use super::{
     Forwarder,
@@ -19,7 +19,7 @@
 use medlarspur_load::choice::Tier;
 
 impl Forwarder {
-    /// Where a flow goes and why. `age` is that of the picture.
+    /// Explains where a flow goes and why. `age` is the age of the catalog.
     pub fn explain(&self, key: &FlowKey, age: Option<Millis>, now: Millis) -> MarkedExplanation {
         let route = self.catalog.route(key.service);
         let services = route.iter().flat_map(|route| &route.shares);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Up to where the config and the targets are known.
+    /// The state up to which the config and the targets are known.
     pub fn picture(&self, age: Option<Millis>) -> Picture {
         let version = self.catalog.config().map(|config| config.version);
         let mut evacuated: Vec<_> =
@@ -73,7 +73,7 @@
         EvacuatedDomain { domain: domain.clone(), revision: revision.count }
     }
 
-    /// All services that have targets.
+    /// Status of all services that have targets.
     pub fn services(&self, now: Millis) -> Vec<MarkedService> {
         let names: Set<&ServiceName> =
             self.catalog.entries().map(|it| &it.target.service).collect();
--- a/marked/src/forwarder/failover.rs
+++ b/marked/src/forwarder/failover.rs
@@ -1,4 +1,4 @@
-//! Taking flows away from targets that don't answer.
+//! Failover of flows whose target does not answer.
 
 use super::{Forwarder, Output, Refusal, placing::OVERDUE_WAIT, waiting::NewFlow};
 use crate::{Finding, Flow, FlowKey, Incarnation, Note, Phase};
@@ -27,8 +27,8 @@
         self.remove_flows(target, now, out);
     }
 
-    /// Has what is being opened at a target go elsewhere. Nothing runs before a flow is
-    /// open, so at worst the caller opens it anew.
+    /// Moves all flows whose handshake has not ended from a target to others. No request runs
+    /// before the handshake ends, so at worst the caller opens the flow again.
     pub(super) fn move_all_openings(
         &mut self,
         target: Incarnation,
@@ -66,7 +66,7 @@
         self.place(NewFlow { key, seq: 0, class: route.class, service, packet, waited }, now, out);
     }
 
-    /// Takes all flows away from a target that was found lost.
+    /// Removes all flows from a target that was found lost.
     fn remove_flows(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let flows = self.flows.iter().filter(|(_, flow)| flow.target == target);
         let keys: Vec<FlowKey> = flows.map(|(key, _)| *key).collect();
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -1,51 +1,49 @@
-//! Targets that take no openings.
+//! Targets that accept no openings.
 //!
-//! A target that is out of connections answers neither openings nor questions, like a
-//! dead one, and serves the flows that it has. What opens badly therefore says nothing
-//! about what is open. A target that leaves openings and questions unanswered is full:
-//! new flows leave it at once, and [`Vacancy`](medlarspur_load::vacancy::Vacancy) says
-//! when they try it again. It is lost only if its open flows are unanswered too: a caller
-//! has repeated what it sent, and nothing of any flow there was answered for longer than
-//! answers usually take. To reset the flows of a target that serves them would break
-//! them, and bring their callers back as new flows that fill the next target. The ways that
-//! were weighed are in `docs/design/full.md`.
+//! A target that has run out of connections answers neither openings nor probes, like a dead
+//! one, but still serves its open flows. Unanswered openings therefore say nothing about open
+//! flows. A target that leaves openings and probes unanswered is full: new flows avoid it at
+//! once, and [`Vacancy`](medlarspur_load::vacancy::Vacancy) decides when to try it again. It is
+//! lost only if its open flows are unanswered too: a caller has retransmitted, and nothing on
+//! any flow there was answered for longer than answers usually take. Resetting the flows of a
+//! target that serves them would break them and bring their callers back as new flows that fill
+//! the next target. The design alternatives are in `docs/design/full.md`.
 
 use super::{Forwarder, Output, TargetState};
 use crate::{Entry, Finding, Incarnation, Note};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
-/// How long open flows must be unanswered at least before a silent target is lost: what
-/// a caller repeats after 200 ms, and the time in which that is answered.
+/// Minimum time for which open flows must be unanswered before a silent target is lost: callers
+/// retransmit after 200 ms, and the answer takes some time.
 const MIN_SILENCE: Millis = Millis(250);
-/// The most that is waited for, whatever was usual: callers give up after 1.5 s.
+/// Maximum of the same time, whatever the usual answer time: callers give up after 1.5 s.
 const MAX_SILENCE: Millis = Millis(1_200);
-/// How long they must be unanswered while it isn't known how long answers take: an
-/// instance that starts into a crowd finds queues that are full, and hears from a target
-/// a few times a second.
+/// The same time while the usual answer time is unknown: an instance that starts during
+/// overload finds full queues and sees a target's answers only a few times per second.
 const DEFAULT_SILENCE: Millis = Millis(1_000);
 
-/// How many openings a target that lives must leave unanswered to count as full. One may
-/// be lost on the way, or its handshake may end by another instance.
+/// Minimum number of openings that a live target must leave unanswered to count as full. One
+/// opening may be lost, or its handshake may end at another instance.
 const MIN_UNANSWERED: u32 = 2;
-/// How long an opening waits at a target that was full, at most, where nothing else shows
-/// that this instance hears answers in time.
+/// Maximum time that an opening waits at a target that was full, if nothing else shows that
+/// this instance receives answers in time.
 const MAX_FULL_WAIT: Millis = Millis(90);
 
 impl Forwarder {
-    /// How many targets take no openings.
+    /// Number of targets that accept no openings.
     pub fn count_full(&self) -> usize {
         self.full.len()
     }
 
-    /// Whether new flows leave a target out because it takes no openings.
+    /// Whether new flows avoid a target because it accepts no openings.
     pub(super) fn is_full(&self, entry: &Entry) -> bool {
         let state = self.states.get(&entry.target.incarnation);
         state.is_some_and(|state| state.vacancy.is_full())
     }
 
-    /// It took an opening.
-    pub(super) fn record_opening_taken(
+    /// Records that a target accepted an opening.
+    pub(super) fn record_accepted(
         &mut self,
         target: Incarnation,
         class: Class,
@@ -61,26 +59,27 @@
         }
     }
 
-    /// A flow has ended there.
+    /// Records that a flow at a target ended.
     pub(super) fn record_flow_end(&mut self, target: Incarnation, class: Class) {
         if let Some(state) = self.states.get_mut(&target) {
             state.vacancy.leave(class);
         }
     }
 
-    /// It answers questions.
+    /// Handles a probe that the target answered.
     pub(super) fn handle_answered_probe(
         &mut self,
         target: Incarnation,
         now: Millis,
         out: &mut impl Output,
     ) {
-        self.record_life(target, now, out);
+        self.record_alive(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
         state.check_at = None;
         state.vacancy.answer();
         if state.vacancy.is_full() && !state.declined {
-            // Nothing but silence spoke of it: it was cut off or late, and is there again.
+            // The target was only silent and declined nothing: it was partitioned or late, and
+            // is back.
             state.vacancy = Vacancy::default();
             self.mark_vacant(target, out);
         }
@@ -95,11 +94,12 @@
         out.note(Note::Vacant { target });
     }
 
-    /// An opening that came at `since` is unanswered at a target. That is full if it was,
-    /// and only seemed to have a place, or if it lives and leaves several unanswered. An
-    /// opening that came later must have been answered elsewhere: this instance may be
-    /// late itself, or be leaving, and the ends of handshakes go by others then. Answers
-    /// whether the target is full.
+    /// Decides whether a target is full after an opening that arrived at `since` was left
+    /// unanswered, and returns the decision. A target that was full, and only seemed to have a
+    /// free slot, is full again. A target that is alive is full if it leaves several openings
+    /// unanswered. In both cases a later opening must have been answered elsewhere: otherwise
+    /// this instance may be late itself, or be leaving, so that handshakes end at other
+    /// instances.
     pub(super) fn mark_full_if_declining(
         &mut self,
         target: Incarnation,
@@ -123,15 +123,16 @@
         is_full
     }
 
-    /// It ended the connection by which it was asked: it lives, and has no room if an
-    /// opening there is unanswered as well. A connection may also be reset on the way.
+    /// Handles a probe whose connection the target closed: the target is alive, and has no
+    /// capacity if an opening there is unanswered as well. A network device may also have reset
+    /// the connection.
     pub(super) fn handle_declined_probe(
         &mut self,
         target: Incarnation,
         now: Millis,
         out: &mut impl Output,
     ) {
-        self.record_life(target, now, out);
+        self.record_alive(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
         if state.has_unanswered() || state.vacancy.is_full() {
             state.declined = true;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// A question stayed without an answer.
+    /// Handles a probe that was left unanswered.
     pub(super) fn handle_silent_probe(
         &mut self,
         target: Incarnation,
@@ -152,7 +153,7 @@
         let has_shown_life = health.asked().is_some_and(|asked| health.life() > asked);
         let has_taken_opening = health.asked().is_some_and(|asked| health.taken() > asked);
         if health.is_lost() || !has_shown_life && !entry.is_listed() {
-            // Its entry went too, which no full target's does.
+            // The entry is gone as well, which does not happen to full targets.
             return self.mark_lost(target, Finding::Silent, now, out);
         }
         if has_taken_opening || has_shown_life && !state.has_unanswered() {
@@ -165,7 +166,7 @@
         self.check_silent(target, now, out);
     }
 
-    /// Has new flows leave a target.
+    /// Excludes a target from new flows.
     fn mark_full(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
         let is_new = state.vacancy.refuse(now);
@@ -180,8 +181,8 @@
         self.move_all_openings(target, now, out);
     }
 
-    /// A caller has repeated what it first sent at `sent` to a target. If that is silent,
-    /// what is open there must be looked at.
+    /// Schedules a check of a silent target after a caller retransmitted what it first sent at
+    /// `sent`.
     pub(super) fn schedule_silence_check(
         &mut self,
         target: Incarnation,
@@ -194,7 +195,7 @@
         state.check_at = Some(state.check_at.map_or(due, |check| check.min(due)));
     }
 
-    /// Looks at silent targets whose flows may be unanswered for too long.
+    /// Checks silent targets whose flows may have been unanswered for too long.
     pub(super) fn check_silent_targets(&mut self, now: Millis, out: &mut impl Output) {
         let is_due = |state: &TargetState| state.check_at.is_some_and(|at| at <= now);
         let due = self.full.iter().filter(|it| self.states.get(*it).is_some_and(is_due));
@@ -203,8 +204,8 @@
         }
     }
 
-    /// Whether the open flows of a silent target are unanswered for longer than answers
-    /// usually take: then it is lost.
+    /// Marks a silent target as lost if its open flows have been unanswered for longer than
+    /// answers usually take.
     fn check_silent(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(limit) = self.silence_limit(target) else { return };
         let Some(state) = self.states.get_mut(&target) else { return };
@@ -224,7 +225,8 @@
         state.check_at = Some(since + limit);
     }
 
-    /// How long the open flows of a target may be unanswered. None if it isn't known.
+    /// Maximum time for which open flows of a target may be unanswered; none if the target is
+    /// unknown.
     fn silence_limit(&self, target: Incarnation) -> Option<Millis> {
         let entry = self.catalog.entry(target)?;
         let service = &entry.target.service;
@@ -232,9 +234,9 @@
         Some(usual.clamp(MIN_SILENCE, MAX_SILENCE))
     }
 
-    /// Asks full targets whose pause is over whether they have room. One that leaves or whose
-    /// domain is evacuated takes none, and one that is not listed may be again, and is only
-    /// asked then.
+    /// Probes full targets whose backoff is over. A target that leaves or whose domain is
+    /// evacuated takes no flows and is not probed; one that is not listed is probed only once
+    /// it is listed again.
     pub(super) fn probe_full(&mut self, now: Millis, out: &mut impl Output) {
         let instances = self.instance_count();
         let states = &self.states;
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -1,21 +1,18 @@
-//! What happens to each packet of a caller.
+//! Forwarding of callers' packets.
 //!
-//! - A packet in mid-flow goes where its mark says, whatever became of that
-//!   target's entry: flows outlive entries. Where it was seen here which target the
-//!   caller has acknowledged, it goes there.
-//! - A packet whose mark means nothing here goes nowhere. Sent to another
-//!   target it would be answered by a reset, and a reset of our own would end a
-//!   flow that may be well; the caller sends it again while this instance
-//!   learns.
-//! - An opening packet gets a target, its repetitions the same one, unless that
-//!   one is known not to answer. Two targets that both answered would leave the
-//!   caller with the numbers of one and the mark of the other.
-//! - A target whose failure domain operators have emptied gets no new flows; those that
-//!   it has go on, and so do their packets.
-//! - A target that takes no openings is full: new flows go elsewhere, and those that
-//!   it has go on.
-//! - When a target is found lost, its open flows are reset at once, and what
-//!   was being opened there goes to another one.
+//! - A packet in mid-flow goes to the target of its mark, whatever became of that target's
+//!   entry: flows outlive entries. If this instance has seen which target the caller
+//!   acknowledged, it goes there instead.
+//! - A packet with an unknown mark is dropped. Another target would answer it with a reset, and
+//!   a reset from here would end a flow that may be healthy. The caller retransmits while this
+//!   instance learns of the target.
+//! - An opening packet (SYN) gets a target. Copies of it go to the same target, unless that is
+//!   known not to answer: if two targets answered, the caller would have the sequence numbers
+//!   of one and the mark of the other.
+//! - A target in an evacuated failure domain gets no new flows; its open flows go on.
+//! - A target that accepts no openings is full: new flows go elsewhere, its open flows go on.
+//! - When a target is found lost, its open flows are reset at once, and flows whose handshake
+//!   has not ended move to another target.
 
 mod contested;
 mod counts;
@@ -54,54 +51,54 @@
 use subset::Subset;
 use waiting::{Admissions, NewFlow};
 
-/// How long a request may wait for its answer and still count as work of its
-/// target. Callers give up after 8 s at most.
+/// Maximum time for which a pending request counts as work of its target. Callers give up after
+/// 8 s at most.
 const MAX_REQUEST_AGE: Millis = Millis::secs(8);
-/// How often records of flows that ended without a word are dropped.
+/// Interval between removals of records of flows that ended without a closing packet.
 const SWEEP_INTERVAL: Millis = Millis::secs(1);
 
-/// What an instance's place in the fleet makes different.
+/// Parameters of a forwarder that depend on the instance's place in the fleet.
 #[derive(Debug, Clone)]
 pub struct ForwarderOptions {
-    /// The failure domain of this instance.
+    /// Failure domain of this instance.
     pub domain: DomainName,
-    /// The region of each failure domain, as far as it is known.
+    /// Region of each failure domain, as far as it is known.
     pub regions: Map<DomainName, RegionName>,
-    /// Begins the sequence that decides between equal targets.
+    /// Seed of the random numbers that decide between equal targets.
     pub seed: u64,
 }
 
-/// The flows through one instance.
+/// The flows that pass through one instance.
 #[derive(Debug)]
 pub struct Forwarder {
     catalog: Catalog,
     flows: SeededMap<FlowKey, Flow>,
     states: Map<Incarnation, TargetState>,
     openings: VecDeque<(Millis, FlowKey)>,
-    /// Flows that wait to be opened, and the room at their services.
+    /// Flows held before their opening, and the admission state of their services.
     held: SeededMap<FlowKey, NewFlow>,
     admissions: Admissions,
-    /// How many instances of this failure domain there are, this one included, and how
-    /// many domains have targets.
+    /// Number of instances in this failure domain, including this one, and number of domains
+    /// that have targets.
     domain_size: usize,
     domain_count: usize,
     lost: Vec<Incarnation>,
     lapse_probes: LapseProbes,
-    /// Targets that take no openings.
+    /// Targets that accept no openings.
     full: Vec<Incarnation>,
-    /// What was learnt from answers.
+    /// Estimates derived from answers.
     estimates: Estimates,
-    /// This instance's seat in its failure domain, while it is known.
+    /// Seat of this instance in its failure domain, while it is known.
     seat: Option<Seat>,
-    /// This instance's part of the targets of its domain, by service.
+    /// This instance's subset of the targets of its domain, by service.
     subsets: Map<ServiceName, Subset>,
-    /// Whether nobody of this failure domain hears from the store.
+    /// Whether no instance of this failure domain can reach the store.
     cut_off: bool,
-    /// Whether this domain is evacuated and no target elsewhere can be reached.
+    /// Whether this domain is evacuated and no target in another domain can be reached.
     stranded: bool,
-    /// When any target showed life last.
-    last_life: Millis,
-    /// When a target was found silent first since.
+    /// Time at which any target was last known to be alive.
+    last_alive: Millis,
+    /// Time of the first unanswered probe since then.
     isolated_since: Option<Millis>,
     last_sweep: Millis,
     options: ForwarderOptions,
@@ -110,7 +107,7 @@
 }
 
 impl Forwarder {
-    /// One that knows nothing yet.
+    /// Creates a forwarder without targets and routes.
     pub fn new(options: ForwarderOptions) -> Forwarder {
         Forwarder {
             catalog: Catalog::default(),
@@ -129,7 +126,7 @@
             subsets: Map::default(),
             cut_off: false,
             stranded: false,
-            last_life: Millis(0),
+            last_alive: Millis(0),
             isolated_since: None,
             last_sweep: Millis(0),
             random: Random::new(options.seed),
@@ -138,17 +135,17 @@
         }
     }
 
-    /// What is known of targets and routes.
+    /// The known targets and routes.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How many flows have a record.
+    /// Number of flows that have a record.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
@@ -158,12 +155,12 @@
         self.flows.is_empty()
     }
 
-    /// Up to which revision all changes are known.
+    /// The revision up to which all changes are known.
     pub fn revision(&self) -> Revision {
         self.catalog.revision()
     }
 
-    /// Decides on one packet.
+    /// Forwards, holds, resets or drops one packet.
     pub fn handle_packet(
         &mut self,
         segment: &Segment,
@@ -189,7 +186,8 @@
         out: &mut impl Output,
     ) {
         let Some(target) = self.resolve_target(segment, out) else { return };
-        // A copy of its opening may wait here. Opened now, the flow would have a second target.
+        // A copy of the opening may be held here. Opened now, the flow would get a second
+        // target.
         self.cancel_held(&segment.key);
         let is_lost = self.states.get(&target).is_some_and(|state| state.health.is_lost());
         if is_lost {
@@ -201,8 +199,8 @@
         self.send(target, &segment.key, bytes, out);
     }
 
-    /// Where a packet in mid-flow goes: where its mark says, unless its flow is known to be
-    /// open at another target, and nowhere without a mark that holds.
+    /// Returns the target of a packet in mid-flow: that of its mark, unless the flow is known
+    /// to be open at another target, and none without a valid mark.
     fn resolve_target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
         let marked = segment.mark.and_then(|mark| self.catalog.marked(mark, &segment.key));
         if let Some(entry) = marked {
@@ -220,7 +218,7 @@
         None
     }
 
-    /// Notes what a packet shows of its target.
+    /// Updates records and target states with what a packet shows about its target.
     fn track(
         &mut self,
         target: Incarnation,
@@ -247,17 +245,17 @@
             self.probe_unprobed(target, now, out);
         }
         if seen.opened {
-            self.record_opening_taken(target, class, now, out);
+            self.record_accepted(target, class, now, out);
         }
         if let (Some(since), Some(objective)) = (seen.request_since, objective) {
             self.record_answer(target, objective, now.since(since), now);
         }
         if seen.alive {
-            self.record_life(target, now, out);
+            self.record_alive(target, now, out);
         }
         if let Some(sent) = seen.unanswered_since {
             self.counts.repeated += 1;
-            self.doubt(target, segment.key, sent, now, out);
+            self.suspect(target, segment.key, sent, now, out);
             self.schedule_silence_check(target, sent, now);
         }
     }
@@ -335,7 +333,7 @@
         });
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Millis, out: &mut impl Output) {
         self.confirm_restore(now, out);
         self.update_stranded(now, out);
@@ -350,7 +348,7 @@
         self.probe_full(now, out);
     }
 
-    /// When [`tick`](Self::tick) has something to do next.
+    /// The time at which [`tick`](Self::tick) has to be called next.
     pub fn deadline(&mut self) -> Option<Millis> {
         while let Some(&(due, key)) = self.openings.front() {
             if self.is_check_due(&key, due) {
@@ -367,15 +365,15 @@
         opening.into_iter().chain(others).min()
     }
 
-    /// Whether the opening that is looked at at that moment is still unanswered. It may have
-    /// moved to another target since, or its ports may belong to another flow; either has a
-    /// moment of its own, and looked at early it would be sent twice and have a target doubted
-    /// that had no time to answer.
+    /// Whether the opening scheduled for a check at `due` is still unanswered. It may have
+    /// moved to another target since, or its ports may belong to another flow. Either has a
+    /// check of its own; checked too early, the opening would be sent twice, and a target would
+    /// be suspected that had no time to answer.
     fn is_check_due(&self, key: &FlowKey, due: Millis) -> bool {
         self.flows.get(key).is_some_and(|flow| flow.is_opening() && flow.next_check == due)
     }
 
-    /// Drops records of flows that ended without a word.
+    /// Removes records of flows that ended without a closing packet.
     fn sweep(&mut self, now: Millis) {
         self.last_sweep = now;
         let idle = self.catalog.config().map_or(Millis::secs(60), |config: &Config| config.idle);
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -1,9 +1,9 @@
-//! Giving new flows a target.
+//! Choice of targets for new flows.
 
 use super::{
     Forwarder, Output, Refusal,
     exclusion::Exclusion,
-    probing::DOUBT_TIME,
+    probing::SUSPECT_TIME,
     subset::Subset,
     waiting::{self, NewFlow},
 };
@@ -19,37 +19,37 @@
     reserve::Mix,
 };
 
-/// How long an opening packet may go without the end of the handshake, at least, before
-/// it is sent again and its target doubted. A round trip through caller and target
-/// takes up to 12 ms where failure domains are 1.4 ms apart and callers 3 ms away.
+/// Minimum time without the end of the handshake after which an opening packet is sent again
+/// and its target suspected. A round trip through caller and target takes up to 12 ms if
+/// failure domains are 1.4 ms apart and callers 3 ms away.
 const MIN_OPENING_TIMEOUT: Millis = Millis(30);
-/// The same, at most: callers repeat an opening after 200 ms, when some answers are late
-/// already. Between the two it is the longest handshake that is usual here, so that openings
-/// of callers who are far aren't all sent twice.
+/// Maximum of the same time: callers repeat an opening after 200 ms, when some answers are
+/// already late. Between the two limits the usual upper bound of handshake times applies, so
+/// that openings of distant callers aren't all sent twice.
 const MAX_OPENING_TIMEOUT: Millis = Millis(100);
-/// Until when an unanswered opening is looked at. After 200 ms its caller sends it again
-/// by itself, and each copy has the target asked if it is silent.
+/// Age of an unanswered opening after which it is no longer checked. After 200 ms the caller
+/// sends it again by itself, and each copy has the target probed if it is silent.
 const LAST_CHECK: Millis = Millis(200);
-/// How long a flow must have waited here for its caller to count as maybe gone. Callers
-/// with several flows go on with the one that becomes free first, and end no handshake of
+/// Time for which a flow must have been held here for its caller to count as possibly gone.
+/// Callers with several flows continue with the one that is free first and end no handshake of
 /// the others. Until 200 ms no caller has sent its opening again, so most are still there.
 pub(super) const OVERDUE_WAIT: Millis = Millis(200);
-/// How much later than usual an end of the handshake may be looked at: a round of an
-/// instance with a twentieth of a core takes some milliseconds.
+/// Margin that is added to the usual handshake time: one iteration of an instance with a
+/// twentieth of a core takes some milliseconds.
 const TIMEOUT_MARGIN: Millis = Millis(10);
-/// How long a caller tries to open a flow, with some room.
+/// Maximum time for which a caller tries to open a flow, with a margin.
 pub(super) const OPENING_LIMIT: Millis = Millis(1_600);
-/// How long a target that is not listed any more gets new flows if it answers:
-/// an entry that lapsed without need is back within some two seconds.
+/// Maximum time for which a target that is no longer listed gets new flows if it answers: an
+/// entry that lapsed needlessly is back within about two seconds.
 const LAPSE_LIMIT: Millis = Millis::secs(3);
 
 /// Targets that could take a flow.
 #[derive(Default)]
 struct Options {
     targets: Vec<Incarnation>,
-    /// The same as candidates, in the same order.
+    /// The same targets as candidates, in the same order.
     candidates: Vec<Candidate>,
-    /// Whether targets were left out, which operators are shown.
+    /// Whether targets were left out because of an evacuation or slow start; both are counted.
     evacuated: bool,
     warming: bool,
 }
@@ -90,10 +90,10 @@
         }
     }
 
-    /// The target that a flow was opened to a moment ago and that may still
-    /// answer. Later, the same ports are a new flow. An opening that nothing has answered
-    /// leaves a failure domain that operators have emptied meanwhile, or where its route's
-    /// requests must not go any more: its copy would open the flow there after all.
+    /// The target of a recently opened flow if the target may still answer; later packets of
+    /// the same ports open a new flow. An unanswered opening leaves a failure domain that was
+    /// evacuated in the meantime, or that the route's requests may no longer enter: its copy
+    /// would still open the flow there.
     fn copy_target(&self, key: &FlowKey, now: Millis) -> Option<Incarnation> {
         let flow = self.flows.get(key)?;
         let is_copy = flow.opened_here && now.since(flow.first_seen) <= OPENING_LIMIT;
@@ -103,7 +103,7 @@
         (is_copy && !is_lost && is_known && !must_move).then_some(flow.target)
     }
 
-    /// Gives a new flow a target.
+    /// Chooses a target for a new flow and forwards the opening packet.
     pub(super) fn place(&mut self, it: NewFlow, now: Millis, out: &mut impl Output) {
         let NewFlow { key, seq, class, service, packet, waited } = it;
         self.drop_flow(&key);
@@ -120,7 +120,7 @@
         self.schedule_opening_check(key, now);
     }
 
-    /// Has an unanswered opening looked at when it is late.
+    /// Schedules a check of an unanswered opening.
     fn schedule_opening_check(&mut self, key: FlowKey, now: Millis) {
         let due = now + self.opening_timeout();
         if let Some(flow) = self.flows.get_mut(&key) {
@@ -153,9 +153,9 @@
         self.choose_among(options, class, key)
     }
 
-    /// The targets of this instance's own part, if nothing closes any of the service's and one
-    /// of them costs no more than any other could. Few flows go on to look at all targets, so
-    /// that the work for one doesn't grow with their number.
+    /// Returns the targets of this instance's subset, if no target of the service is excluded
+    /// and one of the subset ranks as high as any other could. Few flows then need a look at
+    /// all targets, so that the cost of a flow does not grow with their number.
     fn subset_options(
         &self,
         service: &ServiceName,
@@ -180,7 +180,7 @@
         options.candidates.iter().any(|it| it.is_first(class)).then_some(options)
     }
 
-    /// All targets that could take a flow.
+    /// Returns all targets that could take a flow.
     fn all_options(
         &self,
         service: &ServiceName,
@@ -225,10 +225,10 @@
             let count = candidates.len();
             let chosen = candidates.swap_remove(position);
             let target = targets.swap_remove(position);
-            // Another target may have the same mark for this flow, and packets
-            // in mid-flow would go there.
-            let meant = self.catalog.marked(Mark::new(target, key), key);
-            if meant.is_some_and(|entry| entry.target.incarnation == target) {
+            // Another target may have the same mark for this flow, and would get its packets in
+            // mid-flow.
+            let marked = self.catalog.marked(Mark::new(target, key), key);
+            if marked.is_some_and(|entry| entry.target.incarnation == target) {
                 self.counts.evacuated_avoided += u64::from(evacuated);
                 self.counts.warming_spared += u64::from(warming);
                 let note = Note::Opened {
@@ -244,7 +244,7 @@
         }
     }
 
-    /// Why no target of a service can take a flow.
+    /// Returns the reason why no target of a service can take a flow.
     fn refusal_reason(&self, service: &ServiceName, key: &FlowKey, now: Millis) -> Refusal {
         let targets = self.catalog.targets(service).filter(|it| !it.target.leaving);
         let targets: Vec<&Entry> = targets.collect();
@@ -262,8 +262,8 @@
         }
     }
 
-    /// A target as one that could take a flow, unless it is [closed](Exclusion); none if it
-    /// must not.
+    /// Returns a target as a candidate for a flow, without checking its [exclusion](Exclusion);
+    /// none if it can't take the flow.
     pub(super) fn candidate(&self, entry: &Entry, class: Class, now: Millis) -> Option<Candidate> {
         let state = self.states.get(&entry.target.incarnation)?;
         if entry.target.leaving || state.health.is_lost() {
@@ -273,8 +273,8 @@
             return None;
         }
         let near = entry.target.domain == self.options.domain;
-        let is_doubted = state.doubted_at.is_some_and(|at| now.since(at) < DOUBT_TIME);
-        let is_doubted = is_doubted || self.stranded && !near;
+        let is_suspected = state.suspected_at.is_some_and(|at| now.since(at) < SUSPECT_TIME);
+        let is_suspected = is_suspected || self.stranded && !near;
         let tier = match entry.presence {
             Presence::Removed(since)
                 if state.health.life() <= since || now.since(since) > LAPSE_LIMIT =>
@@ -282,7 +282,7 @@
                 return None;
             }
             Presence::Unusable(_) | Presence::Replaced(_) => return None,
-            _ if is_doubted => Tier::Doubtful,
+            _ if is_suspected => Tier::Doubtful,
             Presence::Removed(_) => Tier::Unlisted,
             Presence::Listed => Tier::Good,
         };
@@ -299,10 +299,10 @@
         })
     }
 
-    /// Looks at an opening that nothing has answered: sends it once more and has its target
-    /// asked, and looks again after as long. What the target then still leaves unanswered
-    /// it has no room for, also if it answers questions; without the second look the flow
-    /// would wait there until its caller gives up.
+    /// Checks an unanswered opening: sends it again, has its target probed, and schedules the
+    /// next check. If the target then still leaves it unanswered, the target is full, even if
+    /// it answers probes; without the second check the flow would wait there until its caller
+    /// gives up.
     pub(super) fn check_opening(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
         let Some(flow) = self.flows.get_mut(&key) else { return };
         let Phase::Opening { packet } = &flow.phase else { return };
@@ -323,30 +323,30 @@
                 flow.resent = true;
             }
             self.send(target, &key, &packet, out);
-            self.doubt_opening(target, key, since, now, out);
+            self.suspect_opening(target, key, since, now, out);
         }
         if now.since(since) < LAST_CHECK {
             self.schedule_opening_check(key, now);
         }
     }
 
-    /// Takes an overdue opening for one whose caller has gone. It is no work then, and
-    /// says nothing of its target by itself. Taken for silence, the openings of a crowd that
-    /// has waited here make all targets look full, and callers are turned away while targets
-    /// stand idle. The target is asked, though: where everybody
-    /// waits, nothing else would show that it is silent or full, and having the least work
-    /// it would get all that is opened. Should the caller be there after all, the end of its
-    /// handshake finds the target by its mark.
+    /// Treats the caller of an overdue opening as gone. The opening no longer counts as work,
+    /// and by itself says nothing about its target. Treated as silence, the openings held
+    /// during overload would make all targets look full, and callers would be refused while
+    /// targets are idle. The target is probed nevertheless: if all openings are held, nothing
+    /// else would show that it is silent or full, and it would get all new flows because it has
+    /// the least work. If the caller is still there, the end of its handshake finds the target
+    /// by its mark.
     fn abandon(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
         let Some(mut flow) = self.flows.remove(&key) else { return };
         self.account(&flow, -1);
         flow.abandoned = true;
         let (target, since) = (flow.target, flow.first_seen);
         self.flows.insert(key, flow);
-        self.doubt_late_opening(target, key, since, now, out);
+        self.suspect_late_opening(target, key, since, now, out);
     }
 
-    /// Resets a flow that went to no target.
+    /// Resets a flow that was sent to no target.
     pub(super) fn refuse(&mut self, flow: &FlowKey, refusal: Refusal, out: &mut impl Output) {
         self.counts.refuse(refusal);
         out.reset(flow, 0);
@@ -354,8 +354,8 @@
     }
 }
 
-/// Marks the targets that feeds should leave to requests: in each failure domain the first ones
-/// by their numbers, which all instances rank alike.
+/// Marks the candidates that feeds leave to requests: the first ones of each failure domain by
+/// incarnation, an order that is the same at all instances.
 fn reserve_for_requests(mix: Mix, entries: &[&Entry], candidates: &mut [Candidate]) {
     let mut domains: Map<&DomainName, Vec<(Incarnation, usize)>> = Map::default();
     for (at, entry) in entries.iter().enumerate() {
@@ -364,7 +364,8 @@
     }
     for domain in domains.values_mut() {
         let kept = mix.kept(domain.len());
-        // Every opening of a feed comes here, and only which ones are first is needed.
+        // Every opening of a feed runs this, and only membership in the first part is needed,
+        // so a selection replaces a full sort.
         if kept < domain.len() {
             domain.select_nth_unstable(kept);
         }
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -1,24 +1,24 @@
-//! Noticing targets that do not answer.
+//! Detection of targets that do not answer.
 
 use super::{Forwarder, Output, TargetState};
 use crate::{Entry, EntryState, Finding, FlowKey, Health, Incarnation, Note, Presence, Target};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 
-/// How long targets may be silent while none at all shows life before that
-/// counts: three questions of 300 ms. Their number says nothing, since a link that
-/// is full makes all silent in the same moment.
+/// Maximum time for which silence of targets is ignored while no target at all is known to be
+/// alive: three probes of 300 ms. The number of silent targets says nothing, since a saturated
+/// link silences all of them at once.
 const ISOLATION_LIMIT: Millis = Millis(900);
-/// How long instances wait at most before they ask a target that is listed again. After a
-/// cut of a failure domain the news of its entry comes to hundreds of instances in the same
-/// moment, and a target resets most of as many connections.
+/// Maximum delay before an instance probes a target that is listed again. After a partition of
+/// a failure domain, hundreds of instances receive the update of its entry at the same moment,
+/// and a target resets most of as many connections.
 const MAX_RELISTED_DELAY: Millis = Millis(500);
-/// How many targets whose entries went an instance without a seat asks in a second, beside
-/// those where it may have flows.
+/// Maximum number of targets with removed entries that an instance without a seat probes per
+/// second, apart from those where it may have flows.
 const MAX_LAPSE_PROBES: u32 = 16;
-/// How long after a request to a target went unanswered others are preferred.
-pub(super) const DOUBT_TIME: Millis = Millis(300);
+/// Time for which other targets are preferred after a request to a target went unanswered.
+pub(super) const SUSPECT_TIME: Millis = Millis(300);
 
-/// Questions to targets whose entries went, in this second.
+/// Budget of probes of targets with removed entries in the current second.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct LapseProbes {
     since: Millis,
@@ -26,7 +26,7 @@
 }
 
 impl LapseProbes {
-    /// Whether one more may be asked.
+    /// Whether the budget allows one more probe; counts it.
     fn take(&mut self, now: Millis) -> bool {
         if now.since(self.since) >= Millis::secs(1) {
             *self = LapseProbes { since: now, count: 0 };
@@ -37,7 +37,7 @@
 }
 
 impl Forwarder {
-    /// How many listed targets answer, and how many don't.
+    /// Numbers of listed targets that answer and that do not.
     pub fn live_and_lost(&self) -> (usize, usize) {
         let listed = self.catalog.entries().filter(|it| it.is_listed()).count();
         (listed.saturating_sub(self.lost.len()), self.lost.len())
@@ -63,11 +63,12 @@
         }
     }
 
-    /// The entry of a target that did not leave has gone: it died, or the entry lapsed. Asking
-    /// tells which, and matters where flows are there. The entries of a failure domain may
-    /// all lapse in one moment; if every instance asked all of its targets, they would get
-    /// targets times instances questions. One instance of the domain asks each all the same,
-    /// for new flows; without a seat each asks a few.
+    /// Handles the removal of the entry of a target that was not leaving: either the target
+    /// died or its entry lapsed. A probe tells which, and matters if flows are there. All
+    /// entries of a failure domain may lapse at once; if every instance probed all of its
+    /// targets, the probes would be targets times instances. One instance of the domain probes
+    /// each target nevertheless, for the sake of new flows; without a seat each instance probes
+    /// a few.
     fn handle_removed(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let is_prober = match self.seat {
             Some(_) => self.catalog.entry(target).is_some_and(|entry| self.owns(entry)),
@@ -80,8 +81,8 @@
         }
     }
 
-    /// A flow that others opened goes to a target. Asks that if its entry went and nobody here
-    /// has asked it since.
+    /// Probes the target of a flow that another instance opened, if its entry was removed and
+    /// this instance has not probed it since.
     pub(super) fn probe_unprobed(
         &mut self,
         target: Incarnation,
@@ -95,9 +96,10 @@
         }
     }
 
-    /// A target that was lost is listed again: its entry had lapsed, and nothing asks it any
-    /// more. Without a question it would stay out of use until it starts again. Each instance
-    /// asks at a moment of its own, since all hear the news in the same one.
+    /// Schedules a probe of a lost target that is listed again. Its entry had lapsed, so
+    /// nothing probes it any more, and without a probe it would stay out of use until it
+    /// restarts. Instances choose random times, since all receive the update at the same
+    /// moment.
     fn schedule_relisted_probe(&mut self, target: Incarnation, now: Millis) {
         let pause = Millis(self.random.draw() % MAX_RELISTED_DELAY.0);
         let Some(state) = self.states.get_mut(&target) else { return };
@@ -107,11 +109,11 @@
         }
     }
 
-    /// A target has started again. Whoever did not know it yet may have opened flows
-    /// with the earlier start's mark, and where the address is the same, they are at the
-    /// later one. To reset them as flows of a dead process would break them; the process
-    /// itself resets what it doesn't hold. Where the address is another one, the earlier
-    /// process is asked, and its flows are reset once it is found gone.
+    /// Handles the restart of a target. Instances that did not know of it yet may have opened
+    /// flows with the mark of the earlier start. If the address is the same, these flows are at
+    /// the later process; reset as flows of a dead process, they would break, and the process
+    /// itself resets flows that it doesn't hold. If the address differs, the earlier process is
+    /// probed, and its flows are reset once it is found gone.
     fn handle_replaced(
         &mut self,
         target: Incarnation,
@@ -128,11 +130,11 @@
         }
     }
 
-    pub(super) fn record_life(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    pub(super) fn record_alive(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        self.last_life = now;
+        self.last_alive = now;
         self.isolated_since = None;
-        state.doubted_at = None;
+        state.suspected_at = None;
         state.silent = false;
         if state.health.see_life(now) {
             self.lost.retain(|it| *it != target);
@@ -140,8 +142,8 @@
         }
     }
 
-    /// A packet of `flow` that was first sent at `sent` got no answer.
-    pub(super) fn doubt(
+    /// Suspects a target because a packet of `flow`, first sent at `sent`, was not answered.
+    pub(super) fn suspect(
         &mut self,
         target: Incarnation,
         flow: FlowKey,
@@ -151,12 +153,13 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         if state.health.doubt(sent, now) {
-            self.probe_doubted(target, flow, sent, now, out);
+            self.probe_suspect(target, flow, sent, now, out);
         }
     }
 
-    /// The opening packet of `flow`, first sent at `sent`, got no answer.
-    pub(super) fn doubt_opening(
+    /// Suspects a target because the opening packet of `flow`, first sent at `sent`, was not
+    /// answered.
+    pub(super) fn suspect_opening(
         &mut self,
         target: Incarnation,
         flow: FlowKey,
@@ -167,13 +170,13 @@
         let Some(state) = self.states.get_mut(&target) else { return };
         state.count_unanswered(sent, now);
         if state.health.doubt_opening(sent, now) {
-            self.probe_doubted(target, flow, sent, now, out);
+            self.probe_suspect(target, flow, sent, now, out);
         }
     }
 
-    /// The opening packet of `flow`, which came late, got no answer by its target. That is
-    /// asked; until it has answered, others are not preferred.
-    pub(super) fn doubt_late_opening(
+    /// Suspects a target because the opening packet of `flow`, which was sent late, was not
+    /// answered. The target is probed, but other targets are not preferred in the meantime.
+    pub(super) fn suspect_late_opening(
         &mut self,
         target: Incarnation,
         flow: FlowKey,
@@ -189,7 +192,7 @@
         }
     }
 
-    fn probe_doubted(
+    fn probe_suspect(
         &mut self,
         target: Incarnation,
         flow: FlowKey,
@@ -198,7 +201,7 @@
         out: &mut impl Output,
     ) {
         if let Some(state) = self.states.get_mut(&target) {
-            state.doubted_at = Some(now);
+            state.suspected_at = Some(now);
         }
         out.note(Note::Doubted { target, flow, silent: now.since(sent) });
         self.probe(target, now, out);
@@ -216,7 +219,7 @@
         }
     }
 
-    /// Takes in what asking a target brought.
+    /// Handles the result of a probe.
     pub fn handle_probe_result(
         &mut self,
         target: Incarnation,
@@ -232,7 +235,7 @@
                 self.probe_with_another(target, now, out)
             }
             Finding::Silent => self.handle_silent_probe(target, now, out),
-            // A target that leaves stops listening before it ends its last flows.
+            // A leaving target stops listening before its last flows end.
             Finding::Gone if self.is_leaving(target) => self.handle_silent_probe(target, now, out),
             Finding::Gone => self.mark_lost(target, finding, now, out),
         }
@@ -242,34 +245,35 @@
         self.catalog.entry(target).is_some_and(|it| it.is_listed() && it.target.leaving)
     }
 
-    /// Whether no target at all has shown life since this one was asked. Then it
-    /// may be this machine that hears nobody: its link is full or cut, and to reset
-    /// the flows of targets that are well would break them. Not for long: a link
-    /// that stays full for a second is no longer one that flows pass.
+    /// Whether no target at all is known to have been alive since this one was probed. Then
+    /// this machine may be the isolated one: its link is saturated or cut, and resetting the
+    /// flows of healthy targets would break them. This holds for a limited time: a link that
+    /// stays saturated for a second doesn't carry flows any more.
     fn is_isolated(&mut self, target: Incarnation, now: Millis) -> bool {
         let state = self.states.get(&target);
         let asked = state.filter(|it| !it.health.is_lost()).and_then(|it| it.health.asked());
-        let is_silent_everywhere = asked.is_some_and(|asked| self.last_life <= asked);
+        let is_silent_everywhere = asked.is_some_and(|asked| self.last_alive <= asked);
         is_silent_everywhere && now.since(*self.isolated_since.get_or_insert(now)) < ISOLATION_LIMIT
     }
 
-    /// Asks a silent target again, and beside it one that should answer: a near
-    /// one, which no cut between domains takes away.
+    /// Probes a silent target again, together with another one that should answer, preferably
+    /// in the own failure domain, which a partition between domains doesn't affect.
     fn probe_with_another(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let domain = &self.options.domain;
-        let is_near = |entry: &&Entry| {
+        let is_suitable = |entry: &&Entry| {
             let it = &entry.target;
             let state = self.states.get(&it.incarnation);
             let is_probed = |state: &TargetState| {
-                state.health.asked().is_some_and(|at| now.since(at) < DOUBT_TIME)
+                state.health.asked().is_some_and(|at| now.since(at) < SUSPECT_TIME)
             };
-            let is_out = state.is_none_or(|state| state.health.is_lost() || is_probed(state));
-            it.incarnation != target && entry.is_listed() && !is_out
+            let is_unsuitable =
+                state.is_none_or(|state| state.health.is_lost() || is_probed(state));
+            it.incarnation != target && entry.is_listed() && !is_unsuitable
         };
-        let others = self.catalog.entries().filter(is_near);
-        let beside = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold));
-        let beside = beside.map(|entry| entry.target.incarnation);
-        for asked in beside.into_iter().chain([target]) {
+        let others = self.catalog.entries().filter(is_suitable);
+        let another = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold));
+        let another = another.map(|entry| entry.target.incarnation);
+        for asked in another.into_iter().chain([target]) {
             self.probe(asked, now, out);
         }
     }
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -1,44 +1,44 @@
-//! What a forwarder knows of a target besides its entry.
+//! State of a target, in addition to its entry.
 
 use crate::{Flow, Health};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
-/// Within which time openings must be unanswered to speak together against a target. Where
-/// instances come and go, the ends of some handshakes go by others; at a large site, where
-/// an instance opens a flow at a target every few seconds, such openings would add up, and
+/// Maximum time between unanswered openings that count together against a target. Where
+/// instances come and go, some handshakes end at other instances; at a large site, where an
+/// instance opens a flow at a target every few seconds, such openings would add up and make
 /// targets look full that are not.
 const UNANSWERED_WINDOW: Millis = Millis::secs(2);
 
-/// What is known of a target besides its entry.
+/// State of a target, in addition to its entry.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TargetState {
     pub(super) health: Health,
-    pub(super) doubted_at: Option<Millis>,
-    /// Whether it has room for new flows.
+    pub(super) suspected_at: Option<Millis>,
+    /// Whether the target has capacity for new flows.
     pub(super) vacancy: Vacancy,
-    /// How many openings there are unanswered since the last one that was taken, and when
-    /// the latest of them was found to be.
+    /// Number of unanswered openings since the last accepted one, and the time of the latest.
     pub(super) unanswered: u32,
     pub(super) unanswered_at: Millis,
-    /// Whether an opening there is unanswered whose caller may have gone.
+    /// Whether an opening is unanswered whose caller may have gone.
     pub(super) late_unanswered: bool,
-    /// Whether it has declined openings, and not only been silent, since it was found full.
+    /// Whether the target has declined openings, rather than only been silent, since it was
+    /// found full.
     pub(super) declined: bool,
-    /// Whether the last question there stayed without an answer.
+    /// Whether the last probe was left unanswered.
     pub(super) silent: bool,
-    /// When to look whether its open flows are still unanswered.
+    /// Time of the next check whether open flows are still unanswered.
     pub(super) check_at: Option<Millis>,
-    /// When this instance opened a flow there last while it was slow.
+    /// Time of the last flow that this instance opened there during slow start.
     pub(super) warmed_at: Option<Millis>,
     pub(super) working: u32,
     pub(super) opening: u32,
     pub(super) feeds: u32,
-    /// Of `working` and `opening`, flows of requests.
+    /// The part of `working` and `opening` that belongs to requests.
     pub(super) requests: u32,
-    /// All flows there.
+    /// Number of all flows there.
     pub(super) flows: u32,
-    /// Whether its entry went and it was not asked since.
+    /// Whether the entry was removed and the target has not been probed since.
     pub(super) unprobed: bool,
 }
 
@@ -46,7 +46,7 @@
     pub(super) fn new(now: Millis) -> TargetState {
         TargetState {
             health: Health::new(now),
-            doubted_at: None,
+            suspected_at: None,
             vacancy: Vacancy::default(),
             unanswered: 0,
             unanswered_at: now,
@@ -64,15 +64,15 @@
         }
     }
 
-    /// Whether any opening there is unanswered, be it one whose caller may have gone. That
-    /// speaks against a target only together with what asking it brings: where everybody
-    /// waits here, there are no other openings, and a full target that is silent would
-    /// swallow all that is opened late.
+    /// Whether any opening is unanswered, including those whose caller may have gone. This
+    /// counts against a target only together with a probe's result: if all openings are held,
+    /// there are no others, and a full target that is silent would swallow everything that is
+    /// opened late.
     pub(super) fn has_unanswered(&self) -> bool {
         self.unanswered > 0 || self.late_unanswered
     }
 
-    /// Notes that an opening which came at `sent` is unanswered.
+    /// Counts an opening that arrived at `sent` as unanswered.
     pub(super) fn count_unanswered(&mut self, sent: Millis, now: Millis) {
         if self.health.taken() > sent {
             return;
@@ -82,7 +82,7 @@
         self.unanswered_at = now;
     }
 
-    /// Adds or takes away what a flow means for its target.
+    /// Adds a flow to the counts, or subtracts it if `sign` is -1.
     pub(super) fn account(&mut self, flow: &Flow, sign: i32) {
         if flow.abandoned {
             return;
--- a/marked/src/forwarder/stranded.rs
+++ b/marked/src/forwarder/stranded.rs
@@ -1,33 +1,33 @@
-//! An evacuated failure domain that is cut off from all others.
+//! An evacuated failure domain that is partitioned from all others.
 //!
-//! Operators empty a domain, and then the network between it and the others breaks. Its
-//! callers reach only its instances, and these only its targets: refused until the cut is
-//! over, callers would get nothing from targets that are well. So the instances of such a
-//! domain use its targets, as long as neither the store nor a target elsewhere is heard. One
-//! of the two alone says nothing: a store that is away leaves the other domains, and where
-//! the store answers, operators can be heard and have not taken the evacuation back.
+//! If the network between failure domains breaks while one of them is evacuated, its callers
+//! reach only its own instances, and these only its own targets. Refusing them until the
+//! partition ends would leave healthy targets unused. Therefore the instances of such a domain
+//! use its targets as long as neither the store nor a target in another domain can be reached.
+//! One of the two alone is not enough: without the store the other domains can still serve, and
+//! if the store answers, operators can be heard and have not ended the evacuation.
 
 use super::{Forwarder, Output};
 use crate::{Entry, FlowKey, Incarnation, Note};
 use medlarspur_lib::{ids::DomainName, time::Millis};
 
-/// How long no target elsewhere must have shown life. With the own domain evacuated all
-/// new flows go elsewhere, so that signs of life come many times a second.
+/// Minimum time for which no target in another domain was known to be alive. All new flows of
+/// an evacuated domain go elsewhere, so that signs of life arrive many times per second.
 const MIN_SILENCE: Millis = Millis::secs(1);
 
 impl Forwarder {
-    /// Tells whether nobody of this instance's failure domain hears from the store.
+    /// Sets whether no instance of this failure domain can reach the store.
     pub fn set_cut_off(&mut self, is_cut_off: bool) {
         self.cut_off = is_cut_off;
     }
 
-    /// Whether a domain's targets get no new flows because operators have emptied it.
+    /// Whether targets of a domain get no new flows because of an evacuation.
     pub(super) fn is_evacuation_active(&self, domain: &DomainName) -> bool {
         let is_own = || *domain == self.options.domain;
         self.catalog.is_evacuated(domain) && !(self.stranded && is_own())
     }
 
-    /// Decides whether this domain is evacuated and cut off.
+    /// Updates whether this domain is evacuated and partitioned from all others.
     pub(super) fn update_stranded(&mut self, now: Millis, out: &mut impl Output) {
         let silent = self.silence_elsewhere(now);
         let is_stranded = silent.is_some_and(|silent| silent >= MIN_SILENCE);
@@ -44,8 +44,8 @@
         }
     }
 
-    /// How long ago a target that may be used elsewhere last showed life; none unless this
-    /// domain is evacuated, the store is not heard, and there are such targets.
+    /// Time since a usable target in another domain was last known to be alive; none unless
+    /// this domain is evacuated, the store is unreachable and there are such targets.
     fn silence_elsewhere(&self, now: Millis) -> Option<Millis> {
         if !self.cut_off || !self.catalog.is_evacuated(&self.options.domain) {
             return None;
@@ -56,8 +56,8 @@
         life.map(|state| now.since(state.health.life())).min()
     }
 
-    /// Moves openings that nobody has answered. Their callers still wait, and would give up
-    /// before the targets elsewhere are found silent one by one.
+    /// Moves unanswered openings from other domains to this one. Their callers are still
+    /// waiting, and would give up before the targets elsewhere are found silent one by one.
     fn move_openings_home(&mut self, now: Millis, out: &mut impl Output) {
         let domain = &self.options.domain;
         let is_elsewhere =
--- a/marked/src/forwarder/subset.rs
+++ b/marked/src/forwarder/subset.rs
@@ -1,4 +1,4 @@
-//! This instance's part of the targets, see [`dealing`].
+//! The subset of a service's targets that an instance prefers; see [`dealing`].
 
 use super::Forwarder;
 use crate::{Entry, Incarnation};
@@ -6,12 +6,12 @@
 use medlarspur_load::{dealing, reserve::Mix, warmup::Seat};
 use std::sync::Arc;
 
-/// The targets of a service in this failure domain, as they were dealt last.
+/// Subset of a service's targets in this failure domain.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Subset {
-    /// Those that this instance takes first, in the order of their numbers.
+    /// The targets that this instance prefers, ordered by incarnation.
     pub(super) own: Arc<[Incarnation]>,
-    /// All of the domain, in the order of their numbers.
+    /// All targets of the domain, ordered by incarnation.
     all: Arc<[Incarnation]>,
 }
 
@@ -20,7 +20,7 @@
         self.own.binary_search(&target).is_ok()
     }
 
-    /// Whether feeds leave one of them to requests, which are the first by their numbers.
+    /// Whether feeds leave a target to requests, which get the first ones by incarnation.
     pub(super) fn is_reserved(&self, target: Incarnation, mix: Mix) -> bool {
         let kept = mix.kept(self.all.len());
         self.all[..kept].last().is_some_and(|last| target <= *last)
@@ -28,7 +28,7 @@
 }
 
 impl Forwarder {
-    /// This instance's part of a service's targets in its failure domain; none while its seat
+    /// This instance's subset of a service's targets in its failure domain; none while its seat
     /// is not known.
     pub(super) fn subset(&mut self, service: &ServiceName) -> Option<Subset> {
         let seat = self.seat?;
@@ -51,7 +51,8 @@
         Subset { own, all: all.into_iter().map(Incarnation).collect() }
     }
 
-    /// Deals anew, with the next flow, as targets or seats are others now.
+    /// Discards the subsets after a change of targets or seats; the next flow computes them
+    /// again.
     pub(super) fn clear_subsets(&mut self) {
         self.subsets.clear();
     }
--- a/marked/src/forwarder/update.rs
+++ b/marked/src/forwarder/update.rs
@@ -1,11 +1,11 @@
-//! Taking in news of targets and routes.
+//! Updates of targets and routes.
 
 use super::{Forwarder, Output, TargetState};
 use crate::{Changed, Health, News, Note};
 use medlarspur_lib::{ids::Version, time::Millis};
 
 impl Forwarder {
-    /// Takes in news of targets and routes.
+    /// Merges an update of targets and routes and acts on the changes.
     pub fn apply_update(&mut self, news: News, now: Millis, out: &mut impl Output) {
         let version = self.version();
         let changed = self.catalog.merge(news, now);
@@ -16,7 +16,7 @@
         self.catalog.config().map(|config| config.version)
     }
 
-    /// Acts on what news has changed; `version` was that of the config before.
+    /// Acts on changes of the catalog; `version` is the version of the previous config.
     fn apply_changes(
         &mut self,
         changed: Changed,
@@ -36,7 +36,8 @@
             self.clear_subsets();
         }
         for incarnation in changed.formers {
-            // Nothing was heard of it here, so it gets new flows only once it has answered.
+            // This instance has never heard from it, so it gets new flows only once it has
+            // answered.
             let health = Health::new(Millis(0));
             let state = TargetState { unprobed: true, health, ..TargetState::new(now) };
             self.states.entry(incarnation).or_insert(state);
@@ -57,12 +58,12 @@
         self.states.retain(|incarnation, _| catalog.entry(*incarnation).is_some());
     }
 
-    /// The source is in an earlier era than was believed.
+    /// Accepts an earlier era of the store than was known.
     pub fn fall_back(&mut self) {
         self.catalog.fall_back();
     }
 
-    /// Takes in what the source said after it came back from a copy, once that is due.
+    /// Takes over the state of a store that came back from a copy, once that is due.
     pub(super) fn confirm_restore(&mut self, now: Millis, out: &mut impl Output) {
         if self.catalog.deadline().is_some_and(|due| due <= now) {
             let changed = self.catalog.confirm(now);
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -1,7 +1,7 @@
-//! Having new flows wait while their service has no room.
+//! Holding of new flows while their service has no capacity.
 //!
-//! Which ones go first, and how much may be under way, is decided by
-//! `medlarspur_load::{backlog, limit}`, which say for which patterns of load.
+//! `medlarspur_load::{backlog, limit}` decide the order and the amount of work in progress;
+//! they describe the load patterns that this is for.
 
 use super::{Forwarder, Output, Refusal};
 use crate::{FlowKey, Incarnation, Note, Route};
@@ -16,55 +16,55 @@
     limit::{Limit, Work},
 };
 
-/// What is under way at a service, and what waits for it.
+/// Admission state of a service: its concurrency limit and the held flows.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
     limit: Limit,
     backlog: Backlog<FlowKey>,
 }
 
-/// A new flow that wants to be opened.
+/// A new flow without a target.
 #[derive(Debug, Clone)]
 pub(super) struct NewFlow {
     pub(super) key: FlowKey,
-    /// The number of its opening packet.
+    /// Sequence number of the opening packet.
     pub(super) seq: u32,
     pub(super) class: Class,
-    /// The service that it was drawn for, if its route is split.
+    /// The service chosen for the flow, if its route is split.
     pub(super) service: ServiceName,
-    /// Its opening packet.
+    /// The opening packet.
     pub(super) packet: Box<[u8]>,
-    /// How long its caller has waited for it to be opened.
+    /// Time for which the flow has been held.
     pub(super) waited: Millis,
 }
 
-/// Work under way at a service as far as this instance sees it.
+/// Work in progress at a service, as far as this instance sees it.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     work: Work,
-    /// This instance's part of the slots of all targets.
+    /// This instance's share of the slots of all targets.
     part: f32,
 }
 
 impl Forwarder {
-    /// Tells how many instances of this failure domain there are, this one included.
+    /// Sets the number of instances in this failure domain, including this one.
     pub fn set_domain_size(&mut self, count: usize) {
         self.domain_size = count.max(1);
     }
 
-    /// Counts the failure domains that have targets. Instances of the others are not
-    /// known here; there are taken to be as many in each.
+    /// Counts the failure domains that have targets. Instances of other domains are not known
+    /// here; their number is assumed to be the same in each.
     pub(super) fn count_domains(&mut self) {
         let domains: Set<_> = self.catalog.entries().map(|it| &it.target.domain).collect();
         self.domain_count = domains.len().max(1);
     }
 
-    /// About how many instances there are.
+    /// Estimated number of all instances.
     pub(super) fn instance_count(&self) -> usize {
         self.domain_size * self.domain_count
     }
 
-    /// Drops what is known of services that have no targets any more.
+    /// Removes the admission state and estimates of services without targets.
     pub(super) fn drop_unused_admissions(&mut self) {
         let catalog = &self.catalog;
         self.admissions.retain(|service, admission| {
@@ -73,12 +73,12 @@
         self.estimates.retain(|service| catalog.targets(service).next().is_some());
     }
 
-    /// Whether a flow waits to be opened.
+    /// Whether a flow is held.
     pub(super) fn is_held(&self, key: &FlowKey) -> bool {
         self.held.contains_key(key)
     }
 
-    /// Has the flow wait if its service has no room; gives it back if it has.
+    /// Holds a flow if its service has no capacity; returns it otherwise.
     pub(super) fn hold_if_busy(
         &mut self,
         it: NewFlow,
@@ -119,7 +119,7 @@
         None
     }
 
-    /// Forgets a flow that waits and that its caller has given up.
+    /// Removes a held flow that its caller has given up.
     pub(super) fn cancel_held(&mut self, key: &FlowKey) {
         let Some(it) = self.held.remove(key) else { return };
         if let Some(admission) = self.admissions.get_mut(&it.service) {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Takes in how long a request to a target took.
+    /// Adds the answer time of a request to the service's limit.
     pub(super) fn record_answer(
         &mut self,
         target: Incarnation,
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Opens what has waited and finds room now, and turns away what has waited too
+    /// Opens held flows for which there is capacity, and refuses those that were held for too
     /// long.
     pub(super) fn release_held(&mut self, now: Millis, out: &mut impl Output) {
         if self.held.is_empty() {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Opens a flow that has waited since `asked`, by the config that is in force now.
+    /// Opens a flow that was held since `asked`, by the config now in force.
     fn place_held(&mut self, mut it: NewFlow, asked: Millis, now: Millis, out: &mut impl Output) {
         it.waited = now.since(asked);
         let Some(route) = self.catalog.route(it.key.service) else {
@@ -196,8 +196,8 @@
         self.place(it, now, out);
     }
 
-    /// How long answers of a service take, in hundredths of their goals, and how many
-    /// flows wait for it.
+    /// Answer time of a service in hundredths of its latency objective, and number of flows
+    /// held for it.
     pub(super) fn pressure_and_backlog(&self, service: &ServiceName) -> (u32, u64) {
         let admission = self.admissions.get(service);
         admission.map_or((0, 0), |admission| {
@@ -205,7 +205,7 @@
         })
     }
 
-    /// When the first flow has waited too long.
+    /// The time at which the first held flow has waited too long.
     pub(super) fn held_deadline(&self) -> Option<Millis> {
         self.admissions.values().filter_map(|admission| admission.backlog.deadline()).min()
     }
@@ -214,7 +214,7 @@
         let (mut work, mut slots) = (Work::default(), 0);
         for entry in self.catalog.targets(service) {
             let Some(state) = self.states.get(&entry.target.incarnation) else { continue };
-            // What goes on in an evacuated domain takes no room from those that are used.
+            // Work in an evacuated domain takes no capacity from the domains in use.
             if self.is_evacuation_active(&entry.target.domain) {
                 continue;
             }
@@ -228,13 +228,13 @@
     }
 }
 
-/// The goal that decides whether flows of a route wait, if any does.
+/// The latency objective that decides whether flows of a route are held, if there is one.
 ///
-/// Uploads don't wait: most of their time is that of their bytes on the way, which says
+/// Uploads are not held: most of their time is spent on transferring their bytes, which says
 /// nothing about the targets.
 pub(super) fn objective(route: &Route) -> Option<Millis> {
     route.goal.filter(|_| route.class != Class::Upload)
 }
 
-/// The rooms of all services.
+/// Admission states by service.
 pub(super) type Admissions = Map<ServiceName, Admission>;
--- a/marked/src/mark.rs
+++ b/marked/src/mark.rs
@@ -1,15 +1,14 @@
-//! The mark that a flow's packets carry: which target they belong to.
+//! The mark in a flow's packets, which identifies their target.
 //!
-//! A mark has two parts. The upper [`INDEX_BITS`] bits are a hash of the
-//! target's incarnation and find the few targets that may be meant; the lower
-//! ones are a hash of the flow's addresses and ports, keyed by the incarnation.
-//! So every instance makes the same mark without asking another, a mark that a
-//! caller copies to another flow doesn't hold there, and a target that takes
-//! over the address of an earlier one is never taken for it.
+//! A mark has two parts. The upper [`INDEX_BITS`] bits are a hash of the target's incarnation
+//! and select the few targets that may be meant. The lower bits are a hash of the flow's
+//! addresses and ports, keyed by the incarnation. Thus all instances compute the same mark
+//! without communicating, a mark that a caller copies to another flow is invalid there, and a
+//! target is never mistaken for an earlier one with the same address.
 //!
-//! Incarnations are known to the instances and the targets only, which makes
-//! them usable as keys. A guessed mark holds by chance once in four million
-//! (2^22) times the number of targets that share its index.
+//! Only instances and targets know incarnations, so they can serve as keys. A guessed mark is
+//! valid by chance once in four million (2^22) tries, multiplied by the number of targets that
+//! share its index.
 
 use crate::{FlowKey, Incarnation};
 use siphasher::sip::SipHasher13;
@@ -18,51 +17,51 @@
     num::NonZeroU32,
 };
 
-/// How many bits of a mark find the candidates. At 5,600 targets and as many
-/// that went lately, 1,024 indexes leave some eleven candidates to check.
+/// Number of bits that select the candidate targets. With 5,600 targets and as many that left
+/// recently, 1,024 indexes leave some eleven candidates to check.
 const INDEX_BITS: u32 = 10;
-/// How many bits of a mark check the flow.
+/// Number of bits that verify the flow.
 const CHECK_BITS: u32 = 32 - INDEX_BITS;
 const CHECK_MASK: u32 = (1 << CHECK_BITS) - 1;
-/// Tells the hash that makes the index from the one that makes the check.
+/// Separates the hash of the index from that of the check.
 const INDEX_SALT: u64 = 0x6d61_726b;
 
-/// A mark as packets carry it; never 0, which stands for none.
+/// A mark as carried in packets; never 0, which stands for no mark.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Mark(NonZeroU32);
 
 impl Mark {
-    /// The mark of a flow at a target.
+    /// Returns the mark of a flow at a target.
     pub fn new(incarnation: Incarnation, flow: &FlowKey) -> Mark {
         let index = u32::from(Index::of(incarnation).0) << CHECK_BITS;
         let check = check(incarnation, flow) & CHECK_MASK;
-        // Of all marks only one would be 0; it takes the place of its
-        // neighbour, which costs a 2^-22 part of the check.
+        // Exactly one combination would be 0. It shares the value of its neighbour, which
+        // weakens the check by a 2^-22 part.
         Mark(NonZeroU32::new(index | check).unwrap_or(NonZeroU32::MIN))
     }
 
-    /// Reads a mark from a packet; 0 is none.
+    /// Reads a mark from a packet; 0 means none.
     pub fn from_wire(value: u32) -> Option<Mark> {
         NonZeroU32::new(value).map(Mark)
     }
 
-    /// The mark as packets carry it.
+    /// The value carried in packets.
     pub fn to_wire(self) -> u32 {
         self.0.get()
     }
 
-    /// Finds the targets that the mark may mean.
+    /// The index that selects the targets that may be meant.
     pub(crate) fn index(self) -> Index {
         Index((self.0.get() >> CHECK_BITS) as u16)
     }
 
-    /// Whether this is the mark of the flow at that target.
+    /// Whether this is the mark of the flow at the target.
     pub fn matches(self, incarnation: Incarnation, flow: &FlowKey) -> bool {
         self == Mark::new(incarnation, flow)
     }
 }
 
-/// The part of a mark that depends on the target only.
+/// The part of a mark that depends only on the target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) struct Index(u16);
 
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -1,4 +1,4 @@
-//! What was decided or is believed anew, for whoever explains it afterwards.
+//! Decisions and changes of state that are written to the log.
 
 use crate::{Finding, FlowKey, Incarnation, Mark, Refusal, Restored, Revision, Start, Unroutable};
 use medlarspur_lib::{
@@ -9,96 +9,96 @@
 use medlarspur_load::choice::Tier;
 use std::fmt;
 
-/// One decision or change of belief with what decided it.
+/// One decision or change of state, with what led to it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Note {
-    /// A new flow was given a target.
+    /// A target was chosen for a new flow.
     Opened {
-        /// The flow.
+        /// Key of the flow.
         flow: FlowKey,
-        /// Its target.
+        /// The chosen target.
         target: Incarnation,
         /// The class of the requests inside.
         class: Class,
-        /// How good the target was among those that could take the flow.
+        /// Rank of the target among the candidates.
         tier: Tier,
-        /// Requests and openings under way there, as seen from here.
+        /// Requests and openings in progress at the target, as seen by this instance.
         work: u32,
-        /// How many targets could take the flow.
+        /// Number of targets that could take the flow.
         candidates: usize,
     },
-    /// A new flow waits for room at its service.
+    /// A new flow is held until its service has capacity.
     Held {
-        /// The flow.
+        /// Key of the flow.
         flow: FlowKey,
         /// The class of the requests inside.
         class: Class,
-        /// Requests and openings under way at the service, as seen from here.
+        /// Requests and openings in progress at the service, as seen by this instance.
         work: u32,
-        /// How long answers take there, in hundredths of their goals.
+        /// Answer time of the service in hundredths of the latency objective.
         pressure: u32,
-        /// How many flows wait for it already.
+        /// Number of flows already held for the service.
         waiting: usize,
     },
-    /// A flow that was being opened goes to another target.
+    /// A flow whose handshake had not ended was moved to another target.
     Moved {
-        /// The flow.
+        /// Key of the flow.
         flow: FlowKey,
-        /// The target that does not answer.
+        /// The target that did not answer.
         from: Incarnation,
     },
     /// A flow was reset.
     Reset {
-        /// The flow.
+        /// Key of the flow.
         flow: FlowKey,
-        /// Why.
+        /// Reason of the reset.
         refusal: Refusal,
-        /// Its target, if it had one.
+        /// The flow's target, if it had one.
         target: Option<Incarnation>,
-        /// Since when that target does not answer.
+        /// Time for which that target has been lost.
         lost: Option<Millis>,
     },
-    /// A packet in mid-flow went nowhere.
+    /// A packet in mid-flow was dropped.
     Dropped {
-        /// Its flow.
+        /// Key of the packet's flow.
         flow: FlowKey,
-        /// Why.
+        /// Reason of the drop.
         reason: Unroutable,
-        /// Its mark, if it has one.
+        /// The packet's mark, if it has one.
         mark: Option<Mark>,
     },
-    /// A target is asked whether it answers.
+    /// A target is suspected and probed.
     Doubted {
-        /// The target.
+        /// The suspected target.
         target: Incarnation,
-        /// The flow whose packet got no answer.
+        /// Flow whose packet was not answered.
         flow: FlowKey,
-        /// How long that packet has waited.
+        /// Time for which that packet has been unanswered.
         silent: Millis,
     },
-    /// A target does not answer any more.
+    /// A target was found not to answer.
     Lost {
-        /// The target.
+        /// The lost target.
         target: Incarnation,
-        /// What asking it brought.
+        /// Result of the probe.
         finding: Finding,
-        /// How long ago it last showed life.
+        /// Time since the target was last known to be alive.
         silent: Millis,
-        /// How many flows it had here.
+        /// Number of its flows here.
         flows: usize,
     },
-    /// A target takes no openings any more.
+    /// A target no longer accepts openings.
     Full {
-        /// The target.
+        /// The full target.
         target: Incarnation,
-        /// How long ago it last took an opening.
+        /// Time since it last accepted an opening.
         taken: Millis,
-        /// How long ago it last showed life.
+        /// Time since it was last known to be alive.
         silent: Millis,
-        /// How many flows it has here.
+        /// Number of its flows here.
         flows: usize,
     },
-    /// A full target takes openings again.
+    /// A full target accepts openings again.
     Vacant {
         /// The target.
         target: Incarnation,
@@ -108,75 +108,76 @@
         /// The target.
         target: Incarnation,
     },
-    /// A target is listed, is about to leave, or was removed.
+    /// The entry of a target changed.
     Entry {
         /// The target.
         target: Incarnation,
-        /// The name under which it is listed.
+        /// Name of the entry.
         name: TargetName,
-        /// When it started, by its own clock.
+        /// Start of the target by its own clock.
         start: Start,
-        /// What became of it.
+        /// State of the entry.
         state: EntryState,
-        /// The revision that says so.
+        /// Revision of the change.
         revision: Revision,
     },
-    /// Operators have emptied a failure domain: its targets get no new flows.
+    /// Operators evacuated a failure domain: its targets get no new flows.
     Evacuated {
-        /// The failure domain.
+        /// The evacuated domain.
         domain: DomainName,
-        /// The revision that says so.
+        /// Revision of the change.
         revision: Revision,
-        /// How many targets are listed there.
+        /// Number of targets listed in the domain.
         targets: usize,
     },
-    /// Operators have taken that back.
+    /// Operators ended the evacuation of a failure domain.
     EvacuationEnded {
-        /// The failure domain.
+        /// The domain.
         domain: DomainName,
-        /// The revision that says so, or up to which no evacuation is listed any more.
+        /// Revision of the change, or of the snapshot in which the evacuation is no longer
+        /// listed.
         revision: Revision,
-        /// How many targets are listed there.
+        /// Number of targets listed in the domain.
         targets: usize,
     },
-    /// This instance's failure domain is evacuated and cut off from all others: its targets
-    /// get new flows all the same.
+    /// This instance's failure domain is evacuated and partitioned from all others: its targets
+    /// get new flows despite the evacuation.
     Stranded {
-        /// How long ago a target elsewhere last showed life.
+        /// Time since a target in another domain was last known to be alive.
         silent: Millis,
     },
-    /// That is over.
+    /// The failure domain is no longer partitioned, or no longer evacuated.
     Rejoined,
-    /// The source came back from a copy.
+    /// The store came back from a copy.
     StoreRestored(Restored),
-    /// A config is in force.
+    /// A config came into force.
     Config {
-        /// Its version.
+        /// Version of the config.
         version: Version,
-        /// Its revision.
+        /// Revision of the config.
         revision: Revision,
-        /// How many routes it has.
+        /// Number of its routes.
         routes: usize,
     },
 }
 
-/// What became of a target's entry.
+/// State of a target's entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryState {
-    /// It takes new flows.
+    /// The target takes new flows.
     Listed,
-    /// It keeps its flows and takes no new ones.
+    /// The target keeps its flows and takes no new ones.
     Leaving,
-    /// It is not listed any more.
+    /// The entry is no longer listed.
     Removed,
-    /// Its entry names no target that could be used.
+    /// The entry names no usable target.
     Unusable,
-    /// A later start under its name is known.
+    /// A later start under the same name is known.
     Replaced,
 }
 
-/// The kinds of notes. Their number is bounded apart from each other, so that
-/// many of one kind can't push out those of another.
+/// Kinds of notes. Each kind has its own limit on the number of log lines, so that many notes
+/// of one kind can't displace those of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum NoteKind {
     /// [`Note::Opened`].
@@ -211,7 +212,7 @@
         NoteKind::News,
     ];
 
-    /// The name under which lines that were left out are counted.
+    /// The name under which omitted lines of this kind are counted.
     pub fn name(self) -> &'static str {
         match self {
             NoteKind::Opened => "opened",
@@ -226,11 +227,11 @@
     }
 }
 
-/// The fields of a line, by the names that `docs/OPERATIONS.md` lists.
+/// The fields of a log line, under the names listed in `docs/OPERATIONS.md`.
 pub type Fields = Vec<(&'static str, String)>;
 
 impl Note {
-    /// Its kind.
+    /// The kind of the note.
     pub fn kind(&self) -> NoteKind {
         match self {
             Note::Opened { .. } => NoteKind::Opened,
@@ -247,7 +248,7 @@
         }
     }
 
-    /// What happened, in the words that lines begin with.
+    /// The event with which the log line begins.
     pub fn event(&self) -> &'static str {
         match self {
             Note::Opened { .. } => "flow opened",
@@ -270,7 +271,7 @@
         }
     }
 
-    /// Its fields; `name` tells what a target is called in lines.
+    /// The fields of the log line; `name` returns the name of a target.
     pub fn fields(&self, name: impl Fn(Incarnation) -> String) -> Fields {
         match self {
             Note::Opened { flow, target, class, tier, work, candidates } => vec![
@@ -351,7 +352,7 @@
     }
 }
 
-/// The name of a value in lines: `NoRoute` is `no-route`.
+/// Returns the name of a value in log lines: `NoRoute` becomes `no-route`.
 fn lower(value: &impl fmt::Debug) -> String {
     let mut name = String::new();
     for c in format!("{value:?}").chars() {
--- a/marked/tests/test_contested.rs
+++ b/marked/tests/test_contested.rs
@@ -3,8 +3,8 @@
 use super::fixtures::{FEED, Instance, REQUEST, flow, middle, millis, target};
 use medlarspur_marked::{Finding, FlowKey, Incarnation, Kind};
 
-/// Two targets, and a flow whose opening went to the first of them twice and then, as that
-/// seemed to be full, to the second.
+/// A flow whose opening was sent twice to the first of two targets and then to the second, as
+/// the first seemed full.
 struct Moved {
     instance: Instance,
     key: FlowKey,
@@ -28,14 +28,14 @@
     Moved { instance, key, first, second }
 }
 
-/// Another target than this one.
+/// A target other than the given one.
 fn other_than(instance: &Instance, target: Incarnation) -> Incarnation {
     let entries = instance.forwarder.catalog().entries();
     let mut others = entries.map(|entry| entry.target.incarnation).filter(|it| *it != target);
     others.next().expect("there are two")
 }
 
-/// How many flows are being opened at a target, or worked on.
+/// Number of flows with an opening or request in progress at a target.
 fn busy(instance: &Instance, at: Incarnation) -> u32 {
     let name = &instance.forwarder.catalog().entry(at).expect("known").target.name;
     let explained = instance.forwarder.explain(&flow(9_999, FEED), None, millis(0));
@@ -54,7 +54,8 @@
     assert_eq!(instance.last(), first);
 }
 
-/// Guards against the same where the answer to the earlier copy comes last.
+/// Guards against data sent to the first target although the caller acknowledged the second:
+/// the answer to the earlier copy of the opening arrives last.
 #[test]
 fn data_goes_on_to_the_second_target_when_the_first_answers_late() {
     let Moved { mut instance, key, first, second } = moved();
@@ -65,9 +66,9 @@
     assert_eq!(instance.last(), second);
 }
 
-/// Guards against a target that never hears that its flow has ended.
+/// Guards against a target that never learns that its flow has ended.
 #[test]
-fn the_end_of_a_flow_goes_where_its_data_went() {
+fn closing_packets_go_to_the_target_of_the_data() {
     for kind in [Kind::Close, Kind::Abort] {
         let Moved { mut instance, key, first, second } = moved();
         instance.packet(middle(key, first, 1001, 500, 0), 1_033);
@@ -80,7 +81,8 @@
     }
 }
 
-/// Guards against the same where routers brought a copy of the opening to another instance.
+/// Guards against data sent to the wrong one of two targets after routers brought a copy of the
+/// opening to another instance.
 #[test]
 fn data_goes_to_the_target_that_another_instance_has_opened_the_flow_at() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
@@ -96,7 +98,7 @@
 
 /// Guards against copies of an opening that follow a mark to a target of another service.
 #[test]
-fn a_mark_of_another_service_does_not_take_an_opening_there() {
+fn a_mark_of_another_service_does_not_move_an_opening_there() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     let key = flow(1, REQUEST);
     let here = instance.open(key, 1_000);
@@ -106,9 +108,9 @@
     assert_eq!(instance.open(key, 1_200), here);
 }
 
-/// Guards against a record that outlives its flow and takes a later one of the same ports.
+/// Guards against a record that outlives its flow and diverts a later flow of the same ports.
 #[test]
-fn a_later_flow_of_the_same_ports_goes_by_its_mark() {
+fn a_later_flow_of_the_same_ports_follows_its_mark() {
     let Moved { mut instance, key, first, second } = moved();
     instance.packet(middle(key, second, 1001, 500, 0), 1_033);
 
@@ -117,9 +119,9 @@
     assert_eq!(instance.last(), first);
 }
 
-/// Guards against openings that count for good as work of a target which they are not at.
+/// Guards against openings that count forever as work of a target that they are not at.
 #[test]
-fn an_opening_that_another_target_took_is_no_work_of_the_second() {
+fn an_opening_that_one_target_accepted_is_no_work_of_the_other() {
     let Moved { mut instance, key, first, second } = moved();
     assert_eq!(busy(&instance, second), 1);
 
@@ -128,9 +130,10 @@
     assert_eq!(busy(&instance, second), 0);
 }
 
-/// Guards against the same where a flow of the same ports goes on at another target.
+/// Guards against requests that count forever as work of a target after a flow of the same
+/// ports continued at another one.
 #[test]
-fn a_record_that_is_replaced_is_no_work_any_more() {
+fn a_replaced_record_is_no_longer_counted_as_work() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, REQUEST);
     let here = instance.opened(key, 1_000);
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -1,4 +1,4 @@
-//! Failure domains that operators empty: nothing new goes there, what is open goes on.
+//! Evacuated failure domains: they get no new flows, and open flows go on.
 
 use super::fixtures::{
     FEED, Instance, REQUEST, all, change, config, flow, middle, millis, news, one, segment, target,
@@ -18,7 +18,7 @@
     DomainName::new("south")
 }
 
-/// A target of the domain that is emptied.
+/// A target in the evacuated domain.
 fn southern(number: u64) -> Target {
     Target { domain: south(), ..target(number, "desk") }
 }
@@ -27,18 +27,18 @@
     one(revision, Content::Evacuated(south()))
 }
 
-fn restored(revision: u64) -> News {
+fn evacuation_ended(revision: u64) -> News {
     one(revision, Content::Restored(south()))
 }
 
-/// One target in the north, one in the south.
-fn two() -> (Instance, Incarnation, Incarnation) {
+/// An instance with one target in the north and one in the south.
+fn two_domains() -> (Instance, Incarnation, Incarnation) {
     let (north, south) = (target(1, "desk"), southern(2));
     let instance = Instance::new(&[north.clone(), south.clone()]);
     (instance, north.incarnation, south.incarnation)
 }
 
-/// Opens requests at one moment until one goes to `at`.
+/// Opens requests at the same time until one goes to `at`.
 fn open_at(instance: &mut Instance, at: Incarnation, now: u64) -> FlowKey {
     let mut keys = (100..200).map(|number| flow(number, REQUEST));
     keys.find(|key| instance.open(*key, now) == at).expect("one goes there")
@@ -48,11 +48,11 @@
     instance.usage(flow(9_999, FEED), at, now)
 }
 
-/// Operators empty a failure domain before its power is worked on. A flow that is
-/// opened there afterwards breaks when the power goes.
+/// Guards against flows opened in a domain that operators evacuated before maintenance of its
+/// power: they break when the power goes.
 #[test]
 fn no_flow_is_opened_in_an_evacuated_domain() {
-    let (mut instance, _, south) = two();
+    let (mut instance, _, south) = two_domains();
 
     instance.learn(evacuated(101), 10);
 
@@ -60,14 +60,14 @@
         assert_ne!(instance.open(flow(number, REQUEST), 20), south);
     }
     assert_eq!(usage(&instance, south, 30), TargetUse::Evacuated);
-    let told = |note: &Note| matches!(note, Note::Evacuated { targets: 1, .. });
-    assert_eq!(instance.out.notes.iter().filter(|it| told(it)).count(), 1);
+    let is_expected = |note: &Note| matches!(note, Note::Evacuated { targets: 1, .. });
+    assert_eq!(instance.out.notes.iter().filter(|it| is_expected(it)).count(), 1);
 }
 
-/// Emptying a domain breaks no flow: callers of an open feed go on where they are.
+/// Guards against flows broken by an evacuation: callers of an open feed go on where they are.
 #[test]
 fn flows_in_an_evacuated_domain_go_on() {
-    let (mut instance, _, south) = two();
+    let (mut instance, _, south) = two_domains();
     let key = open_at(&mut instance, south, 0);
     instance.packet(middle(key, south, 1001, 500, 0), 5);
 
@@ -79,11 +79,11 @@
     assert!(instance.out.resets.is_empty());
 }
 
-/// The opening packet is lost on the way to the target, the domain is emptied, and the
-/// caller sends the packet again. The copy would open the flow there after all.
+/// Guards against a flow opened in an evacuated domain by a copy of its opening: the first one
+/// is lost, the domain is evacuated, and the caller sends the packet again.
 #[test]
 fn the_copy_of_an_unanswered_opening_leaves_an_evacuated_domain() {
-    let (mut instance, north, south) = two();
+    let (mut instance, north, south) = two_domains();
     let key = open_at(&mut instance, south, 0);
 
     instance.learn(evacuated(101), 10);
@@ -92,11 +92,12 @@
     assert_eq!(instance.last(), north);
 }
 
-/// The same, but the target has answered: the copy was late. A second target would answer
-/// it too, and the caller would be left with the numbers of one and the mark of the other.
+/// Guards against a second target for a flow whose opening the first one has answered, if a
+/// copy of the opening arrives late. The caller would have the sequence numbers of one target
+/// and the mark of the other.
 #[test]
 fn the_copy_of_an_answered_opening_stays() {
-    let (mut instance, _, south) = two();
+    let (mut instance, _, south) = two_domains();
     let key = open_at(&mut instance, south, 0);
     instance.packet(middle(key, south, 1001, 500, 0), 5);
 
@@ -106,11 +107,11 @@
     assert_eq!(instance.last(), south);
 }
 
-/// An opening is unanswered for longer than usual, and this instance sends it once more by
-/// itself.
+/// Guards against an instance that sends an unanswered opening into an evacuated domain once
+/// more by itself.
 #[test]
 fn an_opening_that_is_sent_again_leaves_an_evacuated_domain() {
-    let (mut instance, north, south) = two();
+    let (mut instance, north, south) = two_domains();
     open_at(&mut instance, south, 0);
 
     instance.learn(evacuated(101), 10);
@@ -122,9 +123,9 @@
     assert!(instance.out.sent.iter().all(|(to, ..)| *to == north));
 }
 
-/// A target dies while a domain is evacuated, and what was being opened there moves.
+/// Guards against openings that move into an evacuated domain when their target dies.
 #[test]
-fn moved_openings_pass_an_evacuated_domain_over() {
+fn moved_openings_avoid_an_evacuated_domain() {
     let (one, other, empty) = (target(1, "desk"), target(3, "desk"), southern(2));
     let mut instance = Instance::new(&[one.clone(), other.clone(), empty.clone()]);
     instance.learn(evacuated(101), 10);
@@ -144,11 +145,11 @@
     assert!(instance.out.sent.iter().all(|(to, ..)| *to == other.incarnation));
 }
 
-/// A full target has a place again when one of its flows ends. In an evacuated domain the
-/// place stays empty, and nobody asks whether there is one.
+/// Guards against new flows for a full target in an evacuated domain when one of its flows
+/// ends, and against probes for its free slots.
 #[test]
-fn a_place_that_comes_free_in_an_evacuated_domain_stays_empty() {
-    let (mut instance, north, south) = two();
+fn a_slot_that_becomes_free_in_an_evacuated_domain_stays_empty() {
+    let (mut instance, north, south) = two_domains();
     instance.hear_answers(FEED, 20, 40);
     let feed = (100..200).map(|number| flow(number, FEED));
     let feed = feed.into_iter().find(|key| instance.opened(*key, 50) == south).expect("one");
@@ -177,10 +178,11 @@
     assert!(!instance.out.asked.contains(&south));
 }
 
-/// A target starts in a domain that is being emptied. Its entry is the newest there is.
+/// Guards against flows for a target that starts in an evacuated domain. Its entry is newer
+/// than the evacuation.
 #[test]
-fn a_target_that_starts_in_an_evacuated_domain_gets_nothing() {
-    let (mut instance, north, _) = two();
+fn a_target_that_starts_in_an_evacuated_domain_gets_no_flows() {
+    let (mut instance, north, _) = two_domains();
     instance.learn(evacuated(101), 10);
 
     instance.learn(one(102, Content::Target(southern(5))), 20);
@@ -190,8 +192,8 @@
     }
 }
 
-/// All domains with targets of the service are emptied. Callers hear so at once, which is
-/// true: nothing was sent anywhere.
+/// Guards against callers who wait while all domains with targets of the service are evacuated.
+/// A reset at once is correct: nothing was sent to any target.
 #[test]
 fn callers_are_refused_at_once_where_all_domains_are_evacuated() {
     let mut instance = Instance::new(&[southern(2)]);
@@ -204,38 +206,39 @@
 }
 
 #[test]
-fn a_restored_domain_is_used_again() {
-    let (mut instance, _, south) = two();
+fn a_domain_is_used_again_after_its_evacuation_ended() {
+    let (mut instance, _, south) = two_domains();
     instance.learn(evacuated(101), 10);
 
-    instance.learn(restored(102), 20);
+    instance.learn(evacuation_ended(102), 20);
 
     open_at(&mut instance, south, 30);
     assert_eq!(usage(&instance, south, 30), TargetUse::Good);
 }
 
-/// News comes late and out of order: an instance hears that an evacuation ended, and then
-/// of its beginning.
+/// Guards against updates that arrive late and out of order: the end of an evacuation arrives
+/// before its beginning.
 #[test]
-fn older_news_does_not_undo_what_operators_said_last() {
-    let (mut instance, north, south) = two();
-    instance.learn(restored(105), 10);
+fn an_older_update_does_not_undo_the_last_change_by_operators() {
+    let (mut instance, north, south) = two_domains();
+    instance.learn(evacuation_ended(105), 10);
     instance.learn(evacuated(103), 20);
     open_at(&mut instance, south, 30);
 
     instance.learn(evacuated(107), 40);
-    instance.learn(restored(105), 50);
+    instance.learn(evacuation_ended(105), 50);
 
     for number in 300..320 {
         assert_eq!(instance.open(flow(number, REQUEST), 60), north);
     }
 }
 
-/// The store forgets its history while an evacuation ends, so no news tells of the end.
-/// All is read again, and what is not there any more has ended.
+/// Guards against evacuations that never end: the store drops its history before the end is
+/// read, so no incremental update contains it. All items are read again, and an evacuation that
+/// is not among them has ended.
 #[test]
-fn an_evacuation_that_ended_unheard_ends_with_the_next_whole_picture() {
-    let (mut instance, _, south) = two();
+fn an_evacuation_ends_with_a_snapshot_that_no_longer_lists_it() {
+    let (mut instance, _, south) = two_domains();
     instance.learn(evacuated(101), 10);
 
     let picture = all(&[target(1, "desk"), southern(2)]);
@@ -244,10 +247,10 @@
     open_at(&mut instance, south, 30);
 }
 
-/// A picture that was read before the evacuation arrives after its news.
+/// Guards against an evacuation ended by a snapshot that was read before it and arrives later.
 #[test]
-fn an_older_picture_does_not_end_an_evacuation() {
-    let (mut instance, north, _) = two();
+fn an_older_snapshot_does_not_end_an_evacuation() {
+    let (mut instance, north, _) = two_domains();
     instance.learn(evacuated(120), 10);
 
     instance.learn(all(&[target(1, "desk"), southern(2)]), 20);
@@ -257,24 +260,25 @@
     }
 }
 
-/// All instances lose their power while a domain is evacuated. Who starts is told all by
-/// somebody who knows, the evacuation included, and serves nobody before.
+/// Guards against flows in an evacuated domain after all instances lost their power: a starting
+/// instance gets a snapshot from another one and serves nobody before, so the snapshot must
+/// contain evacuations.
 #[test]
-fn a_picture_for_who_starts_has_the_evacuations() {
-    let (mut instance, ..) = two();
+fn a_snapshot_for_a_starting_instance_contains_evacuations() {
+    let (mut instance, ..) = two_domains();
     instance.learn(evacuated(101), 10);
-    let told = instance.forwarder.catalog().since(Default::default(), millis(20));
+    let snapshot = instance.forwarder.catalog().since(Default::default(), millis(20));
 
     let mut fresh = Instance::new(&[]);
-    fresh.learn(told, 0);
+    fresh.learn(snapshot, 0);
 
     assert!(fresh.forwarder.catalog().is_evacuated(&south()));
 }
 
-/// An instance that has just started hears one piece of news before it has a picture. It
-/// names targets, and not that their domain is evacuated.
+/// Guards against a starting instance that serves by an incremental update before it has a
+/// snapshot. The update names targets but not that their domain is evacuated.
 #[test]
-fn single_news_is_no_picture_to_serve_by() {
+fn an_incremental_update_does_not_make_a_catalog_usable() {
     let mut catalog = medlarspur_marked::Catalog::default();
     let changes =
         vec![change(90, Content::Config(config(1))), change(91, Content::Target(southern(2)))];
@@ -285,23 +289,22 @@
     assert!(!catalog.is_usable());
 }
 
-/// A service says how many requests a second its targets bear after their start, from all
-/// instances together. A domain that operators take back is full of such targets, and idle,
-/// so it would get all that is opened.
-fn warming(instance: &mut Instance) {
-    let mut wanted = config(7);
+/// Limits the rate of requests to targets in slow start, from all instances together. A domain
+/// whose evacuation ends is full of such targets, and idle, so it would get all new flows.
+fn limit_slow_start_rate(instance: &mut Instance) {
+    let mut config = config(7);
     let warmup = Some(Warmup { span: millis(2_000), rate: 4 });
-    wanted.services =
+    config.services =
         vec![Service { name: ServiceName::new("desk"), health: "/health".into(), warmup }];
-    instance.learn(one(101, Content::Config(wanted)), 0);
+    instance.learn(one(101, Content::Config(config)), 0);
 }
 
 #[test]
-fn a_restored_domain_is_left_alone_until_its_targets_are_warm() {
-    let (mut instance, north, south) = two();
-    warming(&mut instance);
+fn a_domain_gets_no_flows_after_its_evacuation_until_its_targets_are_warm() {
+    let (mut instance, north, south) = two_domains();
+    limit_slow_start_rate(&mut instance);
     instance.learn(evacuated(102), 10);
-    instance.learn(restored(103), 5_000);
+    instance.learn(evacuation_ended(103), 5_000);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 6_900), north);
@@ -311,11 +314,11 @@
     open_at(&mut instance, south, 7_100);
 }
 
-/// A target that starts says for how long it is slow, which may be longer.
+/// A starting target announces how long it is in slow start, which may be longer.
 #[test]
-fn a_target_that_starts_is_left_alone_until_it_is_warm() {
-    let (mut instance, north, south) = two();
-    warming(&mut instance);
+fn a_starting_target_gets_no_flows_until_it_is_warm() {
+    let (mut instance, north, south) = two_domains();
+    limit_slow_start_rate(&mut instance);
 
     let slow = Target { cold: millis(3_000), ..southern(2) };
     instance.learn(one(102, Content::Target(slow)), 100);
@@ -326,12 +329,12 @@
     open_at(&mut instance, south, 3_200);
 }
 
-/// All targets of the service are slow after their start. Whatever this instance sent
-/// there would come on top of what others send, so callers are refused at once.
+/// Guards against requests beyond the limit while all targets of the service are in slow start:
+/// anything that this instance sent would come on top of what others send.
 #[test]
 fn callers_are_refused_at_once_while_all_targets_are_warming() {
     let mut instance = Instance::new(&[]);
-    warming(&mut instance);
+    limit_slow_start_rate(&mut instance);
     let slow = Target { cold: millis(2_000), ..southern(2) };
     instance.learn(one(102, Content::Target(slow)), 100);
 
@@ -340,47 +343,47 @@
     assert_eq!(instance.out.resets, [(flow(1, REQUEST), 0, Refusal::Warming)]);
 }
 
-/// Where operators don't bound it, a slow target gets less than others, and not nothing:
-/// after a release of all targets nobody would be served.
+/// Guards against a service without targets after all of them were released: without a limit by
+/// operators, a target in slow start gets fewer flows, but not none.
 #[test]
-fn slow_targets_without_a_bound_are_used() {
+fn targets_in_slow_start_are_used_if_their_rate_is_not_limited() {
     let slow = Target { cold: millis(2_000), ..southern(2) };
     let mut instance = Instance::new(std::slice::from_ref(&slow));
 
     assert_eq!(instance.open(flow(1, REQUEST), 100), slow.incarnation);
 }
 
-/// What operators said: revision, and whether the domain is evacuated.
-fn said(count: usize) -> impl Strategy<Value = Vec<(u64, bool)>> {
+/// Changes by operators: revision, and whether the domain is evacuated.
+fn operator_changes(count: usize) -> impl Strategy<Value = Vec<(u64, bool)>> {
     proptest::collection::vec(any::<bool>(), 1..count)
-        .prop_map(|words| (200..).zip(words).collect())
+        .prop_map(|changes| (200..).zip(changes).collect())
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever order news comes in, however often, the last word of the operators holds.
+    /// Whatever the order and number of updates, the last change by the operators applies.
     #[test]
-    fn the_last_word_holds_in_any_order(
-        words in said(8), order in proptest::collection::vec(any::<prop::sample::Index>(), 0..24)
+    fn the_last_change_applies_in_any_order(
+        changes in operator_changes(8), order in proptest::collection::vec(any::<prop::sample::Index>(), 0..24)
     ) {
-        let (mut instance, ..) = two();
-        let (last, is_evacuated) = *words.last().expect("one at least");
-        let tell = |(revision, evacuates): (u64, bool)| {
-            if evacuates { evacuated(revision) } else { restored(revision) }
+        let (mut instance, ..) = two_domains();
+        let (last, is_evacuated) = *changes.last().expect("one at least");
+        let update_of = |(revision, evacuates): (u64, bool)| {
+            if evacuates { evacuated(revision) } else { evacuation_ended(revision) }
         };
         for index in order {
-            instance.learn(tell(*index.get(&words)), 10);
+            instance.learn(update_of(*index.get(&changes)), 10);
         }
-        instance.learn(tell((last, is_evacuated)), 20);
-        instance.learn(tell(words[0]), 30);
+        instance.learn(update_of((last, is_evacuated)), 20);
+        instance.learn(update_of(changes[0]), 30);
 
         prop_assert_eq!(instance.forwarder.catalog().is_evacuated(&south()), is_evacuated);
     }
 }
 
-/// An instance of the emptied domain and one target in each of two domains.
-fn home() -> (Instance, Incarnation, Incarnation) {
+/// An instance of the evacuated domain and one target in each of two domains.
+fn evacuated_home() -> (Instance, Incarnation, Incarnation) {
     let targets = [southern(2), target(1, "desk")];
     let mut instance = Instance::in_domain("south", &targets);
     instance.learn(evacuated(101), 10);
@@ -388,11 +391,11 @@
     (instance, own, other)
 }
 
-/// The network between failure domains breaks while this one is evacuated: the store can't be
-/// reached, and no target elsewhere answers. Callers of this domain reach nobody else, and
-/// its targets are well.
-fn cut_off() -> (Instance, Incarnation, Incarnation) {
-    let (mut instance, own, other) = home();
+/// The same with the domain partitioned from others during its evacuation: neither the store
+/// nor a target in another domain can be reached. Callers of this domain reach no other one,
+/// and its targets are healthy.
+fn partitioned_home() -> (Instance, Incarnation, Incarnation) {
+    let (mut instance, own, other) = evacuated_home();
     assert_eq!(instance.opened(flow(1, REQUEST), 1_000), other);
     instance.forwarder.set_cut_off(true);
     instance.tick(3_000);
@@ -400,35 +403,36 @@
 }
 
 #[test]
-fn callers_of_an_evacuated_domain_that_is_cut_off_are_served_there() {
-    let (mut instance, own, _) = cut_off();
+fn a_partitioned_evacuated_domain_serves_its_callers() {
+    let (mut instance, own, _) = partitioned_home();
 
     for number in 100..120 {
         assert_eq!(instance.open(flow(number, REQUEST), 3_010), own);
     }
-    let told = |note: &Note| matches!(note, Note::Stranded { .. });
-    assert_eq!(instance.out.notes.iter().filter(|it| told(it)).count(), 1);
+    let is_expected = |note: &Note| matches!(note, Note::Stranded { .. });
+    assert_eq!(instance.out.notes.iter().filter(|it| is_expected(it)).count(), 1);
 }
 
-/// The cut is over: somebody else answers, or the store does.
+/// The partition is over once a target in another domain or the store answers.
 #[test]
-fn an_evacuated_domain_is_left_alone_again_once_others_answer() {
-    let (mut by_life, _, other) = cut_off();
-    by_life.packet(middle(flow(1, REQUEST), other, 1001, 500, 100), 3_050);
-    by_life.packet(middle(flow(1, REQUEST), other, 1101, 700, 0), 3_100);
-    by_life.tick(3_100);
-    let (mut by_store, ..) = cut_off();
+fn an_evacuated_domain_is_unused_again_once_others_answer() {
+    let (mut by_target, _, other) = partitioned_home();
+    by_target.packet(middle(flow(1, REQUEST), other, 1001, 500, 100), 3_050);
+    by_target.packet(middle(flow(1, REQUEST), other, 1101, 700, 0), 3_100);
+    by_target.tick(3_100);
+    let (mut by_store, ..) = partitioned_home();
     by_store.forwarder.set_cut_off(false);
     by_store.tick(3_100);
 
-    assert_eq!(by_life.open(flow(200, REQUEST), 3_110), other);
+    assert_eq!(by_target.open(flow(200, REQUEST), 3_110), other);
     assert_eq!(by_store.open(flow(200, REQUEST), 3_110), other);
 }
 
-/// The store is down and all else is well. What operators said last holds.
+/// Guards against an evacuated domain that is used because only the store is down. The last
+/// change by the operators applies.
 #[test]
-fn a_store_that_is_away_opens_no_evacuated_domain() {
-    let (mut instance, _, other) = home();
+fn an_evacuated_domain_stays_unused_while_only_the_store_is_unreachable() {
+    let (mut instance, _, other) = evacuated_home();
     instance.opened(flow(1, REQUEST), 2_900);
     instance.forwarder.set_cut_off(true);
     instance.tick(3_000);
@@ -436,21 +440,22 @@
     assert_eq!(instance.open(flow(100, REQUEST), 3_010), other);
 }
 
-/// Nothing answers elsewhere, but the store does: operators can be heard, and have not taken
-/// it back.
+/// Guards against an evacuated domain that is used because no target answers elsewhere. The
+/// store does, so operators can be heard and have not ended the evacuation.
 #[test]
-fn silence_elsewhere_alone_opens_no_evacuated_domain() {
-    let (mut instance, own, _) = home();
+fn an_evacuated_domain_stays_unused_while_only_other_targets_are_silent() {
+    let (mut instance, own, _) = evacuated_home();
     instance.opened(flow(1, REQUEST), 1_000);
     instance.tick(3_000);
 
     assert_ne!(instance.open(flow(100, REQUEST), 3_010), own);
 }
 
-/// All domains are evacuated and the store is away. No silence shows that this instance is cut
-/// off from anybody.
+/// Guards against an evacuated domain that is used although all domains are evacuated and the
+/// store is down. Without usable targets elsewhere, silence doesn't show that this instance is
+/// partitioned from others.
 #[test]
-fn a_domain_stays_evacuated_where_all_are() {
+fn an_evacuated_domain_stays_unused_if_all_are_evacuated() {
     let mut instance = Instance::in_domain("south", &[southern(2)]);
     instance.learn(evacuated(101), 10);
     instance.forwarder.set_cut_off(true);
@@ -461,11 +466,11 @@
     assert_eq!(instance.out.resets, [(flow(1, REQUEST), 0, Refusal::Evacuated)]);
 }
 
-/// Callers whose openings went to targets that can't be reached still wait. What they wait
-/// for comes over, before they give up.
+/// Guards against callers who give up because their openings were sent to targets that can't be
+/// reached any more.
 #[test]
-fn openings_that_nobody_answers_come_over_when_a_domain_is_cut_off() {
-    let (mut instance, own, other) = home();
+fn unanswered_openings_move_home_when_the_domain_is_partitioned() {
+    let (mut instance, own, other) = evacuated_home();
     instance.opened(flow(1, REQUEST), 1_000);
     assert_eq!(instance.open(flow(50, REQUEST), 2_900), other);
     instance.out.sent.clear();
@@ -477,12 +482,12 @@
     assert_eq!(instance.last(), own);
 }
 
-/// All targets of the service are slow after their start, and this instance owns them. Each
-/// gets what its owner may open, and no more.
+/// Guards against targets in slow start that get more than their owner may open, while all
+/// targets of the service are in slow start.
 #[test]
-fn an_owner_opens_flows_at_slow_targets_one_after_the_other() {
+fn an_owner_opens_flows_at_a_limited_rate_during_slow_start() {
     let mut instance = Instance::in_domain("south", &[]);
-    warming(&mut instance);
+    limit_slow_start_rate(&mut instance);
     let slow = Target { cold: millis(5_000), ..southern(2) };
     instance.learn(one(102, Content::Target(slow.clone())), 0);
     instance.forwarder.set_seat(Some(Seat { position: 0, count: 1 }));
@@ -497,12 +502,12 @@
     assert!(instance.out.resets.iter().all(|(.., why)| *why == Refusal::Warming));
 }
 
-/// Whoever owns a target is in its domain: with the domain cut off, others may take
-/// themselves for its owner too.
+/// Guards against two owners of a target in slow start: owners are in the target's domain, and
+/// with that domain partitioned, instances of others may take themselves for its owner too.
 #[test]
-fn slow_targets_of_other_domains_have_other_owners() {
+fn targets_in_slow_start_are_owned_within_their_domain() {
     let mut instance = Instance::new(&[]);
-    warming(&mut instance);
+    limit_slow_start_rate(&mut instance);
     let slow = Target { cold: millis(5_000), ..southern(2) };
     instance.learn(one(102, Content::Target(slow)), 0);
     instance.forwarder.set_seat(Some(Seat { position: 0, count: 1 }));
--- a/marked/tests/test_flow.rs
+++ b/marked/tests/test_flow.rs
@@ -1,4 +1,4 @@
-//! What a caller's half of a flow shows of its target.
+//! What the caller's packets show about a flow's target.
 
 use super::fixtures::{FEED, UPLOAD, flow, middle, millis, target};
 use medlarspur_lib::bundle::Class;
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn the_end_of_the_handshake_shows_life() {
+fn the_end_of_the_handshake_shows_that_the_target_is_alive() {
     let to = target(1, "desk").incarnation;
     let mut it = Flow::open(to, Class::Feed, b"open".as_slice().into(), 1000, millis(0));
     assert!(it.is_opening());
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn a_request_waits_until_its_answer_is_acknowledged() {
+fn a_request_is_pending_until_its_answer_is_acknowledged() {
     let (mut it, packet) = opened(Class::Feed);
 
     it.observe(&packet(1001, 500, 200), millis(10));
@@ -36,10 +36,10 @@
     assert!(!it.has_pending_request());
 }
 
-/// A target dies while it works on a request: the caller sends the request
-/// again, and nothing was acknowledged in between.
+/// Guards against a dead target that goes unnoticed: the target dies while it works on a
+/// request, so the caller retransmits it and nothing was acknowledged in between.
 #[test]
-fn a_repeated_request_without_answer_is_told() {
+fn an_unanswered_retransmission_is_reported() {
     let (mut it, packet) = opened(Class::Feed);
     it.observe(&packet(1001, 500, 200), millis(10));
 
@@ -48,11 +48,11 @@
     assert_eq!((seen.alive, seen.unanswered_since), (false, Some(millis(10))));
 }
 
-/// An upload sends sixteen packets at most before the target acknowledges some,
-/// so more new data is a sign of life though the caller has nothing to
-/// acknowledge itself.
+/// Guards against healthy targets suspected during uploads. The caller has nothing to
+/// acknowledge, but sends at most sixteen packets before the target acknowledges some, so more
+/// new data shows that the target is alive.
 #[test]
-fn an_upload_that_goes_on_shows_life() {
+fn progress_of_an_upload_shows_that_the_target_is_alive() {
     let (mut it, packet) = opened(Class::Upload);
 
     let lives: Vec<bool> = (0..40)
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn numbers_that_wrap_around_are_followed() {
+fn sequence_numbers_may_wrap_around() {
     let to = target(1, "desk").incarnation;
     let key = flow(1, FEED);
     let mut it = Flow::open(to, Class::Feed, b"open".as_slice().into(), u32::MAX - 1, millis(0));
@@ -77,10 +77,10 @@
     assert!(seen.alive && !it.has_pending_request());
 }
 
-/// Packets of one burst overtake each other on the way. Taken for repetitions,
-/// they would have a healthy target asked and passed over for a while.
+/// Guards against healthy targets that are probed and avoided because packets of one burst were
+/// reordered.
 #[test]
-fn packets_that_overtake_each_other_are_no_repetition() {
+fn reordered_packets_are_no_retransmission() {
     let (mut it, packet) = opened(Class::Upload);
     it.observe(&packet(2201, 500, 1200), millis(10));
 
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -3,11 +3,10 @@
 use super::fixtures::{FEED, Instance, REQUEST, flow, middle, one, segment, target};
 use medlarspur_marked::{Content, Finding, Kind, Mark, Segment};
 
-/// News of a target reaches one instance later than another. A packet of a flow
-/// there must not go to a wrong target, which would reset it, and the instance
-/// must not reset it either: the flow is well.
+/// Guards against healthy flows reset by an instance that learns of a target later than
+/// another. Sent to another target, the packet would be answered with a reset as well.
 #[test]
-fn a_packet_with_an_unknown_mark_goes_nowhere_and_is_not_reset() {
+fn a_packet_with_an_unknown_mark_is_dropped_without_a_reset() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let unknown = target(2, "desk").incarnation;
 
@@ -18,7 +17,7 @@
 }
 
 #[test]
-fn a_packet_in_mid_flow_without_a_mark_goes_nowhere() {
+fn a_packet_in_mid_flow_without_a_mark_is_dropped() {
     let mut instance = Instance::new(&[target(1, "desk")]);
 
     instance.packet(segment(flow(1, FEED), Kind::Middle), 0);
@@ -27,8 +26,8 @@
     assert_eq!(instance.forwarder.counts().unmarked, 1);
 }
 
-/// An entry vanishes while its target serves on: it lapsed, or the target takes
-/// long to go after it was removed. Its flows are well and must go on.
+/// Guards against healthy flows reset because the entry of their target is gone while the
+/// target still serves: the entry lapsed, or the target takes long to stop after its removal.
 #[test]
 fn flows_of_a_removed_target_go_on() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
@@ -42,8 +41,8 @@
     assert!(instance.out.resets.is_empty());
 }
 
-/// A new config drops a route or leads it to another service. Feeds that are
-/// open stay where they are.
+/// Guards against open feeds that are moved when a new config drops their route or leads it to
+/// another service.
 #[test]
 fn an_open_flow_stays_when_its_route_moves() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
@@ -59,10 +58,10 @@
     assert_eq!(instance.open(flow(2, FEED), 200), target(2, "ingest").incarnation);
 }
 
-/// A request to a dead target would wait until the caller's time is over. The
-/// caller's repetition gives the target away; others answer meanwhile.
+/// Guards against requests to a dead target that wait until the caller's deadline. The caller's
+/// retransmission gives the target away, while others answer.
 #[test]
-fn a_repeated_request_has_its_target_asked() {
+fn a_retransmitted_request_has_its_target_probed() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     instance.hear_answers(FEED, 20, 40);
     let key = flow(1, REQUEST);
@@ -79,12 +78,12 @@
     assert_eq!(instance.out.resets.len(), 1);
 }
 
-/// This machine's own link is full for a moment, so no target is heard. Resets
-/// would break flows whose targets are well: at a site of 300 machines, pictures
-/// for others that started filled links of 10 Mbit/s, and dozens of flows were
-/// reset. Another target is asked beside the silent one.
+/// Guards against healthy flows reset because this machine's own link is saturated for a
+/// moment, so that no target is heard. At a site of 300 machines, snapshots for starting
+/// instances filled links of 10 Mbit/s, and dozens of flows were reset. Another target is
+/// probed along with the silent one.
 #[test]
-fn a_machine_that_hears_nobody_resets_nothing_at_first() {
+fn an_isolated_machine_resets_nothing_at_first() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     let key = flow(1, REQUEST);
     let at = instance.opened(key, 0);
@@ -107,10 +106,10 @@
     assert_eq!(instance.out.resets.len(), 1, "in the end it is");
 }
 
-/// Ten targets are silent in the same moment, as they are behind a link that is
-/// full. That they are many says no more than one alone.
+/// Guards against healthy flows reset because ten targets are silent at once, as they are
+/// behind a saturated link. Their number proves no more than one alone.
 #[test]
-fn many_silences_at_once_are_no_proof() {
+fn many_silent_targets_at_once_are_not_lost() {
     let targets: Vec<_> = (1..=10).map(|number| target(number, "desk")).collect();
     let mut instance = Instance::new(&targets);
     for number in 0..40 {
@@ -142,7 +141,7 @@
     assert_eq!(instance.out.resets.len(), 40, "in the end they are lost");
 }
 
-/// A flow that another instance opened at a target that is lost here.
+/// Guards against packets sent to a lost target on flows that another instance opened there.
 #[test]
 fn a_packet_for_a_lost_target_is_answered_by_a_reset() {
     let mut instance = Instance::new(&[target(1, "desk")]);
@@ -161,7 +160,7 @@
 }
 
 #[test]
-fn a_closed_flow_has_no_record_and_its_last_packets_still_pass() {
+fn a_closed_flow_has_no_record_and_its_last_packets_are_forwarded() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, REQUEST);
     let at = instance.opened(key, 0);
@@ -177,7 +176,7 @@
 }
 
 #[test]
-fn the_mark_is_written_into_every_packet_that_is_sent_on() {
+fn the_mark_is_written_into_every_forwarded_packet() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, FEED);
 
--- a/marked/tests/test_full.rs
+++ b/marked/tests/test_full.rs
@@ -1,11 +1,11 @@
-//! Targets that have no room for another flow, and how they are told from dead ones.
+//! Targets without capacity for another flow, and how they are distinguished from dead ones.
 
 use super::fixtures::{FEED, Instance, REQUEST, flow, middle, millis, one, segment, target};
 use medlarspur_lib::status::TargetUse;
 use medlarspur_marked::{Content, Finding, FlowKey, Incarnation, Kind, Note, Refusal};
 
-/// Two targets, of which the first has an open feed, and answers take 40 ms.
-fn two() -> (Instance, FlowKey, Incarnation) {
+/// Two targets whose answers take 40 ms; the first has an open feed.
+fn two_targets() -> (Instance, FlowKey, Incarnation) {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     instance.hear_answers(FEED, 20, 40);
     let key = flow(1, FEED);
@@ -13,7 +13,7 @@
     (instance, key, at)
 }
 
-fn silent(instance: &mut Instance, at: Incarnation, now: u64) {
+fn report_silent(instance: &mut Instance, at: Incarnation, now: u64) {
     instance.forwarder.handle_probe_result(at, Finding::Silent, millis(now), &mut instance.out);
 }
 
@@ -28,7 +28,7 @@
     keys.find(|key| instance.open(*key, now) == at).expect("one goes there")
 }
 
-/// Opens flows until one goes elsewhere; answers it and its target.
+/// Opens flows until one goes elsewhere; returns it and its target.
 fn open_other(
     instance: &mut Instance,
     at: Incarnation,
@@ -40,8 +40,8 @@
     opened.find(|(_, to)| *to != at).expect("one goes elsewhere")
 }
 
-/// The target of a flow's record.
-fn goes(instance: &Instance, key: FlowKey) -> Option<Incarnation> {
+/// The target in a flow's record.
+fn target_of(instance: &Instance, key: FlowKey) -> Option<Incarnation> {
     let name = instance.forwarder.explain(&key, None, millis(0)).target?.name;
     instance.forwarder.catalog().latest(&name).map(|entry| entry.target.incarnation)
 }
@@ -53,13 +53,13 @@
 /// Guards against flows of a full target that are reset as if it were dead.
 #[test]
 fn a_target_that_answers_open_flows_and_no_openings_keeps_its_flows() {
-    let (mut instance, feed, at) = two();
+    let (mut instance, feed, at) = two_targets();
     let opening = open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_040);
     instance.packet(middle(feed, at, 1101, 700, 0), 1_090);
 
-    silent(&mut instance, at, 1_330);
+    report_silent(&mut instance, at, 1_330);
 
     assert!(instance.out.resets.is_empty());
     assert_ne!(instance.last(), at, "what was being opened went elsewhere");
@@ -69,20 +69,20 @@
     }
     instance.packet(middle(feed, at, 1101, 700, 100), 1_400);
     assert_eq!(instance.last(), at);
-    let told = |note: &Note| matches!(note, Note::Full { target, .. } if *target == at);
-    assert_eq!(instance.out.notes.iter().filter(|note| told(note)).count(), 1);
+    let is_expected = |note: &Note| matches!(note, Note::Full { target, .. } if *target == at);
+    assert_eq!(instance.out.notes.iter().filter(|note| is_expected(note)).count(), 1);
     assert!(instance.forwarder.explain(&opening, None, millis(1_400)).target.is_some());
 }
 
-/// Guards against flows that are reset though nothing is asked on them.
+/// Guards against resets of idle flows, which have no request that could be unanswered.
 #[test]
-fn quiet_flows_of_a_silent_target_are_left_alone() {
-    let (mut instance, _, at) = two();
+fn idle_flows_of_a_silent_target_are_not_reset() {
+    let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
     instance.opened(flow(90, REQUEST), 1_100);
 
-    silent(&mut instance, at, 1_330);
+    report_silent(&mut instance, at, 1_330);
     for now in (1_340..9_000).step_by(20) {
         instance.tick(now);
     }
@@ -92,15 +92,15 @@
 
 /// Guards against callers who wait at a dead target that could be taken for full.
 #[test]
-fn a_dead_target_is_left_by_its_open_flows_at_once() {
-    let (mut instance, feed, at) = two();
+fn open_flows_of_a_dead_target_are_reset_at_once() {
+    let (mut instance, feed, at) = two_targets();
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
     open_at(&mut instance, at, 10..30, 1_010);
     instance.tick(1_040);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
     instance.opened(flow(90, REQUEST), 1_250);
 
-    silent(&mut instance, at, 1_340);
+    report_silent(&mut instance, at, 1_340);
 
     assert_eq!(instance.out.resets.len(), 1);
     assert_eq!(instance.out.resets[0].0, feed);
@@ -108,10 +108,10 @@
     assert_eq!(usage(&instance, at, 1_350), TargetUse::Lost);
 }
 
-/// Guards against quiet feeds of a dead target that each have to find it out.
+/// Guards against a dead target whose idle feeds must each find out for themselves.
 #[test]
-fn the_first_unanswered_feed_of_a_silent_target_frees_all() {
-    let (mut instance, feed, at) = two();
+fn the_first_unanswered_feed_of_a_silent_target_has_all_reset() {
+    let (mut instance, feed, at) = two_targets();
     let other = flow(2, FEED);
     instance.packet(middle(other, at, 1001, 500, 0), 200);
     instance.packet(middle(other, at, 1001, 500, 100), 210);
@@ -119,7 +119,7 @@
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
     instance.opened(flow(90, REQUEST), 1_100);
-    silent(&mut instance, at, 1_330);
+    report_silent(&mut instance, at, 1_330);
     assert!(instance.out.resets.is_empty());
 
     instance.packet(middle(feed, at, 1001, 500, 100), 2_000);
@@ -133,9 +133,9 @@
     assert_eq!(reset, [feed, other]);
 }
 
-/// Guards against flows reset by an instance that started into a crowd and hears little.
+/// Guards against flows reset by an instance that started during overload and sees few answers.
 #[test]
-fn without_knowing_how_long_answers_take_it_waits_longer() {
+fn a_silent_target_is_lost_later_while_answer_times_are_unknown() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, FEED);
     let at = instance.opened(key, 0);
@@ -143,7 +143,7 @@
     instance.packet(middle(key, at, 1001, 500, 100), 300);
     instance.opened(flow(90, REQUEST), 400);
 
-    silent(&mut instance, at, 600);
+    report_silent(&mut instance, at, 600);
 
     assert!(instance.out.resets.is_empty());
     instance.tick(1_099);
@@ -152,20 +152,21 @@
     assert_eq!(instance.out.resets.len(), 1);
 }
 
-/// Its entry went as well, which that of a full target doesn't.
+/// Guards against callers who wait at a silent target whose entry is gone as well, which does
+/// not happen to full targets.
 #[test]
-fn a_silent_target_whose_entry_went_is_lost() {
-    let (mut instance, feed, at) = two();
+fn a_silent_target_whose_entry_was_removed_is_lost() {
+    let (mut instance, feed, at) = two_targets();
     let name = instance.forwarder.catalog().entry(at).expect("known").target.name.clone();
     instance.learn(one(200, Content::Removed(name)), 1_000);
     instance.opened(flow(90, REQUEST), 1_100);
 
-    silent(&mut instance, at, 1_300);
+    report_silent(&mut instance, at, 1_300);
 
     assert_eq!(instance.out.resets.iter().map(|it| it.0).collect::<Vec<_>>(), [feed]);
 }
 
-/// Guards against callers who wait though all targets are known to be full.
+/// Guards against callers who wait although all targets are known to be full.
 #[test]
 fn when_all_are_full_callers_are_refused_at_once() {
     let mut instance = Instance::new(&[target(1, "desk")]);
@@ -177,17 +178,17 @@
     instance.packet(middle(feed, at, 1001, 500, 100), 1_050);
     instance.packet(middle(feed, at, 1101, 700, 0), 1_100);
 
-    silent(&mut instance, at, 1_330);
+    report_silent(&mut instance, at, 1_330);
     instance.packet(segment(flow(3, REQUEST), Kind::Open), 1_340);
 
     let refused: Vec<_> = instance.out.resets.iter().map(|it| (it.0, it.2)).collect();
     assert_eq!(refused, [(opening, Refusal::Full), (flow(3, REQUEST), Refusal::Full)]);
 }
 
-/// Guards against a crowd of openings for the one place that became free.
+/// Guards against many openings for the one slot that became free.
 #[test]
 fn a_full_target_is_tried_by_one_opening_at_a_time() {
-    let (mut instance, _, at) = two();
+    let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
     instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
@@ -215,10 +216,10 @@
     assert!(instance.out.asked.contains(&at));
 }
 
-/// Guards against a place that stays empty until the next question.
+/// Guards against a slot that stays empty until the next probe.
 #[test]
-fn the_place_of_a_flow_that_ended_is_filled() {
-    let (mut instance, feed, at) = two();
+fn the_slot_of_an_ended_flow_is_filled() {
+    let (mut instance, feed, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
     instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
@@ -234,10 +235,10 @@
     }
 }
 
-/// Guards against feeds that take each place that a request leaves.
+/// Guards against feeds that take each slot that a request frees.
 #[test]
-fn what_a_request_leaves_is_kept_for_requests() {
-    let (mut instance, _, at) = two();
+fn the_slot_of_an_ended_request_is_reserved_for_requests() {
+    let (mut instance, _, at) = two_targets();
     let request = open_at(&mut instance, at, 200..220, 500);
     instance.packet(middle(request, at, 1001, 500, 100), 508);
     open_at(&mut instance, at, 10..30, 1_000);
@@ -254,8 +255,8 @@
 }
 
 #[test]
-fn a_target_that_takes_openings_again_is_free() {
-    let (mut instance, _, at) = two();
+fn a_target_that_accepts_openings_again_is_no_longer_full() {
+    let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
     instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
@@ -268,14 +269,14 @@
     }
 
     assert_eq!(usage(&instance, at, 1_860), TargetUse::Good);
-    let told = |note: &Note| matches!(note, Note::Vacant { target } if *target == at);
-    assert_eq!(instance.out.notes.iter().filter(|note| told(note)).count(), 1);
+    let is_expected = |note: &Note| matches!(note, Note::Vacant { target } if *target == at);
+    assert_eq!(instance.out.notes.iter().filter(|note| is_expected(note)).count(), 1);
     assert_eq!(instance.forwarder.count_full(), 0);
 }
 
 /// Guards against a lost target that stays out of use after its entry has come back.
 #[test]
-fn a_lost_target_that_is_listed_again_is_asked() {
+fn a_lost_target_that_is_listed_again_is_probed() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let it = target(1, "desk");
     let at = it.incarnation;
@@ -292,9 +293,10 @@
     assert_eq!(instance.open(flow(5, FEED), 4_520), at);
 }
 
-/// Guards against a target that all instances ask in the moment when a cut ends.
+/// Guards against a target that all instances probe at the moment when a network partition
+/// ends.
 #[test]
-fn instances_ask_a_target_that_is_listed_again_one_after_the_other() {
+fn instances_probe_a_relisted_target_at_different_times() {
     let it = target(1, "desk");
     let at = it.incarnation;
     let mut instances: Vec<Instance> =
@@ -320,9 +322,9 @@
     assert!(most <= 16, "{most} of 160 at once");
 }
 
-/// Guards against openings of far callers that are all sent twice.
+/// Guards against openings of distant callers that are all sent twice.
 #[test]
-fn openings_of_far_callers_are_given_the_time_that_they_take() {
+fn the_opening_timeout_follows_the_handshakes_of_distant_callers() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     for number in 0..20 {
         let key = flow(number, REQUEST);
@@ -340,10 +342,10 @@
     assert_eq!(instance.out.asked.len(), 1, "not for ever");
 }
 
-/// Guards against a wait for a silent target where it has said that it has no room.
+/// Guards against a wait for a silent target that has already declined.
 #[test]
-fn a_target_that_declines_questions_and_openings_is_full_at_once() {
-    let (mut instance, _, at) = two();
+fn a_target_that_declines_probes_and_openings_is_full_at_once() {
+    let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
 
@@ -354,10 +356,11 @@
     assert!(instance.out.resets.is_empty());
 }
 
-/// A connection is reset on the way. No opening is unanswered, so that says nothing.
+/// Guards against targets that count as full because a connection was reset on the way. No
+/// opening is unanswered, so the declined probe proves nothing.
 #[test]
-fn a_declined_question_alone_leaves_a_target_in_use() {
-    let (mut instance, feed, at) = two();
+fn a_declined_probe_alone_leaves_a_target_in_use() {
+    let (mut instance, feed, at) = two_targets();
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
 
@@ -366,10 +369,11 @@
     assert_eq!(usage(&instance, at, 1_600), TargetUse::Good);
 }
 
-/// Guards against the last flows of a leaving target, which stops listening before they end.
+/// Guards against resets of the last flows of a leaving target, which stops listening before
+/// they end.
 #[test]
-fn a_leaving_target_that_refuses_questions_keeps_its_flows() {
-    let (mut instance, feed, at) = two();
+fn a_leaving_target_that_refuses_probes_keeps_its_flows() {
+    let (mut instance, feed, at) = two_targets();
     let mut leaving = instance.forwarder.catalog().entry(at).expect("known").target.clone();
     leaving.leaving = true;
     instance.learn(one(200, Content::Target(leaving)), 500);
@@ -382,10 +386,11 @@
     assert_eq!(instance.last(), at);
 }
 
-/// It answers questions, which take one connection for a moment, and no openings.
+/// Guards against callers who wait at a target that answers probes, which take one connection
+/// for a moment, and no openings.
 #[test]
-fn openings_that_stay_unanswered_at_a_living_target_go_elsewhere() {
-    let (mut instance, _, at) = two();
+fn openings_that_a_live_target_leaves_unanswered_move() {
+    let (mut instance, _, at) = two_targets();
     let first = open_at(&mut instance, at, 200..230, 1_000);
     let second = open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
@@ -405,14 +410,14 @@
 
     assert_eq!(usage(&instance, at, 1_063), TargetUse::Full);
     for key in [first, second] {
-        assert_ne!(goes(&instance, key), Some(at));
+        assert_ne!(target_of(&instance, key), Some(at));
     }
 }
 
-/// Guards against openings moved by an instance that hears no ends of handshakes any more.
+/// Guards against openings moved by an instance at which no handshakes end any more.
 #[test]
-fn openings_stay_where_they_are_while_no_later_one_is_answered() {
-    let (mut instance, _, at) = two();
+fn openings_do_not_move_while_no_later_one_is_answered() {
+    let (mut instance, _, at) = two_targets();
     let first = open_at(&mut instance, at, 200..230, 1_000);
     open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
@@ -423,12 +428,12 @@
     }
 
     assert_eq!(usage(&instance, at, 1_400), TargetUse::Good);
-    assert_eq!(goes(&instance, first), Some(at));
+    assert_eq!(target_of(&instance, first), Some(at));
 }
 
 /// Guards against longer waits at full targets because some handshakes took a second opening.
 #[test]
-fn openings_that_were_sent_twice_do_not_make_others_wait_longer() {
+fn openings_sent_twice_do_not_lengthen_the_timeout() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     for number in 0..40 {
         let (key, now) = (flow(number, REQUEST), u64::from(number) * 200);
@@ -448,10 +453,11 @@
     assert_eq!(instance.out.asked.len(), 1);
 }
 
-/// Guards against targets of a large site that look full by openings added up over a day.
+/// Guards against targets of a large site that look full because unanswered openings add up
+/// over a day.
 #[test]
-fn openings_that_are_unanswered_seconds_apart_say_nothing_together() {
-    let (mut instance, feed, at) = two();
+fn openings_unanswered_seconds_apart_do_not_add_up() {
+    let (mut instance, feed, at) = two_targets();
     let opening = |instance: &mut Instance, numbers, now| {
         let key = open_at(instance, at, numbers, now);
         instance.tick(now + 30);
@@ -474,13 +480,14 @@
     let second = opening(&mut instance, 1_000..1_300, 4_000);
 
     assert_eq!(usage(&instance, at, 4_070), TargetUse::Good);
-    assert_eq!(goes(&instance, second), Some(at));
+    assert_eq!(target_of(&instance, second), Some(at));
     assert!(instance.forwarder.explain(&feed, None, millis(4_070)).target.is_some());
 }
 
-/// How often one of so many instances asks a full target from the second half-minute on.
-fn questions(instances: usize) -> usize {
-    let (mut instance, _, at) = two();
+/// Number of probes that one of `instances` instances sends to a full target in the second half
+/// of a minute.
+fn probes_of_one(instances: usize) -> usize {
+    let (mut instance, _, at) = two_targets();
     instance.forwarder.set_domain_size(instances);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
@@ -503,11 +510,12 @@
     instance.out.asked.len()
 }
 
-/// Guards against a full target whose last places go to the questions of hundreds of instances.
+/// Guards against a full target whose last connections are taken by the probes of hundreds of
+/// instances.
 #[test]
-fn an_instance_of_a_large_fleet_asks_a_full_target_seldom() {
-    let alone = questions(1);
+fn instances_of_a_large_fleet_probe_a_full_target_rarely() {
+    let alone = probes_of_one(1);
 
     assert!((25..=31).contains(&alone), "once a second: {alone}");
-    assert!(questions(80) <= alone / 8, "{}", questions(80));
+    assert!(probes_of_one(80) <= alone / 8, "{}", probes_of_one(80));
 }
--- a/marked/tests/test_mark.rs
+++ b/marked/tests/test_mark.rs
@@ -15,7 +15,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_mark_survives_the_wire_and_holds_for_its_flow(id in any::<u64>(), key in keys()) {
+    fn a_mark_survives_encoding_and_matches_its_flow(id in any::<u64>(), key in keys()) {
         let mark = Mark::new(Incarnation(id), &key);
 
         let read = Mark::from_wire(mark.to_wire()).expect("no mark is 0");
@@ -25,28 +25,28 @@
     }
 
     #[test]
-    fn a_mark_of_another_flow_or_target_does_not_hold(
+    fn a_mark_of_another_flow_or_target_does_not_match(
         id in any::<u64>(), other in any::<u64>(), key in keys(), elsewhere in keys()
     ) {
         prop_assume!(id != other && key != elsewhere);
         let mark = Mark::new(Incarnation(id), &key);
 
-        // Either holds by chance once in four million cases.
+        // Either matches by chance once in four million cases.
         prop_assert!(!mark.matches(Incarnation(other), &key));
         prop_assert!(!mark.matches(Incarnation(id), &elsewhere));
     }
 }
 
 #[test]
-fn no_mark_is_read_from_zero() {
+fn zero_is_no_mark() {
     assert_eq!(Mark::from_wire(0), None);
 }
 
-/// A caller may write any mark. One that copies the mark of its feed into a
-/// packet for uploads would, without the check, reach a target of the feed's
-/// service with bytes meant for another one.
+/// Guards against forged marks. Callers may write any mark: without the check, a packet for
+/// uploads with the mark of a feed would reach a target of the feed's service with bytes meant
+/// for another one.
 #[test]
-fn a_mark_copied_to_another_flow_leads_nowhere() {
+fn a_packet_with_the_mark_of_another_flow_is_dropped() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     let feed = flow(40_001, FEED);
     let desk = instance.opened(feed, 0);
@@ -61,10 +61,10 @@
     assert_eq!(instance.forwarder.counts().unknown_mark, 1);
 }
 
-/// An address is used again by a target of another service. A mark that named
-/// the address would bring the feed's packets there.
+/// Guards against packets of a feed that reach a target of another service which took over the
+/// address of the feed's target. A mark that named the address would lead there.
 #[test]
-fn a_mark_does_not_lead_to_the_next_user_of_an_address() {
+fn a_mark_does_not_lead_to_a_later_target_with_the_same_address() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let feed = flow(40_001, FEED);
     let first = instance.opened(feed, 0);
@@ -80,10 +80,10 @@
     assert_ne!(first, next.incarnation);
 }
 
-/// An instance that started a moment ago has no record of any flow. The mark
-/// alone brings each packet to the target that the flow was opened at.
+/// Guards against flows that need a record: an instance that has just started has none, and
+/// only the mark leads each packet to the flow's target.
 #[test]
-fn an_instance_without_records_finds_every_flow() {
+fn an_instance_without_records_forwards_every_flow_to_its_target() {
     let targets: Vec<_> = (1..=14).map(|number| target(number, "desk")).collect();
     let mut first = Instance::new(&targets);
     let mut second = Instance::new(&targets);
--- a/marked/tests/test_openings.rs
+++ b/marked/tests/test_openings.rs
@@ -1,4 +1,4 @@
-//! Where opening packets go, and what happens when nothing answers them.
+//! Targets of opening packets, and openings that are left unanswered.
 
 use super::fixtures::{FEED, Instance, REQUEST, flow, middle, name, one, segment, target};
 use medlarspur_marked::{Content, Finding, Incarnation, Kind, Refusal};
@@ -29,8 +29,8 @@
     assert!(instance.out.sent.is_empty());
 }
 
-/// All targets of a service leave. The caller hears so at once, and that is
-/// true: no packet of the flow went to any of them.
+/// Guards against callers who wait for nothing while all targets of a service leave. A reset at
+/// once is correct: no packet of the flow was sent to any of them.
 #[test]
 fn an_opening_that_no_target_can_take_is_reset_at_once() {
     let mut leaving = target(1, "desk");
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_leaving_target_gets_nothing_new_and_keeps_its_flows() {
+fn a_leaving_target_gets_no_new_flows_and_keeps_its_own() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let old = flow(1, FEED);
     let first = instance.opened(old, 0);
@@ -62,8 +62,8 @@
     assert_eq!(instance.last(), first);
 }
 
-/// The packet or its answer is lost on the way. Callers repeat an opening only
-/// after 200 ms; a request that should be answered in 150 ms is late then.
+/// Guards against late requests after the opening or its answer was lost. Callers repeat an
+/// opening only after 200 ms, and a request with an objective of 150 ms is late by then.
 #[test]
 fn an_opening_without_answer_is_sent_again_soon() {
     let mut instance = Instance::new(&[target(1, "desk")]);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn an_answered_opening_leaves_nothing_due() {
+fn an_answered_opening_is_not_checked_any_more() {
     let mut instance = Instance::new(&[target(1, "desk")]);
 
     instance.opened(flow(1, REQUEST), 0);
@@ -86,12 +86,11 @@
     assert_eq!(instance.forwarder.deadline(), None);
 }
 
-/// A target crashes without a word and stays listed for seconds. Its callers
-/// would wait until their time is over; instead what was being opened there
-/// goes to another one, and open flows are reset so that callers open them
-/// anew.
+/// Guards against callers who wait until their deadline for a target that crashed and stays
+/// listed for seconds. Flows whose handshake has not ended move to another target, and open
+/// flows are reset so that their callers open them again.
 #[test]
-fn flows_leave_a_target_that_was_found_lost() {
+fn flows_of_a_lost_target_are_moved_or_reset() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let (mut open, mut opening) = (Vec::new(), Vec::new());
     for number in 0..20 {
@@ -120,9 +119,10 @@
     assert!(instance.out.sent.iter().all(|(to, ..)| *to != dead));
 }
 
-/// The reset must carry a number that the caller accepts: what it expects next.
+/// Guards against resets that callers ignore because they carry another sequence number than
+/// the expected one.
 #[test]
-fn a_reset_carries_the_number_that_the_caller_expects() {
+fn a_reset_carries_the_sequence_number_that_the_caller_expects() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, FEED);
     let at = instance.opened(key, 0);
@@ -138,10 +138,10 @@
     assert_eq!(instance.out.resets, [(key, 7777, Refusal::TargetLost)]);
 }
 
-/// A cut heals. Without asking again the target would stay out of use until it
-/// restarts.
+/// Guards against a target that stays out of use until it restarts after a network partition
+/// has ended.
 #[test]
-fn a_lost_target_comes_back_when_it_answers() {
+fn a_lost_target_is_used_again_when_it_answers() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let only = target(1, "desk").incarnation;
     let answer = |instance: &mut Instance, finding, now| {
@@ -164,8 +164,8 @@
     assert_eq!(instance.open(flow(2, FEED), due + 10), only);
 }
 
-/// Entries lapse without need while the store is away, and the targets live.
-/// If flows could not open there, a store outage would end the service.
+/// Guards against a service that ends with the store: entries lapse needlessly while the store
+/// is unreachable, and their targets are alive.
 #[test]
 fn a_target_whose_entry_lapsed_is_used_while_it_answers() {
     let mut instance = Instance::new(&[target(1, "desk")]);
@@ -185,7 +185,7 @@
     assert_eq!(instance.out.resets.len(), 1, "after three seconds it is taken as gone");
 }
 
-/// How many flows of a class each target gets, of so many.
+/// Opens `count` flows of a class and returns the number that each target gets.
 fn spread(service: SocketAddrV4, count: u16) -> BTreeMap<Incarnation, u32> {
     let targets: Vec<_> = (1..=14).map(|number| target(number, "desk")).collect();
     let mut instance = Instance::new(&targets);
@@ -212,25 +212,25 @@
     assert!(counts.values().all(|count| *count == 10), "{counts:?}");
 }
 
-/// Of 14 targets five are left to requests.
+/// Of 14 targets, five are left to requests.
 #[test]
-fn feeds_spread_evenly_over_the_targets_that_are_theirs() {
+fn feeds_spread_evenly_over_targets_not_reserved_for_requests() {
     let counts = spread(FEED, 90);
 
     assert_eq!(counts.len(), 9);
     assert!(counts.values().all(|count| *count == 10), "{counts:?}");
 }
 
-/// Where there are very many, the others are better than long queues.
+/// Beyond some number of feeds, using the other targets is better than long queues.
 #[test]
 fn very_many_feeds_use_all_targets() {
     assert_eq!(spread(FEED, 280).len(), 14);
 }
 
-/// Records of flows that ended without a word must not count as work for ever:
-/// their target would get nothing more.
+/// Guards against a target that gets no more flows because records of flows without a closing
+/// packet count as work forever.
 #[test]
-fn flows_that_ended_without_a_word_are_forgotten() {
+fn records_of_idle_flows_are_removed() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, REQUEST);
     let at = instance.opened(key, 0);
@@ -242,9 +242,9 @@
     assert_eq!(instance.forwarder.len(), 1);
 }
 
-/// A caller uses its port again for a new flow while the record of the earlier
-/// one, which another instance opened, is still here. The opening must go where
-/// the route leads now, which may be another service.
+/// Guards against an opening sent to the target of an earlier flow of the same ports, which
+/// another instance opened and whose record still exists. The route may lead to another service
+/// now.
 #[test]
 fn an_opening_does_not_follow_the_record_of_an_earlier_flow() {
     let mut instance = Instance::new(&[target(1, "desk"), target(5, "ingest")]);
@@ -255,9 +255,10 @@
     assert_eq!(instance.open(key, 0), target(5, "ingest").incarnation);
 }
 
-/// One process has ended and its machine refuses: that says nothing of others.
+/// Guards against suspicion of other targets because one process has ended and its machine
+/// refuses connections.
 #[test]
-fn a_target_that_is_gone_casts_no_doubt_on_its_neighbours() {
+fn a_target_that_is_gone_raises_no_suspicion_of_others() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     for number in 0..10 {
         instance.opened(flow(number, FEED), 0);
@@ -270,11 +271,11 @@
     assert!(instance.out.asked.is_empty());
 }
 
-/// While a target is asked, it answers other flows. What asking brings is then
-/// out of date, or this machine was too busy to hear the answer; resetting the
-/// flows of a target that is well would break them.
+/// Guards against flows of a healthy target that are reset by an outdated probe result: the
+/// target answers other flows while it is probed, or this machine was too busy to receive the
+/// answer.
 #[test]
-fn a_target_that_answered_others_while_it_was_asked_is_not_lost() {
+fn a_target_that_answered_other_flows_while_probed_is_not_lost() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, FEED);
     let at = instance.opened(key, 0);
@@ -290,8 +291,8 @@
     assert_eq!(instance.open(flow(2, FEED), 1_330), at);
 }
 
-/// Feeds stay for long and fill every target, and in a crowd each request waits behind
-/// them. Two instances that never spoke leave the same targets to requests.
+/// Guards against feeds that fill all targets, so that requests wait behind them during
+/// overload. Two instances that never communicated leave the same targets to requests.
 #[test]
 fn feeds_leave_the_same_targets_to_requests_at_all_instances() {
     let targets: Vec<_> = (1..=10).map(|number| target(number, "desk")).collect();
@@ -312,11 +313,10 @@
     assert!(requests >= 4, "requests go there");
 }
 
-/// A target is found lost while an opening there is unanswered, and the opening moves. The
-/// new target has as long to answer as any other: looked at when the first would have been
-/// late, it would get the opening twice and be asked for nothing.
+/// Guards against a moved opening that is checked at the time of its first target: the new
+/// target would get the opening twice and be probed without having had the time to answer.
 #[test]
-fn a_moved_opening_is_looked_at_anew() {
+fn a_moved_opening_is_checked_at_a_time_of_its_own() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let first = instance.open(flow(1, REQUEST), 0);
     instance.forwarder.handle_probe_result(
