--- a/marked/tests/test_waiting.rs
+++ b/marked/tests/test_waiting.rs
@@ -1,4 +1,4 @@
-//! New flows that wait while their service has no room.
+//! New flows that are held while their service has no capacity.
 
 use super::fixtures::{
     FEED, Instance, REQUEST, UPLOAD, change, config, flow, middle, millis, news, one, segment,
@@ -14,28 +14,29 @@
 };
 use std::net::SocketAddrV4;
 
-/// The goal of all routes.
-const GOAL: u64 = 150;
+/// Latency objective of all routes, in milliseconds.
+const OBJECTIVE: u64 = 150;
 
-/// How long after one feed of `busy` the next one asks: at 140 ms an answer, 14 requests are
-/// under way on four slots.
-const PACE: u64 = 10;
+/// Interval in milliseconds between the requests of two feeds of `busy_instance`: at 140 ms per answer,
+/// 14 requests are in progress on four slots.
+const REQUEST_INTERVAL: u64 = 10;
 
-/// An instance with two targets of two slots each, whose requests take `span` so far.
-fn busy(span: u64) -> Instance {
+/// An instance with two targets of two slots each, whose requests have taken `span`
+/// milliseconds so far.
+fn busy_instance(span: u64) -> Instance {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk"), target(3, "ingest")]);
     let mut config = config(2);
     for route in &mut config.routes {
-        route.goal = Some(Millis(GOAL));
+        route.goal = Some(Millis(OBJECTIVE));
     }
     instance.learn(one(200, Content::Config(config)), 0);
     let targets: Vec<_> =
         (0..20).map(|number| instance.opened(flow(1 + number, FEED), 0)).collect();
     for number in 0..targets.len() {
-        let now = 10 + number as u64 * PACE;
+        let now = 10 + number as u64 * REQUEST_INTERVAL;
         let key = |number: usize| flow(1 + number as u16, FEED);
         instance.packet(middle(key(number), targets[number], 1001, 500, 100), now);
-        if let Some(earlier) = number.checked_sub((span / PACE) as usize) {
+        if let Some(earlier) = number.checked_sub((span / REQUEST_INTERVAL) as usize) {
             instance.packet(middle(key(earlier), targets[earlier], 1101, 600, 0), now);
         }
     }
@@ -43,8 +44,8 @@
     instance
 }
 
-/// Has flows of a route ask until one has to wait; answers that one.
-fn fill(instance: &mut Instance, route: SocketAddrV4, now: u64) -> FlowKey {
+/// Opens flows of a route with a request each until one is held; returns that one.
+fn open_until_held(instance: &mut Instance, route: SocketAddrV4, now: u64) -> FlowKey {
     for number in 100..200 {
         let key = flow(number, route);
         instance.out.sent.clear();
@@ -58,8 +59,8 @@
     panic!("nothing waits");
 }
 
-/// Ends the requests that `fill` has begun; `held` goes on waiting.
-fn empty(instance: &mut Instance, held: FlowKey, now: u64) {
+/// Ends the requests that `open_until_held` has begun; `held` stays held.
+fn end_requests(instance: &mut Instance, held: FlowKey, now: u64) {
     for key in (100..200).map(|number| flow(number, held.service)).filter(|key| *key != held) {
         for target in [target(1, "desk"), target(2, "desk")] {
             let mut end = middle(key, target.incarnation, 1101, 700, 0);
@@ -79,8 +80,8 @@
 }
 
 #[test]
-fn nothing_waits_while_answers_are_in_good_time() {
-    let mut instance = busy(40);
+fn no_flow_is_held_while_answers_are_in_time() {
+    let mut instance = busy_instance(40);
 
     for number in 100..200 {
         instance.open(flow(number, FEED), 500);
@@ -91,26 +92,26 @@
 
 /// Guards against a service whose answers are all late because still more is sent there.
 #[test]
-fn a_new_feed_waits_while_answers_are_slow() {
-    let mut instance = busy(140);
+fn a_new_feed_is_held_while_answers_are_slow() {
+    let mut instance = busy_instance(140);
 
-    let held = fill(&mut instance, FEED, 500);
+    let held = open_until_held(&mut instance, FEED, 500);
 
     assert!(matches!(instance.out.notes.last(), Some(Note::Held { flow, .. }) if *flow == held));
     assert!(instance.out.resets.is_empty());
 }
 
-/// Guards against a flow that waited and is opened in a domain that was emptied meanwhile.
+/// Guards against a held flow that is opened in a domain which was evacuated in the meantime.
 #[test]
-fn what_waits_is_not_opened_in_a_domain_that_was_evacuated_meanwhile() {
-    let mut instance = busy(140);
+fn a_held_flow_is_not_opened_in_a_domain_evacuated_meanwhile() {
+    let mut instance = busy_instance(140);
     let south = DomainName::new("south");
     let moved = Target { domain: south.clone(), ..target(2, "desk") };
     instance.learn(one(201, Content::Target(moved.clone())), 450);
-    let held = fill(&mut instance, REQUEST, 500);
+    let held = open_until_held(&mut instance, REQUEST, 500);
 
     instance.learn(one(202, Content::Evacuated(south)), 510);
-    empty(&mut instance, held, 520);
+    end_requests(&mut instance, held, 520);
     instance.out.sent.clear();
     instance.tick(530);
 
@@ -119,14 +120,14 @@
 }
 
 #[test]
-fn what_waits_is_opened_once_there_is_room_newest_first() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+fn held_flows_are_opened_newest_first_once_there_is_capacity() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     let new = flow(900, REQUEST);
     instance.packet(segment(new, Kind::Open), 520);
     instance.out.notes.clear();
 
-    empty(&mut instance, held, 560);
+    end_requests(&mut instance, held, 560);
     instance.tick(560);
 
     assert_eq!(opened(&instance), [new, held]);
@@ -134,26 +135,26 @@
 
 /// Guards against a flow that is opened twice because its caller repeats the opening.
 #[test]
-fn a_copy_of_an_opening_that_waits_changes_nothing() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+fn a_copy_of_a_held_opening_changes_nothing() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     let count = instance.forwarder.counts();
 
     instance.packet(segment(held, Kind::Open), 700);
 
     assert_eq!(instance.forwarder.counts(), count);
-    empty(&mut instance, held, 710);
+    end_requests(&mut instance, held, 710);
     instance.tick(710);
     assert_eq!(opened(&instance).iter().filter(|it| **it == held).count(), 1);
 }
 
-/// Guards against callers who wait here until they give up.
+/// Guards against callers whose flows are held until they give up.
 #[test]
-fn what_has_waited_too_long_is_turned_away() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
-    let due = 500 + 4 * GOAL;
-    ask_slowly(&mut instance, due - 100);
+fn a_flow_held_for_too_long_is_refused() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
+    let due = 500 + 4 * OBJECTIVE;
+    answer_feeds_slowly(&mut instance, due - 100);
 
     instance.tick(due - 1);
     assert!(instance.out.resets.is_empty());
@@ -164,8 +165,8 @@
     assert!(!opened(&instance).contains(&held));
 }
 
-/// Feeds that are open have slow answers all the while, until `now`.
-fn ask_slowly(instance: &mut Instance, now: u64) {
+/// Sends slow answers to the open feeds until `now`.
+fn answer_feeds_slowly(instance: &mut Instance, now: u64) {
     for number in 1..10 {
         let key = flow(number, FEED);
         for target in [target(1, "desk"), target(2, "desk")] {
@@ -178,9 +179,9 @@
 }
 
 #[test]
-fn an_upload_never_waits() {
-    let mut instance = busy(140);
-    fill(&mut instance, FEED, 500);
+fn an_upload_is_never_held() {
+    let mut instance = busy_instance(140);
+    open_until_held(&mut instance, FEED, 500);
 
     instance.out.sent.clear();
     instance.open(flow(950, UPLOAD), 500);
@@ -189,9 +190,9 @@
 }
 
 #[test]
-fn a_request_goes_where_a_feed_has_to_wait() {
-    let mut instance = busy(140);
-    fill(&mut instance, FEED, 500);
+fn a_request_is_opened_while_feeds_are_held() {
+    let mut instance = busy_instance(140);
+    open_until_held(&mut instance, FEED, 500);
 
     instance.out.sent.clear();
     instance.open(flow(950, REQUEST), 500);
@@ -199,14 +200,14 @@
     assert_eq!(instance.out.sent.len(), 1);
 }
 
-/// Guards against a place at a target that is taken for nobody.
+/// Guards against a slot of a target that is taken by a flow without a caller.
 #[test]
-fn an_opening_that_its_caller_gives_up_is_forgotten() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+fn a_held_opening_that_its_caller_gives_up_is_removed() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     instance.packet(segment(held, Kind::Abort), 520);
 
-    empty(&mut instance, held, 560);
+    end_requests(&mut instance, held, 560);
     instance.tick(560);
 
     assert!(!opened(&instance).contains(&held));
@@ -214,42 +215,42 @@
 
 /// Guards against a second target for a flow that another instance has opened.
 #[test]
-fn what_waits_is_not_opened_once_its_caller_has_an_answer() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+fn a_held_flow_is_not_opened_once_its_caller_has_an_answer() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     let other = target(1, "desk").incarnation;
 
     instance.packet(middle(held, other, 1001, 500, 0), 520);
-    empty(&mut instance, held, 560);
+    end_requests(&mut instance, held, 560);
     instance.tick(560);
 
     assert!(!opened(&instance).contains(&held));
 }
 
-/// Guards against a flow that is opened though its route has been dropped while it waited.
+/// Guards against a flow that is opened although its route was dropped while it was held.
 #[test]
-fn a_flow_whose_route_is_dropped_while_it_waits_is_turned_away() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+fn a_held_flow_whose_route_is_dropped_is_refused() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     let mut without = config(3);
     without.routes.retain(|route| route.address != REQUEST);
     let change = change(300, Content::Config(without));
     instance.learn(news(300, Scope::Since(Revision::new(0, 200)), vec![change]), 520);
     instance.out.notes.clear();
 
-    empty(&mut instance, held, 560);
+    end_requests(&mut instance, held, 560);
     instance.tick(560);
 
     assert!(!opened(&instance).contains(&held));
     assert_eq!(instance.out.resets, [(held, 0, Refusal::NoRoute)]);
 }
 
-/// A feed that waits at an instance is opened half a second later. Its caller has gone on
-/// with another flow that became free meanwhile, and never ends the handshake.
-fn opened_for_nobody() -> (Instance, Incarnation) {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
-    empty(&mut instance, held, 1_000);
+/// A held flow that is opened after half a second. Its caller has continued with another flow
+/// that became free in the meantime, and never ends the handshake.
+fn opened_without_caller() -> (Instance, Incarnation) {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
+    end_requests(&mut instance, held, 1_000);
     instance.out.notes.clear();
     instance.tick(1_000);
     assert_eq!(opened(&instance), [held]);
@@ -257,10 +258,10 @@
     (instance, target)
 }
 
-/// Guards against targets that look full because callers in a crowd have gone.
+/// Guards against targets that look full because callers have gone during overload.
 #[test]
-fn callers_who_have_gone_say_nothing_of_their_target() {
-    let (mut instance, target) = opened_for_nobody();
+fn openings_of_callers_who_have_gone_do_not_make_a_target_full() {
+    let (mut instance, target) = opened_without_caller();
     let sent = instance.out.sent.len();
 
     for now in (1_010..1_400).step_by(10) {
@@ -278,10 +279,10 @@
     assert_eq!(instance.out.sent.len(), sent);
 }
 
-/// Guards against a silent target that gets all that is opened late.
+/// Guards against a silent target that gets everything that is opened late.
 #[test]
-fn a_silent_target_is_asked_though_all_openings_have_waited() {
-    let (mut instance, target) = opened_for_nobody();
+fn a_silent_target_is_probed_although_all_openings_were_held() {
+    let (mut instance, target) = opened_without_caller();
     instance.out.asked.clear();
 
     instance.tick(1_100);
@@ -289,10 +290,11 @@
     assert_eq!(instance.out.asked, [target]);
 }
 
-/// The same with a target that is full and ends the connection by which it is asked.
+/// Guards against a full target that closes the probe's connection and gets everything that is
+/// opened late.
 #[test]
-fn a_full_target_is_noticed_though_all_openings_have_waited() {
-    let (mut instance, target) = opened_for_nobody();
+fn a_declining_target_is_full_although_all_openings_were_held() {
+    let (mut instance, target) = opened_without_caller();
 
     instance.tick(1_100);
     instance.forwarder.handle_probe_result(
@@ -305,10 +307,11 @@
     assert_eq!(instance.forwarder.count_full(), 1);
 }
 
-/// Guards against the same with a full target that leaves the question unanswered.
+/// Guards against a full target that leaves the probe unanswered and gets everything that is
+/// opened late.
 #[test]
-fn a_full_target_that_stays_silent_is_noticed_though_all_openings_have_waited() {
-    let (mut instance, target) = opened_for_nobody();
+fn a_silent_target_is_full_although_all_openings_were_held() {
+    let (mut instance, target) = opened_without_caller();
     instance.tick(1_100);
     let feed = (1..=20).map(|number| flow(number, FEED));
     for key in feed {
@@ -325,10 +328,10 @@
     assert_eq!(instance.forwarder.count_full(), 1);
 }
 
-/// Guards against callers who wait behind openings of those who have gone.
+/// Guards against callers who wait behind openings of callers who have gone.
 #[test]
 fn an_opening_for_a_caller_who_has_gone_is_no_work() {
-    let (mut instance, target) = opened_for_nobody();
+    let (mut instance, target) = opened_without_caller();
     let work = |instance: &Instance| {
         let services = instance.forwarder.services(millis(1_000));
         let targets = services.into_iter().flat_map(|it| it.targets);
@@ -343,27 +346,27 @@
 }
 
 #[test]
-fn somebody_who_waits_is_due() {
-    let mut instance = busy(140);
-    fill(&mut instance, REQUEST, 500);
+fn a_held_flow_has_a_deadline() {
+    let mut instance = busy_instance(140);
+    open_until_held(&mut instance, REQUEST, 500);
 
     let due = instance.forwarder.deadline().expect("somebody waits");
 
-    assert!(due <= millis(500 + 4 * GOAL));
+    assert!(due <= millis(500 + 4 * OBJECTIVE));
 }
 
-/// Nobody tells of another instance, so this one counts all slots as its own part.
+/// Without the number of other instances, an instance uses all slots as its own share.
 #[test]
-fn an_instance_that_knows_no_other_uses_all_slots() {
-    let mut alone = busy(140);
-    let mut one_of_four = busy(140);
+fn an_instance_that_knows_no_others_uses_all_slots() {
+    let mut alone = busy_instance(140);
+    let mut one_of_four = busy_instance(140);
     one_of_four.forwarder.set_domain_size(4);
-    let under_way = |instance: &mut Instance| {
-        fill(instance, REQUEST, 500);
+    let in_progress = |instance: &mut Instance| {
+        open_until_held(instance, REQUEST, 500);
         opened(instance).len()
     };
 
-    let (all, part) = (under_way(&mut alone), under_way(&mut one_of_four));
+    let (all, part) = (in_progress(&mut alone), in_progress(&mut one_of_four));
 
     assert!(all >= part, "{all} and {part}");
     assert!(opened(&one_of_four).iter().all(|it| it.service == REQUEST));
@@ -373,8 +376,8 @@
 
 #[test]
 fn operators_see_why_a_flow_goes_where_it_goes() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     let mut leaving = target(2, "desk");
     leaving.leaving = true;
     instance.learn(one(201, Content::Target(leaving)), 510);
@@ -392,17 +395,17 @@
     assert_eq!(usages, [TargetUse::Good, TargetUse::Leaving]);
 }
 
-/// Guards against a caller who is turned away at the end of an earlier opening's wait.
+/// Guards against a caller that is refused at the end of an earlier opening's wait.
 #[test]
-fn a_port_that_is_used_again_waits_anew() {
-    let mut instance = busy(140);
-    let held = fill(&mut instance, REQUEST, 500);
+fn a_reused_port_is_held_for_its_own_time() {
+    let mut instance = busy_instance(140);
+    let held = open_until_held(&mut instance, REQUEST, 500);
     instance.packet(segment(held, Kind::Abort), 520);
-    ask_slowly(&mut instance, 900);
+    answer_feeds_slowly(&mut instance, 900);
     instance.packet(segment(held, Kind::Open), 900);
-    ask_slowly(&mut instance, 1_090);
+    answer_feeds_slowly(&mut instance, 1_090);
 
-    instance.tick(500 + 4 * GOAL);
+    instance.tick(500 + 4 * OBJECTIVE);
 
     assert!(instance.out.resets.is_empty());
 }
