--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -29,7 +29,7 @@
         let target_status = |entry| self.target_status(entry, restrictions(entry), now);
         let candidates: Vec<_> = entries.map(target_status).collect();
         let known = self.flows.get(key).and_then(|flow| self.catalog.entry(flow.target));
-        let takes = |it: &MarkedTarget| {
+        let can_take = |it: &MarkedTarget| {
             matches!(it.usage, TargetUse::Good | TargetUse::Unlisted | TargetUse::Doubtful)
         };
         let reason = if known.is_some() {
@@ -38,7 +38,7 @@
             MarkedReason::Waiting
         } else if route.is_none() {
             MarkedReason::NoRoute
-        } else if candidates.iter().any(takes) {
+        } else if candidates.iter().any(can_take) {
             MarkedReason::Unknown
         } else {
             MarkedReason::NoTarget
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -14,12 +14,12 @@
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
-/// Minimum time for which open flows must be unanswered before a silent target is lost: callers
+/// Minimum time without answers on open flows after which a silent target is lost: callers
 /// retransmit after 200 ms, and the answer takes some time.
 const MIN_SILENCE: Millis = Millis(250);
-/// Maximum of the same time, whatever the usual answer time: callers give up after 1.5 s.
+/// Maximum of that time, whatever the usual answer time: callers give up after 1.5 s.
 const MAX_SILENCE: Millis = Millis(1_200);
-/// The same time while the usual answer time is unknown: an instance that starts during
+/// Value of that time while the usual answer time is unknown: an instance that starts during
 /// overload finds full queues and sees a target's answers only a few times per second.
 const DEFAULT_SILENCE: Millis = Millis(1_000);
 
@@ -95,11 +95,11 @@
     }
 
     /// Decides whether a target is full after an opening that arrived at `since` was left
-    /// unanswered, and returns the decision. A target that was full, and only seemed to have a
-    /// free slot, is full again. A target that is alive is full if it leaves several openings
-    /// unanswered. In both cases a later opening must have been answered elsewhere: otherwise
-    /// this instance may be late itself, or be leaving, so that handshakes end at other
-    /// instances.
+    /// unanswered, and returns the decision. A target that was full and only seemed to have a
+    /// free slot is full again; a target that is alive is full if it leaves several openings
+    /// unanswered. Another target must have answered a later opening, unless the opening has
+    /// waited for [`MAX_FULL_WAIT`] at a target that was full: otherwise this instance may be
+    /// late itself, or be leaving, so that handshakes end at other instances.
     pub(super) fn mark_full_if_declining(
         &mut self,
         target: Incarnation,
@@ -109,10 +109,10 @@
     ) -> bool {
         let Some(state) = self.states.get(&target) else { return false };
         let health = &state.health;
-        let is_passed = self.estimates.has_answered_since(since) && health.taken() < since;
+        let is_overtaken = self.estimates.has_answered_since(since) && health.taken() < since;
         let is_full = match state.vacancy.is_full() {
-            true => is_passed || now.since(since) >= MAX_FULL_WAIT,
-            false => is_passed && state.unanswered >= MIN_UNANSWERED && health.life() > since,
+            true => is_overtaken || now.since(since) >= MAX_FULL_WAIT,
+            false => is_overtaken && state.unanswered >= MIN_UNANSWERED && health.life() > since,
         };
         if is_full {
             if let Some(state) = self.states.get_mut(&target) {
@@ -225,8 +225,8 @@
         state.check_at = Some(since + limit);
     }
 
-    /// Maximum time for which open flows of a target may be unanswered; none if the target is
-    /// unknown.
+    /// Maximum time for which open flows of a target may be unanswered; none for an unknown
+    /// target.
     fn silence_limit(&self, target: Incarnation) -> Option<Millis> {
         let entry = self.catalog.entry(target)?;
         let service = &entry.target.service;
--- a/marked/tests/test_contested.rs
+++ b/marked/tests/test_contested.rs
@@ -12,7 +12,7 @@
     second: Incarnation,
 }
 
-fn moved() -> Moved {
+fn moved_flow() -> Moved {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, REQUEST);
     let first = instance.open(key, 1_000);
@@ -32,11 +32,11 @@
 fn other_than(instance: &Instance, target: Incarnation) -> Incarnation {
     let entries = instance.forwarder.catalog().entries();
     let mut others = entries.map(|entry| entry.target.incarnation).filter(|it| *it != target);
-    others.next().expect("there are two")
+    others.next().expect("another target exists")
 }
 
 /// Number of flows with an opening or request in progress at a target.
-fn busy(instance: &Instance, at: Incarnation) -> u32 {
+fn work_at(instance: &Instance, at: Incarnation) -> u32 {
     let name = &instance.forwarder.catalog().entry(at).expect("known").target.name;
     let explained = instance.forwarder.explain(&flow(9_999, FEED), None, millis(0));
     let found = explained.candidates.iter().find(|it| it.name == *name).expect("a candidate");
@@ -46,7 +46,7 @@
 /// Guards against data sent to the target that answered second, which doesn't have the flow.
 #[test]
 fn data_goes_to_the_target_whose_answer_the_caller_has_acknowledged() {
-    let Moved { mut instance, key, first, second } = moved();
+    let Moved { mut instance, key, first, second } = moved_flow();
 
     instance.packet(middle(key, first, 1001, 500, 0), 1_033);
     instance.packet(middle(key, second, 1001, 500, 900), 1_034);
@@ -58,7 +58,7 @@
 /// the answer to the earlier copy of the opening arrives last.
 #[test]
 fn data_goes_on_to_the_second_target_when_the_first_answers_late() {
-    let Moved { mut instance, key, first, second } = moved();
+    let Moved { mut instance, key, first, second } = moved_flow();
 
     instance.packet(middle(key, second, 1001, 500, 0), 1_033);
     instance.packet(middle(key, first, 1001, 500, 900), 1_034);
@@ -70,7 +70,7 @@
 #[test]
 fn closing_packets_go_to_the_target_of_the_data() {
     for kind in [Kind::Close, Kind::Abort] {
-        let Moved { mut instance, key, first, second } = moved();
+        let Moved { mut instance, key, first, second } = moved_flow();
         instance.packet(middle(key, first, 1001, 500, 0), 1_033);
 
         let mut end = middle(key, second, 1901, 1_100, 0);
@@ -111,7 +111,7 @@
 /// Guards against a record that outlives its flow and diverts a later flow of the same ports.
 #[test]
 fn a_later_flow_of_the_same_ports_follows_its_mark() {
-    let Moved { mut instance, key, first, second } = moved();
+    let Moved { mut instance, key, first, second } = moved_flow();
     instance.packet(middle(key, second, 1001, 500, 0), 1_033);
 
     instance.packet(middle(key, first, 700_001, 900_000, 100), 3_000);
@@ -122,12 +122,12 @@
 /// Guards against openings that count forever as work of a target that they are not at.
 #[test]
 fn an_opening_that_one_target_accepted_is_no_work_of_the_other() {
-    let Moved { mut instance, key, first, second } = moved();
-    assert_eq!(busy(&instance, second), 1);
+    let Moved { mut instance, key, first, second } = moved_flow();
+    assert_eq!(work_at(&instance, second), 1);
 
     instance.packet(middle(key, first, 1001, 500, 0), 1_033);
 
-    assert_eq!(busy(&instance, second), 0);
+    assert_eq!(work_at(&instance, second), 0);
 }
 
 /// Guards against requests that count forever as work of a target after a flow of the same
@@ -139,9 +139,9 @@
     let here = instance.opened(key, 1_000);
     instance.packet(middle(key, here, 1001, 500, 900), 1_010);
     let other = other_than(&instance, here);
-    assert_eq!(busy(&instance, here), 1);
+    assert_eq!(work_at(&instance, here), 1);
 
     instance.packet(middle(key, other, 700_001, 900_000, 100), 3_000);
 
-    assert_eq!(busy(&instance, here), 0);
+    assert_eq!(work_at(&instance, here), 0);
 }
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -41,7 +41,7 @@
 /// Opens requests at the same time until one goes to `at`.
 fn open_at(instance: &mut Instance, at: Incarnation, now: u64) -> FlowKey {
     let mut keys = (100..200).map(|number| flow(number, REQUEST));
-    keys.find(|key| instance.open(*key, now) == at).expect("one goes there")
+    keys.find(|key| instance.open(*key, now) == at).expect("a flow is opened there")
 }
 
 fn usage(instance: &Instance, at: Incarnation, now: u64) -> TargetUse {
@@ -115,7 +115,7 @@
     open_at(&mut instance, south, 0);
 
     instance.learn(evacuated(101), 10);
-    let due = instance.forwarder.deadline().expect("an opening is looked at");
+    let due = instance.forwarder.deadline().expect("a check is due");
     instance.out.sent.clear();
     instance.tick(due.0);
 
@@ -152,7 +152,10 @@
     let (mut instance, north, south) = two_domains();
     instance.hear_answers(FEED, 20, 40);
     let feed = (100..200).map(|number| flow(number, FEED));
-    let feed = feed.into_iter().find(|key| instance.opened(*key, 50) == south).expect("one");
+    let feed = feed
+        .into_iter()
+        .find(|key| instance.opened(*key, 50) == south)
+        .expect("a feed is opened there");
     open_at(&mut instance, south, 1_000);
     instance.tick(1_030);
     instance.packet(middle(feed, south, 1001, 500, 100), 1_040);
@@ -368,7 +371,7 @@
         changes in operator_changes(8), order in proptest::collection::vec(any::<prop::sample::Index>(), 0..24)
     ) {
         let (mut instance, ..) = two_domains();
-        let (last, is_evacuated) = *changes.last().expect("one at least");
+        let (last, is_evacuated) = *changes.last().expect("at least one change");
         let update_of = |(revision, evacuates): (u64, bool)| {
             if evacuates { evacuated(revision) } else { evacuation_ended(revision) }
         };
@@ -498,7 +501,7 @@
         instance.packet(middle(flow(number, REQUEST), at, 1001, 500, 0), now + 5);
     }
 
-    assert_eq!(instance.forwarder.counts().opened, 6, "two a second: half of what it bears");
+    assert_eq!(instance.forwarder.counts().opened, 6, "two per second: half of the target's limit");
     assert!(instance.out.resets.iter().all(|(.., why)| *why == Refusal::Warming));
 }
 
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -103,7 +103,7 @@
     silent(&mut instance, 1_110);
     assert!(instance.out.resets.is_empty());
     silent(&mut instance, 1_410);
-    assert_eq!(instance.out.resets.len(), 1, "in the end it is");
+    assert_eq!(instance.out.resets.len(), 1, "reset after the isolation limit");
 }
 
 /// Guards against healthy flows reset because ten targets are silent at once, as they are
@@ -138,7 +138,7 @@
     silent(&mut instance, 1_800);
     assert!(instance.out.resets.is_empty());
     silent(&mut instance, 2_400);
-    assert_eq!(instance.out.resets.len(), 40, "in the end they are lost");
+    assert_eq!(instance.out.resets.len(), 40, "reset after the isolation limit");
 }
 
 /// Guards against packets sent to a lost target on flows that another instance opened there.
--- a/marked/tests/test_full.rs
+++ b/marked/tests/test_full.rs
@@ -25,7 +25,7 @@
     now: u64,
 ) -> FlowKey {
     let mut keys = numbers.map(|number| flow(number, REQUEST));
-    keys.find(|key| instance.open(*key, now) == at).expect("one goes there")
+    keys.find(|key| instance.open(*key, now) == at).expect("a flow is opened there")
 }
 
 /// Opens flows until one goes elsewhere; returns it and its target.
@@ -37,7 +37,7 @@
 ) -> (FlowKey, Incarnation) {
     let mut keys = numbers.map(|number| flow(number, REQUEST));
     let mut opened = keys.by_ref().map(|key| (key, instance.open(key, now)));
-    opened.find(|(_, to)| *to != at).expect("one goes elsewhere")
+    opened.find(|(_, to)| *to != at).expect("a flow is opened elsewhere")
 }
 
 /// The target in a flow's record.
@@ -62,7 +62,7 @@
     report_silent(&mut instance, at, 1_330);
 
     assert!(instance.out.resets.is_empty());
-    assert_ne!(instance.last(), at, "what was being opened went elsewhere");
+    assert_ne!(instance.last(), at, "the opening moved to the other target");
     assert_eq!(usage(&instance, at, 1_340), TargetUse::Full);
     for number in 40..60 {
         assert_ne!(instance.open(flow(number, FEED), 1_340), at);
@@ -194,12 +194,12 @@
     instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
     instance.out.asked.clear();
     instance.tick(1_830);
-    assert!(instance.out.asked.contains(&at), "it is asked again after 500 ms");
+    assert!(instance.out.asked.contains(&at), "probed again after 500 ms");
 
     instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_835), &mut instance.out);
     let trial = open_at(&mut instance, at, 100..120, 1_840);
     for number in 120..140 {
-        assert_ne!(instance.open(flow(number, FEED), 1_845), at, "one at a time");
+        assert_ne!(instance.open(flow(number, FEED), 1_845), at, "only one opening at a time");
     }
     instance.tick(1_870);
     instance.tick(1_931);
@@ -211,7 +211,7 @@
     assert_eq!(usage(&instance, at, 1_871), TargetUse::Full);
     instance.out.asked.clear();
     instance.tick(2_900);
-    assert!(!instance.out.asked.contains(&at), "the pause has doubled");
+    assert!(!instance.out.asked.contains(&at), "the backoff has doubled");
     instance.tick(2_931);
     assert!(instance.out.asked.contains(&at));
 }
@@ -231,7 +231,7 @@
     instance.packet(middle(next, at, 1001, 500, 0), 1_118);
 
     for number in 120..140 {
-        assert_ne!(instance.open(flow(number, FEED), 1_120), at, "one for one");
+        assert_ne!(instance.open(flow(number, FEED), 1_120), at, "one flow per free slot");
     }
 }
 
@@ -319,7 +319,7 @@
         most = most.max(asked);
     }
 
-    assert!(most <= 16, "{most} of 160 at once");
+    assert!(most <= 16, "{most} of 160 probes at once");
 }
 
 /// Guards against openings of distant callers that are all sent twice.
@@ -339,7 +339,7 @@
     assert!(instance.out.asked.is_empty());
     assert_eq!(instance.out.sent.len(), 1);
     instance.tick(5_150);
-    assert_eq!(instance.out.asked.len(), 1, "not for ever");
+    assert_eq!(instance.out.asked.len(), 1, "probed after the maximum timeout");
 }
 
 /// Guards against a wait for a silent target that has already declined.
@@ -352,7 +352,7 @@
     instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
 
     assert_eq!(usage(&instance, at, 1_034), TargetUse::Full);
-    assert_ne!(instance.last(), at, "what was being opened went elsewhere");
+    assert_ne!(instance.last(), at, "the opening moved to the other target");
     assert!(instance.out.resets.is_empty());
 }
 
@@ -516,6 +516,6 @@
 fn instances_of_a_large_fleet_probe_a_full_target_rarely() {
     let alone = probes_of_one(1);
 
-    assert!((25..=31).contains(&alone), "once a second: {alone}");
+    assert!((25..=31).contains(&alone), "one probe per second: {alone}");
     assert!(probes_of_one(80) <= alone / 8, "{}", probes_of_one(80));
 }
--- a/marked/tests/test_openings.rs
+++ b/marked/tests/test_openings.rs
@@ -69,7 +69,7 @@
     let mut instance = Instance::new(&[target(1, "desk")]);
     instance.open(flow(1, REQUEST), 0);
 
-    let due = instance.forwarder.deadline().expect("something is due");
+    let due = instance.forwarder.deadline().expect("a check is due");
     assert!(due.0 <= 40);
     instance.tick(due.0);
 
@@ -156,7 +156,7 @@
     instance.packet(segment(flow(1, FEED), Kind::Open), 150);
     assert_eq!(instance.out.resets.len(), 1);
 
-    let due = instance.forwarder.deadline().expect("asking again is due").0;
+    let due = instance.forwarder.deadline().expect("a probe is due").0;
     instance.tick(due);
     assert_eq!(instance.out.asked, [only]);
     answer(&mut instance, Finding::Answers, due + 3);
@@ -182,7 +182,7 @@
     assert_eq!(instance.open(flow(1, FEED), 1020), only);
     instance.packet(segment(flow(2, FEED), Kind::Open), 4100);
 
-    assert_eq!(instance.out.resets.len(), 1, "after three seconds it is taken as gone");
+    assert_eq!(instance.out.resets.len(), 1, "not used 3 s after the entry lapsed");
 }
 
 /// Opens `count` flows of a class and returns the number that each target gets.
@@ -309,8 +309,8 @@
     let ((first, requests), (second, _)) = (placed(), placed());
 
     assert_eq!(first, second);
-    assert!(first.len() < 10, "some are left out");
-    assert!(requests >= 4, "requests go there");
+    assert!(first.len() < 10, "feeds leave out some targets");
+    assert!(requests >= 4, "requests use these targets");
 }
 
 /// Guards against a moved opening that is checked at the time of its first target: the new
@@ -332,5 +332,5 @@
     assert!(instance.out.sent.is_empty() && instance.out.asked.is_empty());
     instance.tick(60);
 
-    assert_eq!(instance.out.sent.len(), 1, "it is sent again in its own time");
+    assert_eq!(instance.out.sent.len(), 1, "sent again after its own timeout");
 }
--- a/marked/tests/test_waiting.rs
+++ b/marked/tests/test_waiting.rs
@@ -56,7 +56,7 @@
         let target = instance.last();
         instance.packet(middle(key, target, 1001, 500, 100), now);
     }
-    panic!("nothing waits");
+    panic!("no flow is held");
 }
 
 /// Ends the requests that `open_until_held` has begun; `held` stays held.
@@ -350,7 +350,7 @@
     let mut instance = busy_instance(140);
     open_until_held(&mut instance, REQUEST, 500);
 
-    let due = instance.forwarder.deadline().expect("somebody waits");
+    let due = instance.forwarder.deadline().expect("a flow is held");
 
     assert!(due <= millis(500 + 4 * OBJECTIVE));
 }
@@ -368,7 +368,7 @@
 
     let (all, part) = (in_progress(&mut alone), in_progress(&mut one_of_four));
 
-    assert!(all >= part, "{all} and {part}");
+    assert!(all >= part, "in progress: {all} alone, {part} as one of four");
     assert!(opened(&one_of_four).iter().all(|it| it.service == REQUEST));
     let known: Vec<Incarnation> = one_of_four.out.sent.iter().map(|it| it.0).collect();
     assert!(known.iter().all(|it| one_of_four.forwarder.catalog().entry(*it).is_some()));
