--- a/daemon/src/marked/asker.rs
+++ b/daemon/src/marked/asker.rs
@@ -7,7 +7,7 @@
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::poll_until;
 use medlarspur_lib::{collections::Set, ids::TargetName};
-use medlarspur_marked::{Finding, Incarnation, Target};
+use medlarspur_marked::{Incarnation, ProbeResult, Target};
 use medlarspur_platform::site::health::Question;
 use nix::poll::{PollFd, PollFlags};
 use std::{collections::VecDeque, io, net::SocketAddrV4, thread, time::Instant};
@@ -150,7 +150,7 @@
         }
     }
 
-    fn report(&mut self, incarnation: Incarnation, finding: Finding) {
+    fn report(&mut self, incarnation: Incarnation, finding: ProbeResult) {
         self.known.remove(&incarnation);
         if self.sender.send(Event::Found(incarnation, finding)) == Delivery::Full {
             log::warn!("ask: what {incarnation} answered is lost, the inbox is full");
--- a/daemon/src/marked/inbox.rs
+++ b/daemon/src/marked/inbox.rs
@@ -2,7 +2,7 @@
 
 use super::pictures::Order;
 use medlarspur_lib::status::{MarkedExplanation, MarkedStatus};
-use medlarspur_marked::{Finding, FlowKey, Incarnation, News, Revision};
+use medlarspur_marked::{FlowKey, Incarnation, ProbeResult, Revision, Update};
 use nix::{
     errno::Errno,
     fcntl::OFlag,
@@ -29,7 +29,7 @@
     /// News that was read from the store, maybe without any change.
     Read {
         /// The news.
-        news: News,
+        news: Update,
         /// Whether the store is in an earlier era than was believed.
         fell_back: bool,
     },
@@ -40,7 +40,7 @@
         /// Who told it.
         from: SocketAddrV4,
         /// What it told.
-        news: News,
+        news: Update,
     },
     /// Another instance asks for what has changed since a revision.
     Asked {
@@ -52,7 +52,7 @@
     /// An instance that was asked has told nothing.
     NotTold(SocketAddrV4),
     /// What asking a target brought.
-    Found(Incarnation, Finding),
+    Found(Incarnation, ProbeResult),
     /// An operator asks.
     Shown(Question),
 }
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -20,7 +20,7 @@
     settings::MarkedSettings,
     time::Millis,
 };
-use medlarspur_marked::{Fleet, Forwarder, News, Tuning};
+use medlarspur_marked::{Fleet, Forwarder, Tuning, Update};
 use medlarspur_operator::MetersError;
 use medlarspur_platform::site::{packet, ready};
 use report::Metrics;
@@ -334,7 +334,7 @@
                     }
                 }
                 Event::Asked { known, reply } => {
-                    let news = self.forwarder.catalog().since(known, now);
+                    let news = self.forwarder.catalog().update_since(known, now);
                     if reply.send(Order::Tell(known, news)) != Delivery::Taken {
                         log::debug!("peers: whoever asked is not told");
                     }
@@ -356,12 +356,12 @@
     /// by then the target should be known.
     fn catch_up(&mut self) {
         match &mut self.peers {
-            Some(peers) if !peers.fleet.is_reading() => peers.fleet.suspect_lack(),
+            Some(peers) if !peers.fleet.is_reading() => peers.fleet.catch_up(),
             _ => self.reading.hurry(),
         }
     }
 
-    fn learn(&mut self, news: News, now: Millis) {
+    fn learn(&mut self, news: Update, now: Millis) {
         self.forwarder.learn(news, now, &mut self.datagrams);
     }
 
@@ -382,13 +382,13 @@
                 self.forwarder.learn(news, now, &mut self.datagrams);
             }
         }
-        self.forwarder.set_near(fleet.near());
+        self.forwarder.set_near(fleet.domain_size());
         self.forwarder.set_cut_off(fleet.is_cut_off(now));
         self.forwarder.set_seat(fleet.seat(now));
         let known = self.forwarder.revision();
         fleet.tick(self.forwarder.catalog(), now);
-        if let Some(from) = fleet.pull(known, now) {
-            pictures.pull(from, self.forwarder.catalog().basis());
+        if let Some(from) = fleet.take_pull(known, now) {
+            pictures.pull(from, self.forwarder.catalog().pull_base());
         }
         match fleet.is_reading() {
             true => self.reading.go_on(known),
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -7,7 +7,7 @@
 use crate::{clock::Clock, sink::Sink};
 use medlarspur_fabric::Counts as Wire;
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
-use medlarspur_marked::{Counts, Finding, Revision, Span};
+use medlarspur_marked::{Counts, ProbeResult, Revision, Span};
 use medlarspur_operator::{ClassMeters, Family, Gauge, Meters};
 use medlarspur_platform::site::packet::PacketError;
 use std::{
@@ -104,10 +104,10 @@
     (Family::Drops, "send-failed", |it| it.wire.failed),
     (Family::Platform, "restored", |it| it.counts.restores),
     (Family::Probes, "asked", |it| it.counts.asked),
-    (Family::Probes, "answers", |it| it.counts.found[Finding::Answers as usize]),
-    (Family::Probes, "declines", |it| it.counts.found[Finding::Declines as usize]),
-    (Family::Probes, "gone", |it| it.counts.found[Finding::Gone as usize]),
-    (Family::Probes, "silent", |it| it.counts.found[Finding::Silent as usize]),
+    (Family::Probes, "answers", |it| it.counts.found[ProbeResult::Answers as usize]),
+    (Family::Probes, "declines", |it| it.counts.found[ProbeResult::Declines as usize]),
+    (Family::Probes, "gone", |it| it.counts.found[ProbeResult::Gone as usize]),
+    (Family::Probes, "silent", |it| it.counts.found[ProbeResult::Silent as usize]),
 ];
 
 /// One gauge and where its value is found.
--- a/daemon/src/marked/pictures.rs
+++ b/daemon/src/marked/pictures.rs
@@ -13,7 +13,7 @@
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::{connect, is_decided, poll_until};
 use medlarspur_marked::{
-    News, Revision,
+    Revision, Update,
     message::{self, MessageError},
 };
 use nix::poll::{PollFd, PollFlags};
@@ -68,7 +68,7 @@
     /// Ask that instance for what has changed since a revision.
     Pull(SocketAddrV4, Revision),
     /// Tell those who wait for it what has changed since a revision.
-    Tell(Revision, News),
+    Tell(Revision, Update),
 }
 
 /// Hands orders to the thread.
@@ -196,10 +196,10 @@
     }
 
     /// Begins to tell all who wait for that news. Whoever knows nothing has none to tell.
-    fn tell(&mut self, since: Revision, news: &News, now: Instant) {
+    fn tell(&mut self, since: Revision, news: &Update, now: Instant) {
         self.asked = None;
         let encoded = match news.revision > Revision::default() {
-            true => message::encode_news(news).context(MessageSnafu),
+            true => message::encode_update(news).context(MessageSnafu),
             false => Ok(Vec::new()),
         };
         let bytes: Arc<[u8]> = match encoded {
@@ -354,7 +354,7 @@
     }
 
     /// Does what can be done by now; tells the news once all of it is there.
-    fn advance(&mut self, now: Instant) -> Result<Option<News>, PictureError> {
+    fn advance(&mut self, now: Instant) -> Result<Option<Update>, PictureError> {
         if let Some(known) = self.known {
             if is_decided(&self.stream) {
                 if let Some(error) = self.stream.take_error().context(ConnectionSnafu)? {
@@ -370,7 +370,7 @@
         if let Answer::Picture { bytes, filled } = &self.answer
             && *filled == bytes.len()
         {
-            return message::decode_news(bytes).context(MessageSnafu).map(Some);
+            return message::decode_update(bytes).context(MessageSnafu).map(Some);
         }
         ensure!(now < self.due, StalledSnafu);
         Ok(None)
--- a/daemon/tests/test_marked_asker.rs
+++ b/daemon/tests/test_marked_asker.rs
@@ -8,7 +8,7 @@
     ids::{DomainName, ServiceName, TargetName},
     time::Millis,
 };
-use medlarspur_marked::{Finding, Incarnation, Start, Target};
+use medlarspur_marked::{Incarnation, ProbeResult, Start, Target};
 use nix::{
     poll::{PollFd, PollFlags, PollTimeout, poll},
     sys::socket::{
@@ -93,7 +93,7 @@
                 poll(&mut fds, PollTimeout::from(2_000_u16)).expect("it waits");
                 for event in inbox.drain() {
                     let Event::Found(incarnation, finding) = event else { panic!("{event:?}") };
-                    assert_eq!(finding, Finding::Silent);
+                    assert_eq!(finding, ProbeResult::Silent);
                     found.insert(incarnation);
                 }
                 most_threads = most_threads.max(threads());
--- a/daemon/tests/test_marked_pictures.rs
+++ b/daemon/tests/test_marked_pictures.rs
@@ -4,7 +4,7 @@
     inbox::{self, Event, Inbox},
     pictures::{MAX_TOLD, Order, Pictures},
 };
-use medlarspur_marked::{News, Revision, Scope};
+use medlarspur_marked::{Revision, Scope, Update};
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::{
     collections::BTreeSet,
@@ -39,8 +39,8 @@
     inbox.drain().collect()
 }
 
-fn news(revision: u64) -> News {
-    News::new(Revision::new(0, revision), Scope::All, Vec::new())
+fn news(revision: u64) -> Update {
+    Update::new(Revision::new(0, revision), Scope::Snapshot, Vec::new())
 }
 
 /// Answers what the main thread is asked, with the picture of that revision.
--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -9,8 +9,8 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Catalog, Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, News, Note,
-    Output, Revision, Route, Scope, Segment, Share, Span, Start, Target, Tuning, message,
+    Catalog, Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, Note, Output,
+    Revision, Route, Scope, Segment, Share, Span, Start, Target, Tuning, Update, message,
 };
 use std::{fs, hint::black_box, net::SocketAddrV4, time::Instant};
 
@@ -81,12 +81,12 @@
 
 /// A site with that many targets and 0.6 routes a target, as at the size aimed
 /// for; `services` share them.
-fn site(targets: usize, services: usize) -> News {
+fn site(targets: usize, services: usize) -> Update {
     let routes = (targets * 6 / 10).max(1);
     let route = |number: usize| Route {
         address: address(198, number, 8443),
         class: Class::Feed,
-        goal: Some(Millis(250)),
+        objective: Some(Millis(250)),
         shares: vec![Share {
             service: ServiceName::new(&format!("service-{}", number % services)),
             weight: 1,
@@ -106,7 +106,7 @@
         revision: Revision::new(0, number as u64 + 2),
         content: Content::Target(target(number, number % services)),
     }));
-    News::new(Revision::new(0, targets as u64 + 2), Scope::All, changes)
+    Update::new(Revision::new(0, targets as u64 + 2), Scope::Snapshot, changes)
 }
 
 /// The resident memory of this process in bytes.
@@ -119,16 +119,16 @@
 fn catalog(targets: usize) {
     let before = resident();
     let news = site(targets, (targets / 8).max(2));
-    let bytes = message::encode_news(&news).map_or(0, |it| it.len());
+    let bytes = message::encode_update(&news).map_or(0, |it| it.len());
     row("whole picture, bytes to another instance", targets, bytes as f64, "B");
     let mut catalog = Catalog::default();
     let start = Instant::now();
     catalog.merge(news, Millis(0));
     row("whole picture, merged", targets, start.elapsed().as_secs_f64() * 1e6, "us");
     row("whole picture, resident", targets, (resident() - before) / 1024.0, "KiB");
-    let change = |nth: u32| News {
+    let change = |nth: u32| Update {
         revision: Revision::new(0, 1_000_000 + u64::from(nth)),
-        scope: Scope::Since(Revision::new(0, 0)),
+        scope: Scope::Incremental(Revision::new(0, 0)),
         changes: vec![Change {
             revision: Revision::new(0, 1_000_000 + u64::from(nth)),
             content: Content::Target(target(nth as usize % targets, 0)),
@@ -142,7 +142,7 @@
     row("one change, merged", targets, start.elapsed().as_secs_f64() * 1e3, "us");
     let start = Instant::now();
     for nth in 0..100 {
-        black_box(catalog.since(Revision::new(0, 1_000_990 + nth % 5), Millis(0)));
+        black_box(catalog.update_since(Revision::new(0, 1_000_990 + nth % 5), Millis(0)));
     }
     row("the last changes, gathered", targets, start.elapsed().as_secs_f64() * 1e4, "us");
     std::mem::forget(catalog);
--- a/marked/src/catalog/merge.rs
+++ b/marked/src/catalog/merge.rs
@@ -1,11 +1,11 @@
 //! Merging news into a catalog.
 
 use super::{
-    Catalog, Changed, MAX_DELTAS, RETENTION, Restored, Step, Withdrawal, restore::Verdict,
+    Catalog, MAX_DELTAS, MergeOutcome, RETENTION, Restored, Step, Withdrawal, restore::Verdict,
 };
 use crate::{
-    Change, Config, Content, Entry, Former, Incarnation, News, Presence, Revision, Scope, Start,
-    Target, delta::Delta, mark::Index,
+    Change, Config, Content, Entry, FormerTarget, Incarnation, Presence, Revision, Scope, Start,
+    Target, Update, delta::Delta, mark::Index,
 };
 use medlarspur_lib::{
     collections::Set,
@@ -22,17 +22,17 @@
 
 impl Catalog {
     /// Takes in news. That of an earlier era is none.
-    pub fn merge(&mut self, news: News, now: Millis) -> Changed {
+    pub fn merge(&mut self, update: Update, now: Millis) -> MergeOutcome {
         let mut changed = self.confirm(now);
-        let is_covered = !self.lacks(&news);
-        let News { revision, scope, changes, mut unconfirmed } = news;
+        let is_covered = !self.has_gap_before(&update);
+        let Update { revision, scope, changes, mut unconfirmed } = update;
         let before = self.revision;
         if revision.era < before.era {
             return changed;
         }
         let is_later = revision.era > before.era && before > Revision::default();
         let mut is_whole = is_covered;
-        if scope == Scope::All {
+        if scope == Scope::Snapshot {
             let is_copy = is_later || self.restore.is_open(now);
             self.take_all(revision, changes, &mut unconfirmed, is_copy, now, &mut changed);
         } else {
@@ -40,9 +40,9 @@
                 is_whole &= self.take(change, now, &mut changed);
             }
         }
-        if let Scope::Across { listed, .. } = scope
+        if let Scope::WithDigest { digest, .. } = scope
             && is_whole
-            && listed != self.listed()
+            && digest != self.listing_digest()
         {
             self.astray = true;
             is_whole = false;
@@ -52,11 +52,11 @@
             self.restore.enter(now);
         }
         if is_whole {
-            if !matches!(scope, Scope::Since(_)) {
+            if !matches!(scope, Scope::Incremental(_)) {
                 self.read = self.read.max(revision);
                 self.restore.replace(unconfirmed, now);
             }
-            if is_restored && scope != Scope::All {
+            if is_restored && scope != Scope::Snapshot {
                 self.list_all_again(revision.era);
             }
             self.revision = self.revision.max(revision);
@@ -83,7 +83,7 @@
         unconfirmed: &mut Vec<Change>,
         is_copy: bool,
         now: Millis,
-        changed: &mut Changed,
+        changed: &mut MergeOutcome,
     ) {
         self.astray = false;
         let (mut listed, mut doubted) = (Listed::default(), Vec::new());
@@ -112,8 +112,8 @@
     }
 
     /// Takes in what a copy said, once there was time to write it again.
-    pub fn confirm(&mut self, now: Millis) -> Changed {
-        let mut changed = Changed::default();
+    pub fn confirm(&mut self, now: Millis) -> MergeOutcome {
+        let mut changed = MergeOutcome::default();
         for change in self.restore.take_due(now) {
             self.take(change, now, &mut changed);
         }
@@ -126,7 +126,7 @@
     }
 
     /// Takes a change in by its revision; answers whether it could be.
-    fn take(&mut self, change: Change, now: Millis, changed: &mut Changed) -> bool {
+    fn take(&mut self, change: Change, now: Millis, changed: &mut MergeOutcome) -> bool {
         let Change { revision, content } = change;
         match content {
             Content::Config(config) => self.merge_config(revision, config),
@@ -142,14 +142,14 @@
                 let withdrawal = Withdrawal::new(revision, Presence::Unusable(now));
                 self.withdraw(&name, withdrawal, &mut changed.targets);
             }
-            Content::Former(former) => {
-                changed.formers.extend(self.merge_former(revision, former, now));
+            Content::FormerTarget(former) => {
+                changed.former_targets.extend(self.merge_former(revision, former, now));
             }
             Content::Evacuated(domain) => {
                 let is_new = self.evacuations.set(&domain, revision, None);
                 changed.domains.extend(is_new.then_some(domain));
             }
-            Content::Restored(domain) => {
+            Content::EvacuationEnded(domain) => {
                 let is_new = self.evacuations.set(&domain, revision, Some(now));
                 changed.domains.extend(is_new.then_some(domain));
             }
@@ -198,8 +198,8 @@
         changed: &mut Vec<Incarnation>,
     ) {
         let incarnation = target.incarnation;
-        if self.is_clash(&target) {
-            self.clashes += 1;
+        if self.collides(&target) {
+            self.collisions += 1;
             return;
         }
         let listing = self.names.entry(target.name.clone()).or_default();
@@ -229,8 +229,14 @@
             return;
         }
         listing.current = Some(incarnation);
-        let cold = now + target.cold;
-        let fresh = Entry { target, revision, since: revision, presence: Presence::Listed, cold };
+        let cold_until = now + target.cold;
+        let fresh = Entry {
+            target,
+            revision,
+            content_revision: revision,
+            presence: Presence::Listed,
+            cold_until,
+        };
         if self.targets.get(&incarnation).is_some_and(|known| known.revision >= revision) {
             return;
         }
@@ -242,10 +248,10 @@
     fn merge_former(
         &mut self,
         revision: Revision,
-        former: Former,
+        former: FormerTarget,
         now: Millis,
     ) -> Option<Incarnation> {
-        let Former { target, age } = former;
+        let FormerTarget { target, age } = former;
         let incarnation = target.incarnation;
         if age >= RETENTION || self.targets.contains_key(&incarnation) {
             return None;
@@ -262,7 +268,13 @@
             listing.current = Some(incarnation);
             listing.withdrawn.get_or_insert(Withdrawal::new(revision, presence));
         }
-        self.insert(Entry { target, revision, since: revision, presence, cold: now });
+        self.insert(Entry {
+            target,
+            revision,
+            content_revision: revision,
+            presence,
+            cold_until: now,
+        });
         Some(incarnation)
     }
 
@@ -280,7 +292,7 @@
 
     /// Whether another target has the same number. Packets in mid-flow would go to
     /// either of the two, and be answered by a reset at the wrong one.
-    fn is_clash(&self, target: &Target) -> bool {
+    fn collides(&self, target: &Target) -> bool {
         let known = self.targets.get(&target.incarnation).map(|entry| &entry.target);
         known.is_some_and(|it| (&it.name, it.start) != (&target.name, target.start))
     }
@@ -300,7 +312,7 @@
         if known.revision >= revision {
             return;
         }
-        (known.revision, known.since) = (revision, revision);
+        (known.revision, known.content_revision) = (revision, revision);
         // An entry that named no target and then goes says nothing more of the target.
         let is_news = match presence {
             Presence::Unusable(_) => !matches!(known.presence, Presence::Unusable(_)),
@@ -319,7 +331,7 @@
                 Some(Content::Removed(target.name.clone()))
             }
             Content::Evacuated(domain) if !listed.domains.contains(domain) => {
-                Some(Content::Restored(domain.clone()))
+                Some(Content::EvacuationEnded(domain.clone()))
             }
             _ => None,
         };
@@ -341,7 +353,7 @@
             Content::Unusable(name) => drop(self.targets.insert(name.clone())),
             Content::Evacuated(domain) => drop(self.domains.insert(domain.clone())),
             Content::Config(_) | Content::Delta(_) | Content::Removed(_) => {}
-            Content::Former(_) | Content::Restored(_) => {}
+            Content::FormerTarget(_) | Content::EvacuationEnded(_) => {}
         }
     }
 }
--- a/marked/src/catalog/mod.rs
+++ b/marked/src/catalog/mod.rs
@@ -21,8 +21,8 @@
 mod restore;
 
 use crate::{
-    Change, Config, Content, Entry, FlowKey, Incarnation, Mark, News, Presence, Revision, Route,
-    Scope, Service, Start, Target, delta::Delta, evacuation::Evacuations, mark::Index,
+    Change, Config, Content, Entry, FlowKey, Incarnation, Mark, Presence, Revision, Route, Scope,
+    Service, Start, Target, Update, delta::Delta, evacuation::Evacuations, mark::Index,
 };
 use medlarspur_lib::{
     collections::Map,
@@ -65,11 +65,11 @@
 
 /// What news has changed.
 #[derive(Debug, Default)]
-pub struct Changed {
+pub struct MergeOutcome {
     /// Targets whose entries are others now.
     pub targets: Vec<Incarnation>,
     /// Targets that were listed once, and are heard of for the first time.
-    pub formers: Vec<Incarnation>,
+    pub former_targets: Vec<Incarnation>,
     /// Failure domains that operators have emptied, or have taken back.
     pub domains: Vec<DomainName>,
     /// That the source came back from a copy since the last news.
@@ -111,7 +111,7 @@
     /// known in part only.
     read: Revision,
     /// Targets that were not taken because another one has their number.
-    clashes: u64,
+    collisions: u64,
 }
 
 /// How a config came from the one before.
@@ -130,7 +130,7 @@
     }
 
     /// From which revision on to ask for changes: all, if differences don't fit any more.
-    pub fn basis(&self) -> Revision {
+    pub fn pull_base(&self) -> Revision {
         if self.astray { Revision::default() } else { self.revision }
     }
 
@@ -164,12 +164,12 @@
 
     /// When this instance heard that operators have taken an evacuation of a failure
     /// domain back.
-    pub fn restored(&self, domain: &DomainName) -> Option<Millis> {
+    pub fn evacuation_ended(&self, domain: &DomainName) -> Option<Millis> {
         self.evacuations.ended(domain)
     }
 
     /// The revision that says whether a failure domain is evacuated, if any does.
-    pub fn evacuation(&self, domain: &DomainName) -> Option<Revision> {
+    pub fn evacuation_revision(&self, domain: &DomainName) -> Option<Revision> {
         self.evacuations.revision(domain)
     }
 
@@ -190,8 +190,8 @@
     }
 
     /// How many targets were not taken because another one has their number.
-    pub fn clashes(&self) -> u64 {
-        self.clashes
+    pub fn collisions(&self) -> u64 {
+        self.collisions
     }
 
     /// All targets that are known.
@@ -212,22 +212,24 @@
     }
 
     /// The target that a mark of a flow means; none if the mark doesn't hold.
-    pub fn marked(&self, mark: Mark, flow: &FlowKey) -> Option<&Entry> {
+    pub fn entry_by_mark(&self, mark: Mark, flow: &FlowKey) -> Option<&Entry> {
         let found = self.indexes.get(&mark.index())?;
         let incarnation = found.iter().find(|&&it| mark.holds(it, flow))?;
         self.targets.get(incarnation)
     }
 
     /// Whether there are changes before that news which are not known here.
-    pub fn lacks(&self, news: &News) -> bool {
-        match news.scope {
-            Scope::All => false,
-            Scope::Since(known) | Scope::Across { since: known, .. } => known > self.revision,
+    pub fn has_gap_before(&self, update: &Update) -> bool {
+        match update.scope {
+            Scope::Snapshot => false,
+            Scope::Incremental(known) | Scope::WithDigest { since: known, .. } => {
+                known > self.revision
+            }
         }
     }
 
     /// A digest of what is listed, in any order.
-    fn listed(&self) -> u64 {
+    fn listing_digest(&self) -> u64 {
         let targets = self.targets.values().filter(|it| it.is_listed());
         let targets = targets.map(|it| {
             let Target { incarnation, address, slots, leaving, service, .. } = &it.target;
@@ -241,12 +243,12 @@
     /// What has changed since a revision, to be told to another instance. One
     /// that knows nothing, or was away for longer than removed targets are
     /// remembered, is told all.
-    pub fn since(&self, known: Revision, now: Millis) -> News {
+    pub fn update_since(&self, known: Revision, now: Millis) -> Update {
         let scope = self.scope(known);
-        let is_old = scope == Scope::All;
+        let is_old = scope == Scope::Snapshot;
         let is_told = |revision: Revision| is_old || revision > known;
         let config = self.config_since(if is_old { Revision::default() } else { known });
-        let targets = self.targets.values().filter(|it| is_told(it.since));
+        let targets = self.targets.values().filter(|it| is_told(it.content_revision));
         let targets = targets.filter_map(|entry| entry.change(now));
         let withdrawn = self.names.iter().filter_map(|(name, it)| it.change(name));
         let others = withdrawn.chain(self.evacuations.changes());
@@ -255,19 +257,19 @@
         // Last, so that what is listed under their names is known before them.
         let changes = config.into_iter().chain(others).chain(former).collect();
         // Whoever knows all since the last whole reading has judged it by itself.
-        let is_judged = matches!(scope, Scope::Since(_));
+        let is_judged = matches!(scope, Scope::Incremental(_));
         let unconfirmed = self.restore.waiting().filter(|_| !is_judged).cloned().collect();
-        News { revision: self.revision, scope, changes, unconfirmed }
+        Update { revision: self.revision, scope, changes, unconfirmed }
     }
 
     /// What covers all changes since a revision.
     fn scope(&self, known: Revision) -> Scope {
         if known == Revision::default() || known < self.forgotten {
-            return Scope::All;
+            return Scope::Snapshot;
         }
         match known < self.read {
-            true => Scope::Across { since: known, listed: self.listed() },
-            false => Scope::Since(known),
+            true => Scope::WithDigest { since: known, digest: self.listing_digest() },
+            false => Scope::Incremental(known),
         }
     }
 
--- a/marked/src/catalog/restore.rs
+++ b/marked/src/catalog/restore.rs
@@ -90,7 +90,7 @@
 impl Catalog {
     /// The source is in an earlier era than was believed: whatever it lists next wins over what
     /// is known, but for the version of the config.
-    pub fn fall_back(&mut self) {
+    pub fn reset_revisions(&mut self) {
         let start = Revision::default();
         (self.revision, self.read, self.forgotten) = (start, start, start);
         self.restore = Restore::default();
@@ -98,11 +98,13 @@
         if let Some((revision, _)) = &mut self.config {
             *revision = start;
         }
-        self.targets.values_mut().for_each(|it| (it.revision, it.since) = (start, start));
+        self.targets
+            .values_mut()
+            .for_each(|it| (it.revision, it.content_revision) = (start, start));
         for withdrawal in self.names.values_mut().filter_map(|it| it.withdrawn.as_mut()) {
             withdrawal.revision = start;
         }
-        self.evacuations.fall_back();
+        self.evacuations.reset_revisions();
     }
 
     /// Notes that a later era lists a target as it is known, which is no news for others.
@@ -133,7 +135,7 @@
 
     fn known_since(&self, subject: &Subject) -> Revision {
         let known = match subject {
-            Subject::Domain(domain) => self.evacuation(domain),
+            Subject::Domain(domain) => self.evacuation_revision(domain),
             Subject::Target(name) => {
                 let withdrawn = self.names.get(name).and_then(|it| it.withdrawn);
                 let withdrawn = withdrawn.map(|it| it.revision);
@@ -153,7 +155,7 @@
                 known.is_some_and(|it| is_earlier(it.revision))
             }
             Content::Evacuated(domain) => {
-                let known = self.evacuation(domain).filter(|_| !self.is_evacuated(domain));
+                let known = self.evacuation_revision(domain).filter(|_| !self.is_evacuated(domain));
                 // Whatever has a larger count than the end was written after the copy.
                 let is_older = |end: Revision| change.revision.count <= end.count;
                 known.is_some_and(|end| is_earlier(end) && is_older(end))
--- a/marked/src/delta.rs
+++ b/marked/src/delta.rs
@@ -30,8 +30,8 @@
 }
 
 impl Delta {
-    pub(crate) fn is_sound(&self) -> bool {
-        self.routes.iter().all(Route::is_sound) && self.services.iter().all(Service::is_sound)
+    pub(crate) fn is_valid(&self) -> bool {
+        self.routes.iter().all(Route::is_valid) && self.services.iter().all(Service::is_valid)
     }
 
     /// The difference from `old` to `new`.
--- a/marked/src/entry.rs
+++ b/marked/src/entry.rs
@@ -1,6 +1,6 @@
 //! A target with what is known of its entry.
 
-use crate::{Change, Content, Former, Revision, Target};
+use crate::{Change, Content, FormerTarget, Revision, Target};
 use medlarspur_lib::time::Millis;
 
 /// Whether the source lists a target.
@@ -34,11 +34,11 @@
     /// The revision of this picture.
     pub revision: Revision,
     /// The one at which it began to say this, if the source has listed it again in a later era.
-    pub since: Revision,
+    pub content_revision: Revision,
     /// Whether it is listed.
     pub presence: Presence,
     /// Until when it is slow after its start.
-    pub cold: Millis,
+    pub cold_until: Millis,
 }
 
 impl Entry {
@@ -52,7 +52,7 @@
         let name = || self.target.name.clone();
         let content = match self.presence {
             Presence::Listed => {
-                Content::Target(Target { cold: self.cold.since(now), ..self.target.clone() })
+                Content::Target(Target { cold: self.cold_until.since(now), ..self.target.clone() })
             }
             Presence::Removed(_) => Content::Removed(name()),
             Presence::Unusable(_) => Content::Unusable(name()),
@@ -63,7 +63,8 @@
 
     /// The entry for whoever knows nothing yet, if it is not listed.
     pub(crate) fn former(&self, now: Millis) -> Option<Change> {
-        let former = Former { target: self.target.clone(), age: now.since(self.presence.ended()?) };
-        Some(Change { revision: self.revision, content: Content::Former(former) })
+        let former =
+            FormerTarget { target: self.target.clone(), age: now.since(self.presence.ended()?) };
+        Some(Change { revision: self.revision, content: Content::FormerTarget(former) })
     }
 }
--- a/marked/src/evacuation.rs
+++ b/marked/src/evacuation.rs
@@ -65,7 +65,7 @@
     }
 
     /// Whatever the source says next wins over what is known.
-    pub(crate) fn fall_back(&mut self) {
+    pub(crate) fn reset_revisions(&mut self) {
         self.domains.values_mut().for_each(|it| it.revision = Revision::default());
     }
 
@@ -74,7 +74,7 @@
         self.domains.iter().map(|(domain, it)| {
             let content = match it.ended {
                 None => Content::Evacuated(domain.clone()),
-                Some(_) => Content::Restored(domain.clone()),
+                Some(_) => Content::EvacuationEnded(domain.clone()),
             };
             Change { revision: it.revision, content }
         })
--- a/marked/src/fleet/lack.rs
+++ b/marked/src/fleet/lack.rs
@@ -1,7 +1,7 @@
 //! Asking for news that an instance lacks.
 
 use super::{Fleet, readers::PULL_TIME};
-use crate::{MAX_LEAP, Revision};
+use crate::{MAX_ERA_LEAD, Revision};
 use medlarspur_lib::time::Millis;
 use std::net::SocketAddrV4;
 
@@ -27,7 +27,7 @@
 
 impl Fleet {
     /// Whom to ask for news that this instance lacks, if anybody.
-    pub fn pull(&mut self, known: Revision, now: Millis) -> Option<SocketAddrV4> {
+    pub fn take_pull(&mut self, known: Revision, now: Millis) -> Option<SocketAddrV4> {
         let is_early = self.pulled.is_some_and(|at| now.since(at) < PULL_PAUSE);
         if is_early {
             return None;
@@ -86,12 +86,12 @@
     /// takes the era from there, and nobody is led so far ahead that the store can't follow.
     pub fn is_credible(&self, told: Revision, known: Revision) -> bool {
         let is_answered = self.is_reading() && self.fresh.is_some();
-        let leap = if is_answered { 0 } else { MAX_LEAP };
+        let leap = if is_answered { 0 } else { MAX_ERA_LEAD };
         known == Revision::default() || told.era <= known.era.saturating_add(leap)
     }
 
     /// Something shows that this instance lacks news; asks whoever knows most.
-    pub fn suspect_lack(&mut self) {
+    pub fn catch_up(&mut self) {
         let best = self.peers.iter().max_by_key(|(_, peer)| (peer.fresh, peer.revision));
         self.lacking = best.map(|(address, peer)| Lacking {
             from: *address,
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -25,7 +25,7 @@
 mod spread;
 
 use crate::{
-    Catalog, News, Revision,
+    Catalog, Revision, Update,
     message::{DomainId, Message, Role, encode},
 };
 use lack::Lacking;
@@ -156,7 +156,7 @@
     }
 
     /// How many instances of its failure domain are known, this one included.
-    pub fn near(&self) -> usize {
+    pub fn domain_size(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.domain == self.domain).count()
     }
 
@@ -204,15 +204,15 @@
         message: Message,
         catalog: &Catalog,
         now: Millis,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         match message {
             Message::Heartbeat(heartbeat) => {
                 self.receive_heartbeat(from, &heartbeat, catalog.revision(), now);
                 None
             }
-            Message::News { reader, news, to, seat } => {
-                self.confirm(reader, news.revision, now);
-                self.receive_news(reader, news, to, seat, catalog, now)
+            Message::Update { reader, update, to, seat } => {
+                self.confirm(reader, update.revision, now);
+                self.receive_news(reader, update, to, seat, catalog, now)
             }
         }
     }
--- a/marked/src/fleet/presence.rs
+++ b/marked/src/fleet/presence.rs
@@ -23,13 +23,13 @@
         known: Revision,
         now: Millis,
     ) {
-        let fresh = heartbeat.fresh.map(|age| now.since(Millis(age.into())));
+        let fresh = heartbeat.answer_age.map(|age| now.since(Millis(age.into())));
         let answer = Purpose::Answer(heartbeat.domain);
         let is_full = self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from);
         if is_full && !(heartbeat.domain == self.domain && self.forget_stranger()) {
             // Whoever starts must hear of others from any seed, also from one that can't
             // remember it.
-            if heartbeat.asks {
+            if heartbeat.wants_reply {
                 self.heartbeat(from, answer, known, now);
             }
             return;
@@ -49,7 +49,7 @@
         for contact in &heartbeat.contacts {
             self.hear_of(*contact, known, now);
         }
-        if heartbeat.asks || is_new && heartbeat.domain == self.domain {
+        if heartbeat.wants_reply || is_new && heartbeat.domain == self.domain {
             self.heartbeat(from, answer, known, now);
         }
         // Within a domain all that readers know is passed on. An instance that
@@ -61,7 +61,7 @@
         }
         // A later era is news only from whom the store answers: whoever was told a wrong one by
         // mistake would pass it on to all who listen.
-        let is_answered = heartbeat.role == Role::Reader && heartbeat.fresh.is_some();
+        let is_answered = heartbeat.role == Role::Reader && heartbeat.answer_age.is_some();
         let is_later = heartbeat.revision.era > known.era;
         if is_later && !(starts || is_cut || is_answered) {
             return;
@@ -152,7 +152,8 @@
         revision: Revision,
         now: Millis,
     ) {
-        let fresh = self.fresh.map(|at| now.since(at).0).and_then(|age| u16::try_from(age).ok());
+        let answer_age =
+            self.fresh.map(|at| now.since(at).0).and_then(|age| u16::try_from(age).ok());
         let role = if self.is_reading() { Role::Reader } else { Role::Listener };
         let its_domain = match purpose {
             Purpose::Answer(domain) => Some(domain),
@@ -160,9 +161,10 @@
         };
         let contacts = its_domain.map(|it| self.contacts(to, it, purpose.contacts()));
         let contacts = contacts.unwrap_or_default();
-        let asks = purpose == Purpose::Ask;
+        let wants_reply = purpose == Purpose::Ask;
         let (domain, seat) = (self.domain, self.seat_for(to, now));
-        let heartbeat = Heartbeat { domain, role, fresh, revision, asks, contacts, seat };
+        let heartbeat =
+            Heartbeat { domain, role, answer_age, revision, wants_reply, contacts, seat };
         self.send(to, &Message::Heartbeat(heartbeat));
     }
 
--- a/marked/src/fleet/spread.rs
+++ b/marked/src/fleet/spread.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, lack::NEWS_DELAY, presence::MAX_PEERS};
 use crate::{
-    Catalog, Change, News, Revision, Scope,
+    Catalog, Change, Revision, Scope, Update,
     message::{self, MAX_DATAGRAM, Message, size},
 };
 use medlarspur_lib::time::Millis;
@@ -31,7 +31,7 @@
         if revision <= self.told {
             return false;
         }
-        let news = catalog.since(self.told, now);
+        let update = catalog.update_since(self.told, now);
         let is_first = self.told == Revision::default();
         self.told = revision;
         // The first picture is whole; the others read it or ask for it.
@@ -39,13 +39,14 @@
             return false;
         }
         let domain = self.domain_members();
-        if !news.is_divisible() && message::news_size(&news) > room(branch_size(domain.len())) {
+        if !update.is_divisible() && message::update_size(&update) > room(branch_size(domain.len()))
+        {
             // Heartbeats tell the revision, and whoever lacks it asks.
             return false;
         }
         let seats = self.gives_seats(now).then(|| domain.len() as u32 + 1);
         let first = seats.map(|count| Seat { position: 0, count });
-        self.spread(self.me, &news, domain, first);
+        self.spread(self.me, &update, domain, first);
         true
     }
 
@@ -54,13 +55,13 @@
     fn spread(
         &mut self,
         reader: SocketAddrV4,
-        news: &News,
+        update: &Update,
         mut others: Vec<SocketAddrV4>,
         first: Option<Seat>,
     ) {
         others.sort_unstable();
         let part = branch_size(others.len());
-        let pieces = pieces(news, room(part));
+        let pieces = pieces(update, room(part));
         for (nth, branch) in others.chunks(part).enumerate() {
             let seat = first.map(|seat| {
                 // The reader has a seat among them, and is not in the list.
@@ -68,9 +69,9 @@
                 let before = (nth * part) as u32 + u32::from(is_behind);
                 Seat { position: seat.position.saturating_add(before), ..seat }
             });
-            for news in &pieces {
+            for update in &pieces {
                 let to = branch[1..].to_vec();
-                self.send(branch[0], &Message::News { reader, news: news.clone(), to, seat });
+                self.send(branch[0], &Message::Update { reader, update: update.clone(), to, seat });
             }
         }
     }
@@ -79,38 +80,40 @@
     pub(super) fn receive_news(
         &mut self,
         reader: SocketAddrV4,
-        news: News,
+        update: Update,
         mut others: Vec<SocketAddrV4>,
         seat: Option<Seat>,
         catalog: &Catalog,
         now: Millis,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         self.take_seat(seat, reader, now);
         // Passed on also if it is known here already: the others may not know it.
         others.retain(|it| *it != self.me);
         others.truncate(MAX_PEERS);
         let next = seat.map(|seat| Seat { position: seat.position.saturating_add(1), ..seat });
-        self.spread(reader, &news, others, next);
+        self.spread(reader, &update, others, next);
         let known = catalog.revision();
-        if news.revision <= known || !self.is_credible(news.revision, known) {
+        if update.revision <= known || !self.is_credible(update.revision, known) {
             return None;
         }
-        if catalog.lacks(&news) {
+        if catalog.has_gap_before(&update) {
             // Whoever passed it on may lack the same, and what it knows was never
             // told. The reader has it all. Without this question an instance stays
             // behind for as long as news keeps coming, because a reader that has news to
             // tell sends no heartbeats.
-            self.lack(reader, news.revision, now + NEWS_DELAY);
+            self.lack(reader, update.revision, now + NEWS_DELAY);
         }
         // What came from another reader need not be told again by this one.
-        let is_told = match news.scope {
-            Scope::Since(known) | Scope::Across { since: known, .. } => known <= self.told,
-            Scope::All => false,
+        let is_told = match update.scope {
+            Scope::Incremental(known) | Scope::WithDigest { since: known, .. } => {
+                known <= self.told
+            }
+            Scope::Snapshot => false,
         };
         if is_told {
-            self.told = self.told.max(news.revision);
+            self.told = self.told.max(update.revision);
         }
-        Some(news)
+        Some(update)
     }
 }
 
@@ -127,19 +130,19 @@
 /// Cuts news into parts that fit into `room` bytes of a datagram. In the order of revisions each
 /// part is complete from one revision to another, so a lost one is noticed like
 /// any lost news.
-fn pieces(news: &News, room: usize) -> Vec<News> {
-    let Scope::Since(mut known) = news.scope else { return vec![news.clone()] };
-    let mut changes = news.changes.clone();
+fn pieces(update: &Update, room: usize) -> Vec<Update> {
+    let Scope::Incremental(mut known) = update.scope else { return vec![update.clone()] };
+    let mut changes = update.changes.clone();
     changes.sort_by_key(|change| change.revision);
-    let mut pieces: Vec<News> = Vec::new();
+    let mut pieces: Vec<Update> = Vec::new();
     for changes in packed(changes, room) {
         let revision = changes[changes.len() - 1].revision;
-        pieces.push(News::new(revision, Scope::Since(known), changes));
+        pieces.push(Update::new(revision, Scope::Incremental(known), changes));
         known = revision;
     }
     match pieces.last_mut() {
-        Some(last) => last.revision = news.revision,
-        None => pieces.push(news.clone()),
+        Some(last) => last.revision = update.revision,
+        None => pieces.push(update.clone()),
     }
     pieces
 }
--- a/marked/src/forwarder/closed.rs
+++ b/marked/src/forwarder/closed.rs
@@ -78,8 +78,8 @@
         // Targets that got nothing while their domain was evacuated may have become slow.
         // They say so some time after the evacuation has ended; until then they would get
         // all that is opened, being idle.
-        let restored = self.catalog.restored(&entry.target.domain);
-        now < entry.cold || restored.is_some_and(|at| now < at + warmup.span)
+        let restored = self.catalog.evacuation_ended(&entry.target.domain);
+        now < entry.cold_until || restored.is_some_and(|at| now < at + warmup.span)
     }
 
     /// Whether this instance owns a slow target and may open a flow there now.
@@ -123,7 +123,7 @@
 
     /// What is written down of a failure domain that was emptied or is in use again.
     pub(super) fn domain_note(&self, domain: DomainName) -> Note {
-        let revision = self.catalog.evacuation(&domain).unwrap_or_default();
+        let revision = self.catalog.evacuation_revision(&domain).unwrap_or_default();
         let targets = self.catalog.entries();
         let targets = targets.filter(|it| it.is_listed() && it.target.domain == domain).count();
         match self.catalog.is_evacuated(&domain) {
--- a/marked/src/forwarder/counts.rs
+++ b/marked/src/forwarder/counts.rs
@@ -1,6 +1,6 @@
 //! What a forwarder counts.
 
-use crate::{Finding, Refusal};
+use crate::{ProbeResult, Refusal};
 
 /// Counts since the start.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -49,7 +49,7 @@
     /// Targets that were asked whether they answer.
     pub asked: u64,
     /// Targets that did, or did not.
-    pub found: [u64; Finding::ALL.len()],
+    pub found: [u64; ProbeResult::ALL.len()],
 }
 
 impl Counts {
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -69,7 +69,7 @@
     }
 
     fn shown_domain(&self, domain: &DomainName) -> EvacuatedDomain {
-        let revision = self.catalog.evacuation(domain).unwrap_or_default();
+        let revision = self.catalog.evacuation_revision(domain).unwrap_or_default();
         EvacuatedDomain { domain: domain.clone(), revision: revision.count }
     }
 
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -11,7 +11,7 @@
 //! were weighed are in `docs/design/full.md`.
 
 use super::{Forwarder, Output, State};
-use crate::{Entry, Finding, Incarnation, Note};
+use crate::{Entry, Incarnation, Note, ProbeResult};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
@@ -53,7 +53,7 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.health.see_taken(now);
+        state.health.record_accepted(now);
         state.refused = 0;
         state.unsure = false;
         if state.vacancy.take(class) {
@@ -104,10 +104,10 @@
     ) -> bool {
         let Some(state) = self.states.get(&target) else { return false };
         let health = &state.health;
-        let is_passed = self.heard.answered_since(since) && health.taken() < since;
+        let is_passed = self.heard.answered_since(since) && health.last_accepted() < since;
         let is_full = match state.vacancy.is_full() {
             true => is_passed || now.since(since) >= FULL_PATIENCE,
-            false => is_passed && state.refused >= UNANSWERED && health.life() > since,
+            false => is_passed && state.refused >= UNANSWERED && health.last_alive() > since,
         };
         if is_full {
             if let Some(state) = self.states.get_mut(&target) {
@@ -139,11 +139,11 @@
         let Some(entry) = self.catalog.entry(target) else { return };
         let Some(state) = self.states.get(&target) else { return };
         let health = state.health;
-        let is_heard = health.asked().is_some_and(|asked| health.life() > asked);
-        let is_taken = health.asked().is_some_and(|asked| health.taken() > asked);
+        let is_heard = health.last_probe().is_some_and(|asked| health.last_alive() > asked);
+        let is_taken = health.last_probe().is_some_and(|asked| health.last_accepted() > asked);
         if health.is_lost() || !is_heard && !entry.is_listed() {
             // Its entry went too, which no full target's does.
-            return self.find_lost(target, Finding::Silent, now, out);
+            return self.find_lost(target, ProbeResult::Silent, now, out);
         }
         if is_taken || is_heard && !state.is_declining() {
             return;
@@ -164,7 +164,8 @@
             self.full.push(target);
             self.counts.filled += 1;
             let flows = self.flows.values().filter(|flow| flow.target == target).count();
-            let (taken, silent) = (now.since(health.taken()), now.since(health.life()));
+            let (taken, silent) =
+                (now.since(health.last_accepted()), now.since(health.last_alive()));
             out.note(Note::Full { target, taken, silent, flows });
         }
         self.move_all_openings(target, now, out);
@@ -175,7 +176,7 @@
     pub(super) fn watch(&mut self, target: Incarnation, sent: Millis, now: Millis) {
         let Some(limit) = self.silence(target) else { return };
         let Some(state) = self.states.get_mut(&target).filter(|state| state.silent) else { return };
-        let due = now.max(sent.max(state.health.life()) + limit);
+        let due = now.max(sent.max(state.health.last_alive()) + limit);
         state.check = Some(state.check.map_or(due, |check| check.min(due)));
     }
 
@@ -198,12 +199,12 @@
             return;
         }
         let flows = self.flows.values().filter(|flow| flow.target == target);
-        let life = state.health.life();
+        let life = state.health.last_alive();
         let Some(since) = flows.filter_map(|flow| Some(flow.unanswered()?.max(life))).min() else {
             return;
         };
         if now.since(since) >= limit {
-            return self.find_lost(target, Finding::Silent, now, out);
+            return self.find_lost(target, ProbeResult::Silent, now, out);
         }
         state.check = Some(since + limit);
     }
--- a/marked/src/forwarder/leaving.rs
+++ b/marked/src/forwarder/leaving.rs
@@ -1,7 +1,7 @@
 //! Taking flows away from targets that don't answer.
 
 use super::{Forwarder, Output, Refusal, placing::OVERDUE, waiting::NewFlow};
-use crate::{Finding, Flow, FlowKey, Incarnation, Note, Phase};
+use crate::{Flow, FlowKey, Incarnation, Note, Phase, ProbeResult};
 use medlarspur_lib::time::Millis;
 use medlarspur_load::vacancy::Vacancy;
 
@@ -9,13 +9,13 @@
     pub(super) fn find_lost(
         &mut self,
         target: Incarnation,
-        finding: Finding,
+        finding: ProbeResult,
         now: Millis,
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        let silent = now.since(state.health.life());
-        if !state.health.find(finding, now) {
+        let silent = now.since(state.health.last_alive());
+        if !state.health.record_probe_result(finding, now) {
             return;
         }
         state.vacancy = Vacancy::default();
@@ -60,7 +60,7 @@
             self.drop_flow(&key);
             return self.refuse(&key, Refusal::NoRoute, out);
         };
-        let service = route.share(self.random.draw()).clone();
+        let service = route.pick_service(self.random.draw()).clone();
         self.counts.moved += 1;
         out.note(Note::Moved { flow: key, from });
         self.place(NewFlow { key, seq: 0, class: route.class, service, packet, waited }, now, out);
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -191,7 +191,7 @@
     /// Where a packet in mid-flow goes: where its mark says, unless its flow is known to be
     /// open at another target, and nowhere without a mark that holds.
     fn target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
-        let marked = segment.mark.and_then(|mark| self.catalog.marked(mark, &segment.key));
+        let marked = segment.mark.and_then(|mark| self.catalog.entry_by_mark(mark, &segment.key));
         if let Some(entry) = marked {
             return Some(self.acknowledged(segment).unwrap_or(entry.target.incarnation));
         }
@@ -340,7 +340,7 @@
         }
         let opening = self.openings.front().map(|(due, _)| *due);
         let states = &self.states;
-        let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.retry());
+        let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.next_probe());
         let full = self.full.iter().filter_map(|it| states.get(it));
         let full = full.flat_map(|state| state.check.into_iter().chain(state.vacancy.retry()));
         let others = retries.chain(full).chain(self.patience()).chain(self.catalog.deadline());
--- a/marked/src/forwarder/news.rs
+++ b/marked/src/forwarder/news.rs
@@ -1,12 +1,12 @@
 //! Taking in news of targets and routes.
 
 use super::{Forwarder, Output, State};
-use crate::{Changed, Health, News, Note};
+use crate::{Health, MergeOutcome, Note, Update};
 use medlarspur_lib::{ids::Version, time::Millis};
 
 impl Forwarder {
     /// Takes in news of targets and routes.
-    pub fn learn(&mut self, news: News, now: Millis, out: &mut impl Output) {
+    pub fn learn(&mut self, news: Update, now: Millis, out: &mut impl Output) {
         let version = self.version();
         let changed = self.catalog.merge(news, now);
         self.follow_changes(changed, version, now, out);
@@ -19,7 +19,7 @@
     /// Acts on what news has changed; `version` was that of the config before.
     fn follow_changes(
         &mut self,
-        changed: Changed,
+        changed: MergeOutcome,
         version: Option<Version>,
         now: Millis,
         out: &mut impl Output,
@@ -35,7 +35,7 @@
         if !changed.targets.is_empty() {
             self.forget_dealt();
         }
-        for incarnation in changed.formers {
+        for incarnation in changed.former_targets {
             // Nothing was heard of it here, so it gets new flows only once it has answered.
             let health = Health::new(Millis(0));
             let state = State { unasked: true, health, ..State::new(now) };
@@ -59,7 +59,7 @@
 
     /// The source is in an earlier era than was believed.
     pub fn fall_back(&mut self) {
-        self.catalog.fall_back();
+        self.catalog.reset_revisions();
     }
 
     /// Takes in what the source said after it came back from a copy, once that is due.
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -81,7 +81,7 @@
             key: segment.key,
             seq: segment.seq,
             class: route.class,
-            service: route.share(self.random.draw()).clone(),
+            service: route.pick_service(self.random.draw()).clone(),
             packet: bytes.into(),
             waited: Millis(0),
         };
@@ -222,7 +222,7 @@
             let target = targets.swap_remove(position);
             // Another target may have the same mark for this flow, and packets
             // in mid-flow would go there.
-            let meant = self.catalog.marked(Mark::new(target, key), key);
+            let meant = self.catalog.entry_by_mark(Mark::new(target, key), key);
             if meant.is_some_and(|entry| entry.target.incarnation == target) {
                 self.counts.avoided += u64::from(evacuated);
                 self.counts.spared += u64::from(warming);
@@ -271,7 +271,7 @@
         let is_doubted = is_doubted || self.stranded && !near;
         let tier = match entry.presence {
             Presence::Removed(since)
-                if state.health.life() <= since || now.since(since) > LAPSE_LIMIT =>
+                if state.health.last_alive() <= since || now.since(since) > LAPSE_LIMIT =>
             {
                 return None;
             }
@@ -286,7 +286,7 @@
             working: state.working,
             opening: state.opening,
             feeds: state.feeds,
-            cold: now < entry.cold,
+            cold: now < entry.cold_until,
             near,
             kept: false,
             shared: false,
--- a/marked/src/forwarder/reach.rs
+++ b/marked/src/forwarder/reach.rs
@@ -1,7 +1,7 @@
 //! Noticing targets that do not answer.
 
 use super::{Forwarder, Output, State};
-use crate::{Entry, EntryState, Finding, FlowKey, Health, Incarnation, Note, Presence, Target};
+use crate::{Entry, EntryState, FlowKey, Health, Incarnation, Note, Presence, ProbeResult, Target};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 
 /// How long targets may be silent while none at all shows life before that
@@ -97,7 +97,7 @@
         let pause = Millis(self.random.draw() % RELISTED_PAUSE.0);
         let Some(state) = self.states.get_mut(&target) else { return };
         if state.health.is_lost() && !self.lost.contains(&target) {
-            state.health.defer(now + pause);
+            state.health.defer_probe(now + pause);
             self.lost.push(target);
         }
     }
@@ -129,7 +129,7 @@
         self.alone = None;
         state.doubted = None;
         state.silent = false;
-        if state.health.see_life(now) {
+        if state.health.record_alive(now) {
             self.lost.retain(|it| *it != target);
             out.note(Note::Regained { target });
         }
@@ -145,7 +145,7 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        if state.health.doubt(sent, now) {
+        if state.health.suspect(sent, now) {
             self.ask_doubted(target, flow, sent, now, out);
         }
     }
@@ -161,7 +161,7 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         state.refuse(sent, now);
-        if state.health.doubt_opening(sent, now) {
+        if state.health.suspect_opening(sent, now) {
             self.ask_doubted(target, flow, sent, now, out);
         }
     }
@@ -178,7 +178,7 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         state.unsure = true;
-        if state.health.doubt_opening(sent, now) {
+        if state.health.suspect_opening(sent, now) {
             out.note(Note::Doubted { target, flow, silent: now.since(sent) });
             self.ask(target, now, out);
         }
@@ -206,7 +206,7 @@
         self.counts.asked += 1;
         let instances = self.instances();
         if let Some(state) = self.states.get_mut(&incarnation) {
-            state.health.ask_again(now);
+            state.health.record_probe(now);
             state.vacancy.ask(now, instances);
         }
     }
@@ -215,19 +215,19 @@
     pub fn answer(
         &mut self,
         target: Incarnation,
-        finding: Finding,
+        finding: ProbeResult,
         now: Millis,
         out: &mut impl Output,
     ) {
         self.counts.found[finding as usize] += 1;
         match finding {
-            Finding::Answers => self.find_room(target, now, out),
-            Finding::Declines => self.find_declined(target, now, out),
-            Finding::Silent if self.is_alone(target, now) => self.ask_beside(target, now, out),
-            Finding::Silent => self.find_silent(target, now, out),
+            ProbeResult::Answers => self.find_room(target, now, out),
+            ProbeResult::Declines => self.find_declined(target, now, out),
+            ProbeResult::Silent if self.is_alone(target, now) => self.ask_beside(target, now, out),
+            ProbeResult::Silent => self.find_silent(target, now, out),
             // A target that leaves stops listening before it ends its last flows.
-            Finding::Gone if self.is_leaving(target) => self.find_silent(target, now, out),
-            Finding::Gone => self.find_lost(target, finding, now, out),
+            ProbeResult::Gone if self.is_leaving(target) => self.find_silent(target, now, out),
+            ProbeResult::Gone => self.find_lost(target, finding, now, out),
         }
     }
 
@@ -241,7 +241,7 @@
     /// that stays full for a second is no longer one that flows pass.
     fn is_alone(&mut self, target: Incarnation, now: Millis) -> bool {
         let state = self.states.get(&target);
-        let asked = state.filter(|it| !it.health.is_lost()).and_then(|it| it.health.asked());
+        let asked = state.filter(|it| !it.health.is_lost()).and_then(|it| it.health.last_probe());
         let hears_nobody = asked.is_some_and(|asked| self.life <= asked);
         hears_nobody && now.since(*self.alone.get_or_insert(now)) < ALONE_LIMIT
     }
@@ -253,13 +253,14 @@
         let is_near = |entry: &&Entry| {
             let it = &entry.target;
             let state = self.states.get(&it.incarnation);
-            let is_asked =
-                |state: &State| state.health.asked().is_some_and(|at| now.since(at) < DOUBT_TIME);
+            let is_asked = |state: &State| {
+                state.health.last_probe().is_some_and(|at| now.since(at) < DOUBT_TIME)
+            };
             let is_out = state.is_none_or(|state| state.health.is_lost() || is_asked(state));
             it.incarnation != target && entry.is_listed() && !is_out
         };
         let others = self.catalog.entries().filter(is_near);
-        let beside = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold));
+        let beside = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold_until));
         let beside = beside.map(|entry| entry.target.incarnation);
         for asked in beside.into_iter().chain([target]) {
             self.ask(asked, now, out);
@@ -273,7 +274,7 @@
             |it: &Incarnation| catalog.entry(*it).is_some_and(|entry| entry.is_listed());
         self.lost.retain(|it| is_listed(it) && states.contains_key(it));
         let is_due =
-            |it: &&Incarnation| self.states[*it].health.retry().is_some_and(|at| at <= now);
+            |it: &&Incarnation| self.states[*it].health.next_probe().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.lost.iter().filter(is_due).copied().collect();
         for target in due {
             self.ask(target, now, out);
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -74,7 +74,7 @@
 
     /// Notes that an opening which came at `sent` is unanswered.
     pub(super) fn refuse(&mut self, sent: Millis, now: Millis) {
-        if self.health.taken() > sent {
+        if self.health.last_accepted() > sent {
             return;
         }
         let is_together = now.since(self.refused_at) < TOGETHER;
--- a/marked/src/forwarder/stranded.rs
+++ b/marked/src/forwarder/stranded.rs
@@ -53,7 +53,7 @@
         let is_elsewhere = |entry: &&Entry| !self.catalog.is_evacuated(&entry.target.domain);
         let entries = self.catalog.entries().filter(is_elsewhere);
         let life = entries.filter_map(|it| self.states.get(&it.target.incarnation));
-        life.map(|state| now.since(state.health.life())).min()
+        life.map(|state| now.since(state.health.last_alive())).min()
     }
 
     /// Moves openings that nobody has answered. Their callers still wait, and would give up
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -191,7 +191,7 @@
             return self.refuse(&it.key, Refusal::NoRoute, out);
         };
         if !route.shares.iter().any(|share| share.service == it.service) {
-            it.service = route.share(self.random.draw()).clone();
+            it.service = route.pick_service(self.random.draw()).clone();
         }
         self.place(it, now, out);
     }
@@ -231,7 +231,7 @@
 /// Uploads don't wait: most of their time is that of their bytes on the way, which says
 /// nothing about the targets.
 pub(super) fn goal(route: &Route) -> Option<Millis> {
-    route.goal.filter(|_| route.class != Class::Upload)
+    route.objective.filter(|_| route.class != Class::Upload)
 }
 
 /// The rooms of all services.
--- a/marked/src/health.rs
+++ b/marked/src/health.rs
@@ -20,7 +20,7 @@
 
 /// What asking a target brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Finding {
+pub enum ProbeResult {
     /// This incarnation answers; what it says of itself doesn't matter here.
     Answers,
     /// It ends the connection without an answer: it is there, and has no room.
@@ -31,10 +31,10 @@
     Silent,
 }
 
-impl Finding {
+impl ProbeResult {
     /// All of them, in the order of their values.
-    pub const ALL: [Finding; 4] =
-        [Finding::Answers, Finding::Declines, Finding::Gone, Finding::Silent];
+    pub const ALL: [ProbeResult; 4] =
+        [ProbeResult::Answers, ProbeResult::Declines, ProbeResult::Gone, ProbeResult::Silent];
 }
 
 /// What is believed of one target.
@@ -62,35 +62,35 @@
 
     /// Something was seen that only a living target can have caused. Answers
     /// whether it had been lost.
-    pub fn see_life(&mut self, now: Millis) -> bool {
+    pub fn record_alive(&mut self, now: Millis) -> bool {
         self.life = now;
         self.lost.take().is_some()
     }
 
     /// It took an opening.
-    pub fn see_taken(&mut self, now: Millis) {
+    pub fn record_accepted(&mut self, now: Millis) {
         self.taken = now;
     }
 
     /// When it took an opening last.
-    pub fn taken(&self) -> Millis {
+    pub fn last_accepted(&self) -> Millis {
         self.taken
     }
 
     /// An opening packet that was first sent at `sent` got no answer. Answers whether
     /// to ask the target. Answers on flows that are open there say nothing of it: a
     /// target that is full gives them and takes no opening.
-    pub fn doubt_opening(&mut self, sent: Millis, now: Millis) -> bool {
-        self.doubt_since(self.taken, sent, now)
+    pub fn suspect_opening(&mut self, sent: Millis, now: Millis) -> bool {
+        self.suspect_since(self.taken, sent, now)
     }
 
     /// A packet in mid-flow that was first sent at `sent` got no answer. Answers whether
     /// to ask the target.
-    pub fn doubt(&mut self, sent: Millis, now: Millis) -> bool {
-        self.doubt_since(self.life, sent, now)
+    pub fn suspect(&mut self, sent: Millis, now: Millis) -> bool {
+        self.suspect_since(self.life, sent, now)
     }
 
-    fn doubt_since(&mut self, answered: Millis, sent: Millis, now: Millis) -> bool {
+    fn suspect_since(&mut self, answered: Millis, sent: Millis, now: Millis) -> bool {
         let answered_others = answered > sent;
         let asked_lately = self.asked.is_some_and(|at| now.since(at) < ASK_PAUSE);
         if answered_others || asked_lately || self.lost.is_some() {
@@ -105,10 +105,10 @@
     /// It does not if the target has shown life since it was asked: then the
     /// answer got lost, or this machine was too busy to hear it in time, and to
     /// reset the target's flows would break them.
-    pub fn find(&mut self, finding: Finding, now: Millis) -> bool {
+    pub fn record_probe_result(&mut self, finding: ProbeResult, now: Millis) -> bool {
         let asked = self.asked.replace(now);
-        if matches!(finding, Finding::Answers | Finding::Declines) {
-            return self.see_life(now);
+        if matches!(finding, ProbeResult::Answers | ProbeResult::Declines) {
+            return self.record_alive(now);
         }
         if self.lost.is_none() && asked.is_some_and(|asked| self.life > asked) {
             return false;
@@ -120,7 +120,7 @@
     }
 
     /// When it was asked last.
-    pub fn asked(&self) -> Option<Millis> {
+    pub fn last_probe(&self) -> Option<Millis> {
         self.asked
     }
 
@@ -136,19 +136,19 @@
 
     /// When a lost target should be asked again. A cut may refuse connections
     /// in the place of a target that lives, so one that seems gone is too.
-    pub fn retry(&self) -> Option<Millis> {
+    pub fn next_probe(&self) -> Option<Millis> {
         self.lost.map(|lost| lost.retry)
     }
 
     /// Has a lost target asked again at a moment.
-    pub fn defer(&mut self, until: Millis) {
+    pub fn defer_probe(&mut self, until: Millis) {
         if let Some(lost) = &mut self.lost {
             lost.retry = until;
         }
     }
 
     /// Notes that a lost target is asked again.
-    pub fn ask_again(&mut self, now: Millis) {
+    pub fn record_probe(&mut self, now: Millis) {
         self.asked = Some(now);
         if let Some(lost) = &mut self.lost {
             lost.retry = now + LAST_RETRY;
@@ -156,7 +156,7 @@
     }
 
     /// When the last sign of life came.
-    pub fn life(&self) -> Millis {
+    pub fn last_alive(&self) -> Millis {
         self.life
     }
 }
--- a/marked/src/lib.rs
+++ b/marked/src/lib.rs
@@ -25,18 +25,18 @@
 mod note;
 mod segment;
 
-pub use catalog::{Catalog, Changed, Restored};
+pub use catalog::{Catalog, MergeOutcome, Restored};
 pub use delta::Delta;
 pub use entry::{Entry, Presence};
 pub use fleet::{Fleet, Outgoing};
 pub use flow::{Flow, Phase, Seen};
 pub use forwarder::{Counts, Forwarder, Output, Refusal, Span, Tuning, Unroutable};
-pub use health::{Finding, Health};
+pub use health::{Health, ProbeResult};
 pub use incarnation::{Incarnation, Start};
 pub use mark::Mark;
 pub use news::{
-    Change, Config, Content, Former, MAX_LEAP, MOST_SLOTS, News, Revision, Route, Scope, Service,
-    Share, Target, Warmup,
+    Change, Config, Content, FormerTarget, MAX_ERA_LEAD, MAX_SLOTS, Revision, Route, Scope,
+    Service, Share, Target, Update, Warmup,
 };
 pub use note::{EntryState, Fields, Note, NoteKind};
 pub use segment::{FlowKey, Kind, Segment};
--- a/marked/src/message.rs
+++ b/marked/src/message.rs
@@ -1,6 +1,6 @@
 //! What instances tell each other, as datagrams and as whole pictures.
 
-use crate::{Change, News, Revision};
+use crate::{Change, Revision, Update};
 use medlarspur_load::warmup::Seat;
 use serde::{Deserialize, Serialize};
 use snafu::{ResultExt, Snafu, ensure};
@@ -35,11 +35,11 @@
     pub role: Role,
     /// How long ago the store answered it last, in milliseconds; none if that
     /// was too long ago to matter.
-    pub fresh: Option<u16>,
+    pub answer_age: Option<u16>,
     /// Up to which revision it knows all changes.
     pub revision: Revision,
     /// Whether an answer is wanted, to learn who else is there.
-    pub asks: bool,
+    pub wants_reply: bool,
     /// Control addresses of some others in the receiver's failure domain.
     pub contacts: Vec<SocketAddrV4>,
     /// The receiver's seat, from the first reader of its failure domain.
@@ -53,11 +53,11 @@
     Heartbeat(Heartbeat),
     /// News that the receiver passes on. It is told to whom: a listener knows
     /// only some of its domain, and the reader that sends the news knows all.
-    News {
+    Update {
         /// The reader that it comes from, which the store has just answered.
         reader: SocketAddrV4,
         /// The news.
-        news: News,
+        update: Update,
         /// Control addresses of those to pass it on to.
         to: Vec<SocketAddrV4>,
         /// The receiver's seat, if the reader gives any; the seats of those in `to` follow.
@@ -85,7 +85,7 @@
     },
     /// It holds values that no instance sends.
     #[snafu(display("the message holds values out of range"))]
-    Unsound,
+    Invalid,
     /// It does not fit into a datagram.
     #[snafu(display("the message has {size} bytes, {MAX_DATAGRAM} fit"))]
     Oversize {
@@ -112,8 +112,8 @@
 /// Fails on anything that [`encode`] doesn't make.
 pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
     let message = postcard::from_bytes(body(bytes)?).context(DecodeSnafu)?;
-    if let Message::News { news, .. } = &message {
-        ensure!(news.is_sound(), UnsoundSnafu);
+    if let Message::Update { update, .. } = &message {
+        ensure!(update.is_valid(), InvalidSnafu);
     }
     Ok(message)
 }
@@ -123,19 +123,19 @@
 /// # Errors
 ///
 /// Fails only if the encoder does.
-pub fn encode_news(news: &News) -> Result<Vec<u8>, MessageError> {
-    postcard::to_extend(news, vec![VERSION]).context(EncodeSnafu)
+pub fn encode_update(update: &Update) -> Result<Vec<u8>, MessageError> {
+    postcard::to_extend(update, vec![VERSION]).context(EncodeSnafu)
 }
 
 /// Decodes a picture from a stream.
 ///
 /// # Errors
 ///
-/// Fails on anything that [`encode_news`] doesn't make.
-pub fn decode_news(bytes: &[u8]) -> Result<News, MessageError> {
-    let news: News = postcard::from_bytes(body(bytes)?).context(DecodeSnafu)?;
-    ensure!(news.is_sound(), UnsoundSnafu);
-    Ok(news)
+/// Fails on anything that [`encode_update`] doesn't make.
+pub fn decode_update(bytes: &[u8]) -> Result<Update, MessageError> {
+    let update: Update = postcard::from_bytes(body(bytes)?).context(DecodeSnafu)?;
+    ensure!(update.is_valid(), InvalidSnafu);
+    Ok(update)
 }
 
 /// How many bytes a change takes in a message; more than any datagram has if it can't
@@ -145,8 +145,8 @@
 }
 
 /// The same of the changes of a piece of news.
-pub(crate) fn news_size(news: &News) -> usize {
-    news.changes.iter().chain(&news.unconfirmed).map(size).fold(0, usize::saturating_add)
+pub(crate) fn update_size(update: &Update) -> usize {
+    update.changes.iter().chain(&update.unconfirmed).map(size).fold(0, usize::saturating_add)
 }
 
 fn body(bytes: &[u8]) -> Result<&[u8], MessageError> {
--- a/marked/src/news.rs
+++ b/marked/src/news.rs
@@ -12,11 +12,11 @@
 
 /// The most slots that a target may claim. Those of today have 2 or 3; a number
 /// beyond this is a mistake, and would draw all new flows to that target.
-pub const MOST_SLOTS: u32 = 10_000;
+pub const MAX_SLOTS: u32 = 10_000;
 
 /// How many eras the source may be ahead of what is known. Each restore takes seconds at least;
 /// a larger step is a mistake or a lie, and would put what it names beyond the reach of the source.
-pub const MAX_LEAP: u32 = 64;
+pub const MAX_ERA_LEAD: u32 = 64;
 
 /// The source's count of its changes, in the order in which it made them.
 ///
@@ -63,7 +63,7 @@
     pub address: SocketAddrV4,
     /// Its failure domain.
     pub domain: DomainName,
-    /// How many requests it works on at once; 1 to [`MOST_SLOTS`].
+    /// How many requests it works on at once; 1 to [`MAX_SLOTS`].
     pub slots: u32,
     /// Whether it is about to go: its flows go on, new ones go elsewhere.
     pub leaving: bool,
@@ -91,7 +91,7 @@
     /// The class of the requests inside.
     pub class: Class,
     /// Within which time they should be answered, if operators say so.
-    pub goal: Option<Millis>,
+    pub objective: Option<Millis>,
     /// The services that new flows are split over; never empty, and the sum
     /// of the weights is positive.
     pub shares: Vec<Share>,
@@ -146,7 +146,7 @@
 
 /// A target as it was listed last.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Former {
+pub struct FormerTarget {
     /// The target.
     pub target: Target,
     /// For how long it has not been listed.
@@ -170,11 +170,11 @@
     Unusable(TargetName),
     /// A target that is not listed any more, or has started again since. Flows at it go on, and
     /// whoever starts must know its mark.
-    Former(Former),
+    FormerTarget(FormerTarget),
     /// Operators want the targets of a failure domain to get no new flows.
     Evacuated(DomainName),
     /// They don't any more.
-    Restored(DomainName),
+    EvacuationEnded(DomainName),
 }
 
 /// One item at its revision.
@@ -190,23 +190,23 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// All changes since a revision.
-    Since(Revision),
+    Incremental(Revision),
     /// All changes since a revision, but for what ended before the teller read all anew.
     /// Whoever lists something else by then has to ask for all.
-    Across {
+    WithDigest {
         /// What the receiver must know.
         since: Revision,
         /// A digest of the targets, the evacuated failure domains and the version of the config
         /// that the teller lists.
-        listed: u64,
+        digest: u64,
     },
     /// All targets and evacuated failure domains: one that is not there is not any more.
-    All,
+    Snapshot,
 }
 
 /// News from a source.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct News {
+pub struct Update {
     /// The source's count when it told this.
     pub revision: Revision,
     /// What it covers.
@@ -218,38 +218,40 @@
     pub unconfirmed: Vec<Change>,
 }
 
-impl News {
+impl Update {
     /// News of which nothing is unconfirmed.
-    pub fn new(revision: Revision, scope: Scope, changes: Vec<Change>) -> News {
-        News { revision, scope, changes, unconfirmed: Vec::new() }
+    pub fn new(revision: Revision, scope: Scope, changes: Vec<Change>) -> Update {
+        Update { revision, scope, changes, unconfirmed: Vec::new() }
     }
 
     /// Whether parts of it say by themselves what they cover.
     pub(crate) fn is_divisible(&self) -> bool {
-        matches!(self.scope, Scope::Since(_))
+        matches!(self.scope, Scope::Incremental(_))
     }
 
     /// Whether all values are in their ranges. What comes from the platform is;
     /// a message between instances may be damaged, and one target with no slots or
     /// one route without a service would end the thread that forwards packets.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let is_subject = |change: &Change| Subject::of(&change.content).is_some();
         let all = self.changes.iter().chain(&self.unconfirmed);
-        all.into_iter().all(|it| it.content.is_sound()) && self.unconfirmed.iter().all(is_subject)
+        all.into_iter().all(|it| it.content.is_valid()) && self.unconfirmed.iter().all(is_subject)
     }
 }
 
 impl Content {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         match self {
             Content::Config(config) => {
-                let services = config.services.iter().all(Service::is_sound);
-                services && config.routes.iter().all(Route::is_sound)
+                let services = config.services.iter().all(Service::is_valid);
+                services && config.routes.iter().all(Route::is_valid)
+            }
+            Content::Delta(delta) => delta.is_valid(),
+            Content::Target(target) | Content::FormerTarget(FormerTarget { target, .. }) => {
+                target.is_valid()
             }
-            Content::Delta(delta) => delta.is_sound(),
-            Content::Target(target) | Content::Former(Former { target, .. }) => target.is_sound(),
             Content::Removed(_) | Content::Unusable(_) => true,
-            Content::Evacuated(_) | Content::Restored(_) => true,
+            Content::Evacuated(_) | Content::EvacuationEnded(_) => true,
         }
     }
 }
@@ -269,34 +271,34 @@
         match content {
             Content::Target(target) => Some(Subject::Target(target.name.clone())),
             Content::Removed(name) | Content::Unusable(name) => Some(Subject::Target(name.clone())),
-            Content::Evacuated(domain) | Content::Restored(domain) => {
+            Content::Evacuated(domain) | Content::EvacuationEnded(domain) => {
                 Some(Subject::Domain(domain.clone()))
             }
-            Content::Config(_) | Content::Delta(_) | Content::Former(_) => None,
+            Content::Config(_) | Content::Delta(_) | Content::FormerTarget(_) => None,
         }
     }
 }
 
 impl Target {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let is_named = self.incarnation == Incarnation::new(&self.name, self.start);
-        is_named && (1..=MOST_SLOTS).contains(&self.slots)
+        is_named && (1..=MAX_SLOTS).contains(&self.slots)
     }
 }
 
 impl Service {
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         self.warmup.is_none_or(|it| it.rate > 0)
     }
 }
 
 impl Route {
-    pub(crate) fn is_sound(&self) -> bool {
+    pub(crate) fn is_valid(&self) -> bool {
         self.shares.iter().any(|share| share.weight > 0)
     }
 
     /// The shares in a fixed order, whose cumulative weights split new flows.
-    pub fn share(&self, draw: u64) -> &ServiceName {
+    pub fn pick_service(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         let mut rest = draw % total.max(1);
         for share in &self.shares {
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -1,6 +1,8 @@
 //! What was decided or is believed anew, for whoever explains it afterwards.
 
-use crate::{Finding, FlowKey, Incarnation, Mark, Refusal, Restored, Revision, Start, Unroutable};
+use crate::{
+    FlowKey, Incarnation, Mark, ProbeResult, Refusal, Restored, Revision, Start, Unroutable,
+};
 use medlarspur_lib::{
     bundle::Class,
     ids::{DomainName, TargetName, Version},
@@ -81,7 +83,7 @@
         /// The target.
         target: Incarnation,
         /// What asking it brought.
-        finding: Finding,
+        finding: ProbeResult,
         /// How long ago it last showed life.
         silent: Millis,
         /// How many flows it had here.
--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -7,8 +7,8 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, News, Note, Output,
-    Refusal, Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Tuning,
+    Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, Note, Output, Refusal,
+    Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Tuning, Update,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -52,11 +52,11 @@
 
 pub fn route(address: SocketAddrV4, class: Class, service: &str) -> Route {
     let share = Share { service: ServiceName::new(service), weight: 1 };
-    Route { address, class, goal: None, shares: vec![share], regions: Vec::new() }
+    Route { address, class, objective: None, shares: vec![share], regions: Vec::new() }
 }
 
 /// What a config says of a service.
-pub fn described(name: &str) -> Service {
+pub fn service(name: &str) -> Service {
     Service { name: ServiceName::new(name), health: "/health".into(), warmup: None }
 }
 
@@ -68,7 +68,7 @@
             route(REQUEST, Class::Request, "desk"),
             route(UPLOAD, Class::Upload, "ingest"),
         ],
-        services: vec![described("desk"), described("ingest")],
+        services: vec![service("desk"), service("ingest")],
         idle: Millis::secs(15),
         omitted: 0,
     }
@@ -78,21 +78,25 @@
     Change { revision: Revision::new(0, revision), content }
 }
 
-pub fn news(revision: u64, scope: Scope, changes: Vec<Change>) -> News {
-    News::new(Revision::new(0, revision), scope, changes)
+pub fn update(revision: u64, scope: Scope, changes: Vec<Change>) -> Update {
+    Update::new(Revision::new(0, revision), scope, changes)
 }
 
 /// All there is: the config at revision 1, the targets from 2 on.
-pub fn all(targets: &[Target]) -> News {
+pub fn snapshot(targets: &[Target]) -> Update {
     let mut changes = vec![change(1, Content::Config(config(1)))];
     let targets = targets.iter().cloned().zip(2..);
     changes.extend(targets.map(|(target, revision)| change(revision, Content::Target(target))));
-    news(100, Scope::All, changes)
+    update(100, Scope::Snapshot, changes)
 }
 
 /// Change of one item.
-pub fn one(revision: u64, content: Content) -> News {
-    news(revision, Scope::Since(Revision::new(0, revision - 1)), vec![change(revision, content)])
+pub fn incremental(revision: u64, content: Content) -> Update {
+    update(
+        revision,
+        Scope::Incremental(Revision::new(0, revision - 1)),
+        vec![change(revision, content)],
+    )
 }
 
 /// The flow of caller `number` to a service's address.
@@ -112,7 +116,7 @@
     /// Flows that were reset.
     pub resets: Vec<(FlowKey, u32, Refusal)>,
     /// Targets that were asked.
-    pub asked: Vec<Incarnation>,
+    pub probed: Vec<Incarnation>,
     /// What was written down.
     pub notes: Vec<Note>,
     /// What was measured.
@@ -144,7 +148,7 @@
     }
 
     fn ask(&mut self, target: &Target, _path: &str) {
-        self.asked.push(target.incarnation);
+        self.probed.push(target.incarnation);
     }
 }
 
@@ -156,11 +160,11 @@
 
 impl Instance {
     pub fn new(targets: &[Target]) -> Instance {
-        Instance::seeded(targets, 7)
+        Instance::with_seed(targets, 7)
     }
 
     /// The same with a seed for what is drawn.
-    pub fn seeded(targets: &[Target], seed: u64) -> Instance {
+    pub fn with_seed(targets: &[Target], seed: u64) -> Instance {
         Instance::placed("north", targets, seed)
     }
 
@@ -177,13 +181,13 @@
         let tuning = Tuning { domain: DomainName::new(domain), regions, seed };
         let mut instance =
             Instance { forwarder: Forwarder::new(tuning), out: Decisions::default() };
-        instance.learn(all(targets), 0);
-        instance.out.asked.clear();
+        instance.learn(snapshot(targets), 0);
+        instance.out.probed.clear();
         instance
     }
 
-    pub fn learn(&mut self, news: News, now: u64) {
-        self.forwarder.learn(news, millis(now), &mut self.out);
+    pub fn learn(&mut self, update: Update, now: u64) {
+        self.forwarder.learn(update, millis(now), &mut self.out);
     }
 
     pub fn packet(&mut self, segment: Segment, now: u64) {
@@ -193,11 +197,11 @@
     /// Sends the opening packet of a flow; answers where it went.
     pub fn open(&mut self, key: FlowKey, now: u64) -> Incarnation {
         self.packet(segment(key, Kind::Open), now);
-        self.last()
+        self.last_target()
     }
 
     /// Opens a flow and has the target answer; answers the target.
-    pub fn opened(&mut self, key: FlowKey, now: u64) -> Incarnation {
+    pub fn establish(&mut self, key: FlowKey, now: u64) -> Incarnation {
         let target = self.open(key, now);
         self.packet(middle(key, target, 1001, 500, 0), now + 5);
         target
@@ -205,10 +209,10 @@
 
     /// Has so many requests answered after `span`, one after the other in no time, so that
     /// it is known how long answers take.
-    pub fn hear_answers(&mut self, service: SocketAddrV4, count: u16, span: u64) {
+    pub fn record_answers(&mut self, service: SocketAddrV4, count: u16, span: u64) {
         for number in 0..count {
             let key = flow(60_000 + number, service);
-            let target = self.opened(key, 0);
+            let target = self.establish(key, 0);
             self.packet(middle(key, target, 1001, 500, 100), 0);
             self.packet(middle(key, target, 1101, 600, 0), span);
             let mut end = middle(key, target, 1101, 600, 0);
@@ -230,7 +234,7 @@
     }
 
     /// Where the last packet went.
-    pub fn last(&self) -> Incarnation {
+    pub fn last_target(&self) -> Incarnation {
         self.out.sent.last().expect("a packet was sent on").0
     }
 }
--- a/marked/tests/net.rs
+++ b/marked/tests/net.rs
@@ -1,12 +1,12 @@
 //! A fleet in virtual time: instances with their catalogs, datagrams that take
 //! a millisecond or get lost, and a store that some instances may not reach.
 
-use super::fixtures::{all, change, millis, target};
+use super::fixtures::{change, millis, snapshot, target};
 use medlarspur_lib::{ids::DomainName, time::Millis};
 use medlarspur_load::{random::Random, warmup::Seat};
 use medlarspur_marked::{
-    Catalog, Change, Content, Fleet, News, Revision, Scope, Target,
-    message::{Message, decode, encode_news},
+    Catalog, Change, Content, Fleet, Revision, Scope, Target, Update,
+    message::{Message, decode, encode_update},
 };
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -86,7 +86,7 @@
         let mut net = Net {
             now: 0,
             instances: BTreeMap::new(),
-            history: all(&[target(1, "desk"), target(2, "ingest")]).changes,
+            history: snapshot(&[target(1, "desk"), target(2, "ingest")]).changes,
             era: 0,
             readings: 0,
             told_bytes: 0,
@@ -186,8 +186,8 @@
             let time = self.time();
             let Some(it) = self.instances.get_mut(&to).filter(|it| it.up) else { continue };
             let message: Message = decode(&bytes).expect("sound messages");
-            if let Some(news) = it.fleet.receive(from, message, &it.catalog, time) {
-                it.catalog.merge(news, time);
+            if let Some(update) = it.fleet.receive(from, message, &it.catalog, time) {
+                it.catalog.merge(update, time);
             }
             self.post(to);
         }
@@ -212,11 +212,11 @@
         for (_, asker, asked, known) in done {
             let time = self.time();
             let Some(told) = self.instances.get(&asked).filter(|it| it.up) else { continue };
-            let news = told.catalog.since(known, time);
+            let update = told.catalog.update_since(known, time);
             *self.told.entry(asked).or_default() += u64::from(known == Revision::default());
-            self.told_bytes += encode_news(&news).expect("sound news").len() as u64;
+            self.told_bytes += encode_update(&update).expect("sound news").len() as u64;
             let asker = self.instances.get_mut(&asker).expect("it is there");
-            asker.catalog.merge(news, time);
+            asker.catalog.merge(update, time);
         }
     }
 
@@ -234,10 +234,10 @@
             let is_ahead = it.catalog.revision().era > self.era;
             it.doubted = if is_ahead { it.doubted + 1 } else { 0 };
             if it.doubted == DOUBTS {
-                it.catalog.fall_back();
+                it.catalog.reset_revisions();
             }
             if it.served && (!is_ahead || it.doubted == DOUBTS) {
-                let scope = if is_here { Scope::Since(known) } else { Scope::All };
+                let scope = if is_here { Scope::Incremental(known) } else { Scope::Snapshot };
                 self.readings += u64::from(!is_here);
                 let is_new = |it: &&Change| !is_here || it.revision.count > known.count;
                 let changes = self.history.iter().filter(is_new).map(|it| Change {
@@ -246,7 +246,7 @@
                 });
                 let changes = changes.collect();
                 let read = Revision::new(self.era, revision);
-                it.catalog.merge(News::new(read, scope, changes), time);
+                it.catalog.merge(Update::new(read, scope, changes), time);
                 it.fleet.store_answered(&it.catalog, time);
                 it.watching = Some(read);
                 it.call = now + if has_news { GATHER } else { WATCH };
@@ -262,8 +262,8 @@
         it.catalog.confirm(time);
         it.fleet.tick(&it.catalog, time);
         let known = it.catalog.revision();
-        if let Some(from) = it.fleet.pull(known, time) {
-            self.pulls.push((now + 5, at, from, it.catalog.basis()));
+        if let Some(from) = it.fleet.take_pull(known, time) {
+            self.pulls.push((now + 5, at, from, it.catalog.pull_base()));
             self.asked += 1;
         }
         self.post(at);
--- a/marked/tests/test_catalog.rs
+++ b/marked/tests/test_catalog.rs
@@ -1,8 +1,8 @@
 //! News in any order makes one picture.
 
-use super::fixtures::{FEED, change, config, millis, name, news, one, started, target};
+use super::fixtures::{FEED, change, config, incremental, millis, name, started, target, update};
 use medlarspur_lib::ids::ServiceName;
-use medlarspur_marked::{Catalog, Content, Incarnation, News, Presence, Revision, Scope};
+use medlarspur_marked::{Catalog, Content, Incarnation, Presence, Revision, Scope, Update};
 use proptest::prelude::*;
 
 fn listed(catalog: &Catalog) -> Vec<(Incarnation, Revision, bool)> {
@@ -14,7 +14,7 @@
     entries
 }
 
-fn histories() -> impl Strategy<Value = Vec<News>> {
+fn histories() -> impl Strategy<Value = Vec<Update>> {
     let content = (1..6u64, 0..4u64, 0..6u8).prop_map(|(number, start, kind)| match kind {
         0 => Content::Removed(name(number)),
         1 => Content::Unusable(name(number)),
@@ -22,7 +22,11 @@
         _ => Content::Config(config(number)),
     });
     proptest::collection::vec(content, 1..30).prop_map(|contents| {
-        contents.into_iter().zip(1..).map(|(content, revision)| one(revision, content)).collect()
+        contents
+            .into_iter()
+            .zip(1..)
+            .map(|(content, revision)| incremental(revision, content))
+            .collect()
     })
 }
 
@@ -43,11 +47,11 @@
             mixed.swap(last, (random.draw() % (last as u64 + 1)) as usize);
         }
 
-        for news in history {
-            straight.merge(news, millis(1));
+        for update in history {
+            straight.merge(update, millis(1));
         }
-        for news in mixed {
-            shuffled.merge(news, millis(1));
+        for update in mixed {
+            shuffled.merge(update, millis(1));
         }
 
         let present = |catalog: &Catalog| {
@@ -59,7 +63,7 @@
         // With news missing in between it doesn't claim to know all; asking for
         // what it lacks closes the gap.
         prop_assert!(shuffled.revision() <= straight.revision());
-        shuffled.merge(straight.since(shuffled.revision(), millis(2)), millis(2));
+        shuffled.merge(straight.update_since(shuffled.revision(), millis(2)), millis(2));
         prop_assert_eq!(present(&straight), present(&shuffled));
         prop_assert_eq!(straight.revision(), shuffled.revision());
     }
@@ -70,9 +74,9 @@
 #[test]
 fn an_older_config_never_comes_back() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(20, Content::Config(config(7))), millis(0));
+    catalog.merge(incremental(20, Content::Config(config(7))), millis(0));
 
-    catalog.merge(one(10, Content::Config(config(6))), millis(1));
+    catalog.merge(incremental(10, Content::Config(config(6))), millis(1));
 
     assert_eq!(catalog.config().expect("a config").version.0, 7);
 }
@@ -83,9 +87,9 @@
 fn a_removal_that_came_first_keeps_the_entry_out() {
     let mut catalog = Catalog::default();
     let gone = target(1, "desk");
-    catalog.merge(one(9, Content::Removed(gone.name.clone())), millis(0));
+    catalog.merge(incremental(9, Content::Removed(gone.name.clone())), millis(0));
 
-    catalog.merge(one(8, Content::Target(gone)), millis(1));
+    catalog.merge(incremental(8, Content::Target(gone)), millis(1));
 
     assert_eq!(catalog.entries().count(), 0);
 }
@@ -95,11 +99,11 @@
 #[test]
 fn reading_all_removes_what_is_not_there() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(1, Content::Target(target(1, "desk"))), millis(0));
-    catalog.merge(one(2, Content::Target(target(2, "desk"))), millis(0));
+    catalog.merge(incremental(1, Content::Target(target(1, "desk"))), millis(0));
+    catalog.merge(incremental(2, Content::Target(target(2, "desk"))), millis(0));
 
     let kept = change(2, Content::Target(target(2, "desk")));
-    catalog.merge(news(30, Scope::All, vec![kept]), millis(5));
+    catalog.merge(update(30, Scope::Snapshot, vec![kept]), millis(5));
 
     let presence =
         |number| catalog.entry(target(number, "desk").incarnation).expect("still known").presence;
@@ -112,9 +116,9 @@
 #[test]
 fn reading_all_does_not_remove_what_is_newer() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(40, Content::Target(target(1, "desk"))), millis(0));
+    catalog.merge(incremental(40, Content::Target(target(1, "desk"))), millis(0));
 
-    catalog.merge(news(30, Scope::All, Vec::new()), millis(5));
+    catalog.merge(update(30, Scope::Snapshot, Vec::new()), millis(5));
 
     let entry = catalog.entry(target(1, "desk").incarnation).expect("still known");
     assert_eq!(entry.presence, Presence::Listed);
@@ -125,10 +129,10 @@
 fn an_entry_that_is_written_again_is_listed_again() {
     let mut catalog = Catalog::default();
     let it = target(1, "desk");
-    catalog.merge(one(1, Content::Target(it.clone())), millis(0));
-    catalog.merge(one(2, Content::Removed(it.name.clone())), millis(10));
+    catalog.merge(incremental(1, Content::Target(it.clone())), millis(0));
+    catalog.merge(incremental(2, Content::Removed(it.name.clone())), millis(10));
 
-    catalog.merge(one(3, Content::Target(it.clone())), millis(20));
+    catalog.merge(incremental(3, Content::Target(it.clone())), millis(20));
 
     assert_eq!(catalog.entry(it.incarnation).expect("known").presence, Presence::Listed);
     assert_eq!(catalog.targets(&ServiceName::new("desk")).count(), 1);
@@ -140,12 +144,12 @@
 fn a_removed_target_is_forgotten_after_its_flows_have_ended() {
     let mut catalog = Catalog::default();
     let it = target(1, "desk");
-    catalog.merge(one(1, Content::Target(it.clone())), millis(0));
-    catalog.merge(one(2, Content::Removed(it.name.clone())), millis(0));
+    catalog.merge(incremental(1, Content::Target(it.clone())), millis(0));
+    catalog.merge(incremental(2, Content::Removed(it.name.clone())), millis(0));
 
-    catalog.merge(one(3, Content::Config(config(1))), millis(60_000));
+    catalog.merge(incremental(3, Content::Config(config(1))), millis(60_000));
     assert!(catalog.entry(it.incarnation).is_some());
-    catalog.merge(one(4, Content::Config(config(2))), millis(91_000));
+    catalog.merge(incremental(4, Content::Config(config(2))), millis(91_000));
 
     assert!(catalog.entry(it.incarnation).is_none());
     assert_eq!(catalog.targets(&ServiceName::new("desk")).count(), 0);
@@ -157,7 +161,7 @@
     split.shares[0].weight = 90;
     split.shares.push(medlarspur_marked::Share { service: ServiceName::new("new"), weight: 10 });
 
-    let desk = (0..100).filter(|draw| split.share(*draw).as_str() == "desk").count();
+    let desk = (0..100).filter(|draw| split.pick_service(*draw).as_str() == "desk").count();
 
     assert_eq!(desk, 90);
 }
@@ -168,10 +172,10 @@
 fn the_latest_of_two_removals_counts() {
     let mut catalog = Catalog::default();
     let gone = target(1, "desk");
-    catalog.merge(one(9, Content::Removed(gone.name.clone())), millis(0));
-    catalog.merge(one(4, Content::Removed(gone.name.clone())), millis(0));
+    catalog.merge(incremental(9, Content::Removed(gone.name.clone())), millis(0));
+    catalog.merge(incremental(4, Content::Removed(gone.name.clone())), millis(0));
 
-    catalog.merge(one(6, Content::Target(gone)), millis(1));
+    catalog.merge(incremental(6, Content::Target(gone)), millis(1));
 
     assert_eq!(catalog.entries().count(), 0);
 }
@@ -183,14 +187,14 @@
 fn who_was_away_for_long_is_told_all() {
     let (kept, gone) = (target(1, "desk"), target(2, "desk"));
     let mut asked = Catalog::default();
-    asked.merge(one(1, Content::Target(kept.clone())), millis(0));
-    asked.merge(one(2, Content::Target(gone.clone())), millis(0));
+    asked.merge(incremental(1, Content::Target(kept.clone())), millis(0));
+    asked.merge(incremental(2, Content::Target(gone.clone())), millis(0));
     let mut away = Catalog::default();
-    away.merge(asked.since(Revision::new(0, 0), millis(0)), millis(0));
-    asked.merge(one(3, Content::Removed(gone.name.clone())), millis(10));
-    asked.merge(one(4, Content::Config(config(1))), millis(100_000));
+    away.merge(asked.update_since(Revision::new(0, 0), millis(0)), millis(0));
+    asked.merge(incremental(3, Content::Removed(gone.name.clone())), millis(10));
+    asked.merge(incremental(4, Content::Config(config(1))), millis(100_000));
 
-    let told = asked.since(away.revision(), millis(100_000));
+    let told = asked.update_since(away.revision(), millis(100_000));
     away.merge(told, millis(100_000));
 
     let entry = away.entry(gone.incarnation).expect("known for a while");
@@ -203,10 +207,10 @@
 #[test]
 fn lost_news_is_noticed() {
     let mut catalog = Catalog::default();
-    catalog.merge(news(10, Scope::All, vec![]), millis(0));
-    let later = news(14, Scope::Since(Revision::new(0, 12)), vec![]);
+    catalog.merge(update(10, Scope::Snapshot, vec![]), millis(0));
+    let later = update(14, Scope::Incremental(Revision::new(0, 12)), vec![]);
 
-    assert!(catalog.lacks(&later));
+    assert!(catalog.has_gap_before(&later));
     catalog.merge(later, millis(1));
 
     assert_eq!(catalog.revision(), Revision::new(0, 10));
@@ -217,13 +221,13 @@
 fn a_reader_that_read_all_does_not_hide_earlier_removals() {
     let gone = target(1, "desk");
     let mut listener = Catalog::default();
-    listener.merge(one(1, Content::Target(gone.clone())), millis(0));
+    listener.merge(incremental(1, Content::Target(gone.clone())), millis(0));
     let mut reader = Catalog::default();
     let kept = change(2, Content::Target(target(2, "desk")));
-    reader.merge(news(3, Scope::All, vec![kept]), millis(10));
+    reader.merge(update(3, Scope::Snapshot, vec![kept]), millis(10));
 
     for _ in 0..2 {
-        listener.merge(reader.since(listener.basis(), millis(20)), millis(20));
+        listener.merge(reader.update_since(listener.pull_base(), millis(20)), millis(20));
     }
 
     assert_eq!(listener.revision(), reader.revision());
--- a/marked/tests/test_contested.rs
+++ b/marked/tests/test_contested.rs
@@ -1,7 +1,7 @@
 //! Openings that two targets answer.
 
 use super::fixtures::{FEED, Instance, REQUEST, flow, middle, millis, target};
-use medlarspur_marked::{Finding, FlowKey, Incarnation, Kind};
+use medlarspur_marked::{FlowKey, Incarnation, Kind, ProbeResult};
 
 /// Two targets, and a flow whose opening went to the first of them twice and then, as that
 /// seemed to be full, to the second.
@@ -17,8 +17,8 @@
     let key = flow(1, REQUEST);
     let first = instance.open(key, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(first, Finding::Declines, millis(1_031), &mut instance.out);
-    let second = instance.last();
+    instance.forwarder.answer(first, ProbeResult::Declines, millis(1_031), &mut instance.out);
+    let second = instance.last_target();
     assert_ne!(second, first);
     Moved { instance, key, first, second }
 }
@@ -46,7 +46,7 @@
     instance.packet(middle(key, first, 1001, 500, 0), 1_033);
     instance.packet(middle(key, second, 1001, 500, 900), 1_034);
 
-    assert_eq!(instance.last(), first);
+    assert_eq!(instance.last_target(), first);
 }
 
 /// Guards against the same where the answer to the earlier copy comes last.
@@ -57,7 +57,7 @@
     instance.packet(middle(key, second, 1001, 500, 0), 1_033);
     instance.packet(middle(key, first, 1001, 500, 900), 1_034);
 
-    assert_eq!(instance.last(), second);
+    assert_eq!(instance.last_target(), second);
 }
 
 /// Guards against a target that never hears that its flow has ended.
@@ -71,7 +71,7 @@
         end.kind = kind;
         instance.packet(end, 1_200);
 
-        assert_eq!(instance.last(), first);
+        assert_eq!(instance.last_target(), first);
     }
 }
 
@@ -86,7 +86,7 @@
     instance.packet(middle(key, other, 1001, 500, 0), 1_010);
     instance.packet(middle(key, here, 1001, 500, 900), 1_011);
 
-    assert_eq!(instance.last(), other);
+    assert_eq!(instance.last_target(), other);
 }
 
 /// Guards against copies of an opening that follow a mark to a target of another service.
@@ -109,7 +109,7 @@
 
     instance.packet(middle(key, first, 700_001, 900_000, 100), 3_000);
 
-    assert_eq!(instance.last(), first);
+    assert_eq!(instance.last_target(), first);
 }
 
 /// Guards against openings that count for good as work of a target which they are not at.
@@ -128,7 +128,7 @@
 fn a_record_that_is_replaced_is_no_work_any_more() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, REQUEST);
-    let here = instance.opened(key, 1_000);
+    let here = instance.establish(key, 1_000);
     instance.packet(middle(key, here, 1001, 500, 900), 1_010);
     let other = other_than(&instance, here);
     assert_eq!(busy(&instance, here), 1);
--- a/marked/tests/test_convergence.rs
+++ b/marked/tests/test_convergence.rs
@@ -3,7 +3,7 @@
 
 use super::fixtures::{config, millis, name, started};
 use medlarspur_lib::{ids::DomainName, time::Millis};
-use medlarspur_marked::{Catalog, Change, Content, News, Revision, Scope, Target};
+use medlarspur_marked::{Catalog, Change, Content, Revision, Scope, Target, Update};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -14,8 +14,8 @@
     Change { revision: Revision::new(era, count), content }
 }
 
-fn whole(era: u32, count: u64, changes: Vec<Change>) -> News {
-    News::new(Revision::new(era, count), Scope::All, changes)
+fn whole(era: u32, count: u64, changes: Vec<Change>) -> Update {
+    Update::new(Revision::new(era, count), Scope::Snapshot, changes)
 }
 
 /// What the source holds: targets by number, the version of the config, evacuated domains.
@@ -91,7 +91,7 @@
         } else {
             self.wanted.domains.remove(domain);
             if self.items.domains.remove(domain).is_some() {
-                self.push(Content::Restored(content));
+                self.push(Content::EvacuationEnded(content));
             }
         }
     }
@@ -126,7 +126,7 @@
         self.publish(self.wanted.config.1);
     }
 
-    fn whole(&self) -> News {
+    fn whole(&self) -> Update {
         let targets = self.items.targets.values();
         let targets = targets.map(|(count, it)| at(self.era, *count, Content::Target(it.clone())));
         let domains = self.items.domains.iter();
@@ -138,14 +138,14 @@
     }
 
     /// What a reader is told that has read up to there.
-    fn read(&self, known: Revision) -> News {
+    fn read(&self, known: Revision) -> Update {
         if known.era != self.era || known.count < self.saved.count {
             return self.whole();
         }
         let changes = self.history.iter().filter(|it| it.revision > known).cloned().collect();
-        News {
+        Update {
             revision: Revision::new(self.era, self.items.count),
-            scope: Scope::Since(known),
+            scope: Scope::Incremental(known),
             changes,
             unconfirmed: Vec::new(),
         }
@@ -214,16 +214,16 @@
                 Step::Restore => source.restore(),
                 Step::Read { by } => {
                     let (catalog, known) = &mut instances[by];
-                    let news = source.read(*known);
-                    *known = news.revision;
+                    let update = source.read(*known);
+                    *known = update.revision;
                     let before = catalog.config().map_or(0, |it| it.version.0);
-                    catalog.merge(news, now);
+                    catalog.merge(update, now);
                     prop_assert!(catalog.config().map_or(0, |it| it.version.0) >= before);
                 }
                 Step::Tell { by, to } => {
-                    let news = instances[by].0.since(instances[to].0.basis(), now);
-                    if news.revision > instances[to].0.revision() {
-                        instances[to].0.merge(news, now);
+                    let update = instances[by].0.update_since(instances[to].0.pull_base(), now);
+                    if update.revision > instances[to].0.revision() {
+                        instances[to].0.merge(update, now);
                     }
                 }
                 Step::Start { nth } => instances[nth] = Default::default(),
@@ -237,12 +237,12 @@
         }
 
         source.rewrite();
-        let news = source.read(instances[0].1);
-        instances[0].0.merge(news, now);
+        let update = source.read(instances[0].1);
+        instances[0].0.merge(update, now);
         for nth in 1..4 {
             for _ in 0..2 {
-                let news = instances[0].0.since(instances[nth].0.basis(), now);
-                instances[nth].0.merge(news, now);
+                let update = instances[0].0.update_since(instances[nth].0.pull_base(), now);
+                instances[nth].0.merge(update, now);
             }
         }
         now = now + REWRITTEN;
--- a/marked/tests/test_delta.rs
+++ b/marked/tests/test_delta.rs
@@ -1,6 +1,6 @@
 //! Differences of configs say the same as the configs.
 
-use super::fixtures::{change, config, millis, news, one, route};
+use super::fixtures::{change, config, incremental, millis, route, update};
 use medlarspur_lib::{bundle::Class, ids::ServiceName};
 use medlarspur_marked::{Catalog, Config, Content, Delta, Revision, Route, Scope, Service, Warmup};
 use proptest::{collection::vec, prelude::*};
@@ -53,15 +53,15 @@
         let mut reader = Catalog::default();
         let mut listener = Catalog::default();
         for (routes, nth) in versions.iter().zip(1u64..) {
-            reader.merge(one(nth, Content::Config(drawn(nth, routes))), millis(0));
+            reader.merge(incremental(nth, Content::Config(drawn(nth, routes))), millis(0));
             if heard >> (nth % 64) & 1 == 1 {
                 let before = listener.revision();
-                let told = reader.since(before, millis(0));
+                let told = reader.update_since(before, millis(0));
                 listener.merge(told, millis(0));
                 prop_assert_eq!(listener.revision(), reader.revision());
             }
         }
-        listener.merge(reader.since(listener.revision(), millis(0)), millis(0));
+        listener.merge(reader.update_since(listener.revision(), millis(0)), millis(0));
 
         let config = |catalog: &Catalog| sorted(catalog.config().expect("a config").clone());
         prop_assert_eq!(config(&listener), config(&reader));
@@ -73,11 +73,11 @@
 #[test]
 fn a_difference_from_an_unknown_config_is_not_taken() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(1, Content::Config(config(1))), millis(0));
+    catalog.merge(incremental(1, Content::Config(config(1))), millis(0));
     let delta = Delta::between(&config(5), &config(6));
-    let scope = Scope::Since(Revision::new(0, 1));
+    let scope = Scope::Incremental(Revision::new(0, 1));
 
-    catalog.merge(news(6, scope, vec![change(6, Content::Delta(delta))]), millis(1));
+    catalog.merge(update(6, scope, vec![change(6, Content::Delta(delta))]), millis(1));
 
     assert_eq!(catalog.config().expect("a config").version.0, 1);
     assert_eq!(catalog.revision(), Revision::new(0, 1));
@@ -98,10 +98,10 @@
         let mut new = old.clone();
         new.routes[0].shares[0].service = ServiceName::new("other");
         let mut catalog = Catalog::default();
-        catalog.merge(one(1, Content::Config(old)), millis(0));
-        catalog.merge(one(2, Content::Config(new)), millis(0));
-        let told = catalog.since(Revision::new(0, 1), millis(0));
-        medlarspur_marked::message::encode_news(&told).expect("sound").len()
+        catalog.merge(incremental(1, Content::Config(old)), millis(0));
+        catalog.merge(incremental(2, Content::Config(new)), millis(0));
+        let told = catalog.update_since(Revision::new(0, 1), millis(0));
+        medlarspur_marked::message::encode_update(&told).expect("sound").len()
     };
 
     assert!(size(3_400) < 100);
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -1,7 +1,8 @@
 //! Failure domains that operators empty: nothing new goes there, what is open goes on.
 
 use super::fixtures::{
-    FEED, Instance, REQUEST, all, change, config, flow, middle, millis, news, one, segment, target,
+    FEED, Instance, REQUEST, change, config, flow, incremental, middle, millis, segment, snapshot,
+    target, update,
 };
 use medlarspur_lib::{
     ids::{DomainName, ServiceName},
@@ -9,8 +10,8 @@
 };
 use medlarspur_load::warmup::Seat;
 use medlarspur_marked::{
-    Content, Finding, FlowKey, Incarnation, Kind, News, Note, Refusal, Scope, Service, Target,
-    Warmup,
+    Content, FlowKey, Incarnation, Kind, Note, ProbeResult, Refusal, Scope, Service, Target,
+    Update, Warmup,
 };
 use proptest::prelude::*;
 
@@ -23,12 +24,12 @@
     Target { domain: south(), ..target(number, "desk") }
 }
 
-fn evacuated(revision: u64) -> News {
-    one(revision, Content::Evacuated(south()))
+fn evacuated(revision: u64) -> Update {
+    incremental(revision, Content::Evacuated(south()))
 }
 
-fn restored(revision: u64) -> News {
-    one(revision, Content::Restored(south()))
+fn restored(revision: u64) -> Update {
+    incremental(revision, Content::EvacuationEnded(south()))
 }
 
 /// One target in the north, one in the south.
@@ -75,7 +76,7 @@
     instance.packet(middle(key, south, 1001, 500, 100), 2_000);
     instance.tick(3_000);
 
-    assert_eq!(instance.last(), south);
+    assert_eq!(instance.last_target(), south);
     assert!(instance.out.resets.is_empty());
 }
 
@@ -89,7 +90,7 @@
     instance.learn(evacuated(101), 10);
     instance.packet(segment(key, Kind::Open), 200);
 
-    assert_eq!(instance.last(), north);
+    assert_eq!(instance.last_target(), north);
 }
 
 /// The same, but the target has answered: the copy was late. A second target would answer
@@ -103,7 +104,7 @@
     instance.learn(evacuated(101), 10);
     instance.packet(segment(key, Kind::Open), 200);
 
-    assert_eq!(instance.last(), south);
+    assert_eq!(instance.last_target(), south);
 }
 
 /// An opening is unanswered for longer than usual, and this instance sends it once more by
@@ -133,7 +134,7 @@
     }
     instance.out.sent.clear();
 
-    instance.forwarder.answer(one.incarnation, Finding::Gone, millis(40), &mut instance.out);
+    instance.forwarder.answer(one.incarnation, ProbeResult::Gone, millis(40), &mut instance.out);
 
     assert!(!instance.out.sent.is_empty());
     assert!(instance.out.sent.iter().all(|(to, ..)| *to == other.incarnation));
@@ -144,18 +145,18 @@
 #[test]
 fn a_place_that_comes_free_in_an_evacuated_domain_stays_empty() {
     let (mut instance, north, south) = two();
-    instance.hear_answers(FEED, 20, 40);
+    instance.record_answers(FEED, 20, 40);
     let feed = (100..200).map(|number| flow(number, FEED));
-    let feed = feed.into_iter().find(|key| instance.opened(*key, 50) == south).expect("one");
+    let feed = feed.into_iter().find(|key| instance.establish(*key, 50) == south).expect("one");
     open_at(&mut instance, south, 1_000);
     instance.tick(1_030);
     instance.packet(middle(feed, south, 1001, 500, 100), 1_040);
     instance.packet(middle(feed, south, 1101, 700, 0), 1_090);
-    instance.forwarder.answer(south, Finding::Silent, millis(1_330), &mut instance.out);
+    instance.forwarder.answer(south, ProbeResult::Silent, millis(1_330), &mut instance.out);
     assert_eq!(usage(&instance, south, 1_340), TargetUse::Full);
 
     instance.learn(evacuated(101), 1_400);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
     let mut end = middle(feed, south, 1101, 700, 0);
     end.kind = Kind::Abort;
     instance.packet(end, 1_500);
@@ -164,7 +165,7 @@
     }
 
     assert_eq!(instance.open(flow(300, FEED), 9_000), north);
-    assert!(!instance.out.asked.contains(&south));
+    assert!(!instance.out.probed.contains(&south));
 }
 
 /// A target starts in a domain that is being emptied. Its entry is the newest there is.
@@ -173,7 +174,7 @@
     let (mut instance, north, _) = two();
     instance.learn(evacuated(101), 10);
 
-    instance.learn(one(102, Content::Target(southern(5))), 20);
+    instance.learn(incremental(102, Content::Target(southern(5))), 20);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 30), north);
@@ -228,8 +229,8 @@
     let (mut instance, _, south) = two();
     instance.learn(evacuated(101), 10);
 
-    let picture = all(&[target(1, "desk"), southern(2)]);
-    instance.learn(News { revision: medlarspur_marked::Revision::new(0, 150), ..picture }, 20);
+    let picture = snapshot(&[target(1, "desk"), southern(2)]);
+    instance.learn(Update { revision: medlarspur_marked::Revision::new(0, 150), ..picture }, 20);
 
     open_at(&mut instance, south, 30);
 }
@@ -240,7 +241,7 @@
     let (mut instance, north, _) = two();
     instance.learn(evacuated(120), 10);
 
-    instance.learn(all(&[target(1, "desk"), southern(2)]), 20);
+    instance.learn(snapshot(&[target(1, "desk"), southern(2)]), 20);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 30), north);
@@ -253,7 +254,7 @@
 fn a_picture_for_who_starts_has_the_evacuations() {
     let (mut instance, ..) = two();
     instance.learn(evacuated(101), 10);
-    let told = instance.forwarder.catalog().since(Default::default(), millis(20));
+    let told = instance.forwarder.catalog().update_since(Default::default(), millis(20));
 
     let mut fresh = Instance::new(&[]);
     fresh.learn(told, 0);
@@ -269,8 +270,10 @@
     let changes =
         vec![change(90, Content::Config(config(1))), change(91, Content::Target(southern(2)))];
 
-    catalog
-        .merge(news(91, Scope::Since(medlarspur_marked::Revision::new(0, 89)), changes), millis(0));
+    catalog.merge(
+        update(91, Scope::Incremental(medlarspur_marked::Revision::new(0, 89)), changes),
+        millis(0),
+    );
 
     assert!(!catalog.is_usable());
 }
@@ -283,7 +286,7 @@
     let warmup = Some(Warmup { span: millis(2_000), rate: 4 });
     wanted.services =
         vec![Service { name: ServiceName::new("desk"), health: "/health".into(), warmup }];
-    instance.learn(one(101, Content::Config(wanted)), 0);
+    instance.learn(incremental(101, Content::Config(wanted)), 0);
 }
 
 #[test]
@@ -308,7 +311,7 @@
     warming(&mut instance);
 
     let slow = Target { cold: millis(3_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow)), 100);
+    instance.learn(incremental(102, Content::Target(slow)), 100);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 3_000), north);
@@ -323,7 +326,7 @@
     let mut instance = Instance::new(&[]);
     warming(&mut instance);
     let slow = Target { cold: millis(2_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow)), 100);
+    instance.learn(incremental(102, Content::Target(slow)), 100);
 
     instance.packet(segment(flow(1, REQUEST), Kind::Open), 200);
 
@@ -383,7 +386,7 @@
 /// its targets are well.
 fn cut_off() -> (Instance, Incarnation, Incarnation) {
     let (mut instance, own, other) = home();
-    assert_eq!(instance.opened(flow(1, REQUEST), 1_000), other);
+    assert_eq!(instance.establish(flow(1, REQUEST), 1_000), other);
     instance.forwarder.set_cut_off(true);
     instance.tick(3_000);
     (instance, own, other)
@@ -419,7 +422,7 @@
 #[test]
 fn a_store_that_is_away_opens_no_evacuated_domain() {
     let (mut instance, _, other) = home();
-    instance.opened(flow(1, REQUEST), 2_900);
+    instance.establish(flow(1, REQUEST), 2_900);
     instance.forwarder.set_cut_off(true);
     instance.tick(3_000);
 
@@ -431,7 +434,7 @@
 #[test]
 fn silence_elsewhere_alone_opens_no_evacuated_domain() {
     let (mut instance, own, _) = home();
-    instance.opened(flow(1, REQUEST), 1_000);
+    instance.establish(flow(1, REQUEST), 1_000);
     instance.tick(3_000);
 
     assert_ne!(instance.open(flow(100, REQUEST), 3_010), own);
@@ -456,7 +459,7 @@
 #[test]
 fn openings_that_nobody_answers_come_over_when_a_domain_is_cut_off() {
     let (mut instance, own, other) = home();
-    instance.opened(flow(1, REQUEST), 1_000);
+    instance.establish(flow(1, REQUEST), 1_000);
     assert_eq!(instance.open(flow(50, REQUEST), 2_900), other);
     instance.out.sent.clear();
 
@@ -464,7 +467,7 @@
     instance.tick(3_000);
 
     assert_eq!(instance.out.sent.len(), 1);
-    assert_eq!(instance.last(), own);
+    assert_eq!(instance.last_target(), own);
 }
 
 /// All targets of the service are slow after their start, and this instance owns them. Each
@@ -474,7 +477,7 @@
     let mut instance = Instance::in_domain("south", &[]);
     warming(&mut instance);
     let slow = Target { cold: millis(5_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow.clone())), 0);
+    instance.learn(incremental(102, Content::Target(slow.clone())), 0);
     instance.forwarder.set_seat(Some(Seat { position: 0, count: 1 }));
 
     for (number, now) in (0..).zip((100..3_100).step_by(100)) {
@@ -494,7 +497,7 @@
     let mut instance = Instance::new(&[]);
     warming(&mut instance);
     let slow = Target { cold: millis(5_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow)), 0);
+    instance.learn(incremental(102, Content::Target(slow)), 0);
     instance.forwarder.set_seat(Some(Seat { position: 0, count: 1 }));
 
     instance.packet(segment(flow(1, REQUEST), Kind::Open), 100);
--- a/marked/tests/test_fleet.rs
+++ b/marked/tests/test_fleet.rs
@@ -59,7 +59,7 @@
         for _ in 0..5 {
             net.publish(Content::Evacuated(DomainName::new("domain-2")));
             net.run(2_350);
-            net.publish(Content::Restored(DomainName::new("domain-2")));
+            net.publish(Content::EvacuationEnded(DomainName::new("domain-2")));
             net.run(2_750);
         }
 
@@ -151,9 +151,9 @@
     let (reader, listener, unknown) = (address(1, 1), address(1, 5), address(1, 77));
     let it = net.instances.get_mut(&listener).expect("it is there");
     let known = it.catalog.revision();
-    let news = medlarspur_marked::News {
+    let update = medlarspur_marked::Update {
         revision: medlarspur_marked::Revision::new(0, known.count + 2),
-        scope: medlarspur_marked::Scope::Since(medlarspur_marked::Revision::new(
+        scope: medlarspur_marked::Scope::Incremental(medlarspur_marked::Revision::new(
             0,
             known.count + 1,
         )),
@@ -161,13 +161,13 @@
         unconfirmed: Vec::new(),
     };
     let message =
-        medlarspur_marked::message::Message::News { reader, news, to: Vec::new(), seat: None };
+        medlarspur_marked::message::Message::Update { reader, update, to: Vec::new(), seat: None };
     let now = super::fixtures::millis(2_000_000);
 
     it.fleet.receive(unknown, message, &it.catalog, now);
 
     let later = super::fixtures::millis(2_000_300);
-    assert_eq!(it.fleet.pull(known, later), Some(reader));
+    assert_eq!(it.fleet.take_pull(known, later), Some(reader));
 }
 
 /// Instances that only listen hear each other at the start and not again: they tell their
@@ -179,7 +179,7 @@
 
     for _ in 0..20 {
         net.run(1_000);
-        let known: Vec<usize> = net.instances.values().map(|it| it.fleet.near()).collect();
+        let known: Vec<usize> = net.instances.values().map(|it| it.fleet.domain_size()).collect();
         assert_eq!(known, [12; 24], "{} ms", net.now);
     }
 }
@@ -355,21 +355,21 @@
     let beat = medlarspur_marked::message::Heartbeat {
         domain: it.fleet.domain(),
         role: medlarspur_marked::message::Role::Reader,
-        fresh: Some(0),
+        answer_age: Some(0),
         revision,
-        asks: false,
+        wants_reply: false,
         contacts: Vec::new(),
         seat: None,
     };
     let message = medlarspur_marked::message::Message::Heartbeat(beat);
     let now = super::fixtures::millis(2_000_000);
     it.fleet.receive(reader, message, &it.catalog, now);
-    it.fleet.suspect_lack();
-    assert_eq!(it.fleet.pull(it.catalog.revision(), now), Some(reader));
+    it.fleet.catch_up();
+    assert_eq!(it.fleet.take_pull(it.catalog.revision(), now), Some(reader));
 
-    it.fleet.suspect_lack();
+    it.fleet.catch_up();
 
-    assert_eq!(it.fleet.pull(it.catalog.revision(), now), None);
+    assert_eq!(it.fleet.take_pull(it.catalog.revision(), now), None);
     assert!(it.fleet.deadline(now) > now);
 }
 
@@ -430,9 +430,9 @@
         let heartbeat = medlarspur_marked::message::Heartbeat {
             domain,
             role: medlarspur_marked::message::Role::Listener,
-            fresh: None,
+            answer_age: None,
             revision: medlarspur_marked::Revision::new(0, 0),
-            asks: true,
+            wants_reply: true,
             contacts: Vec::new(),
             seat: None,
         };
@@ -448,13 +448,13 @@
             seed.fleet.receive(at, message, &seed.catalog, now);
         });
         seed.fleet.take_outgoing();
-        let known = seed.fleet.near();
+        let known = seed.fleet.domain_size();
 
         seed.fleet.receive(at, message, &seed.catalog, now);
 
         let answered = seed.fleet.take_outgoing().iter().any(|it| it.to == at);
         assert!(answered, "{count} others");
-        assert_eq!(seed.fleet.near() - known, usize::from(domain == own));
+        assert_eq!(seed.fleet.domain_size() - known, usize::from(domain == own));
     }
 }
 
@@ -564,20 +564,20 @@
         let now = net.time();
         let it = net.instances.get_mut(&listener).expect("it is there");
         let known = it.catalog.revision();
-        let news = medlarspur_marked::News {
+        let update = medlarspur_marked::Update {
             revision: medlarspur_marked::Revision::new(era, 1_000_000),
-            scope: medlarspur_marked::Scope::Since(known),
+            scope: medlarspur_marked::Scope::Incremental(known),
             changes: Vec::new(),
             unconfirmed: Vec::new(),
         };
-        let message = medlarspur_marked::message::Message::News {
+        let message = medlarspur_marked::message::Message::Update {
             reader: liar,
-            news,
+            update,
             to: vec![],
             seat: None,
         };
-        if let Some(news) = it.fleet.receive(liar, message, &it.catalog, now) {
-            it.catalog.merge(news, now);
+        if let Some(update) = it.fleet.receive(liar, message, &it.catalog, now) {
+            it.catalog.merge(update, now);
         }
 
         net.run(30_000);
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -1,7 +1,7 @@
 //! Packets in mid-flow.
 
-use super::fixtures::{FEED, Instance, REQUEST, flow, middle, one, segment, target};
-use medlarspur_marked::{Content, Finding, Kind, Mark, Segment};
+use super::fixtures::{FEED, Instance, REQUEST, flow, incremental, middle, segment, target};
+use medlarspur_marked::{Content, Kind, Mark, ProbeResult, Segment};
 
 /// News of a target reaches one instance later than another. A packet of a flow
 /// there must not go to a wrong target, which would reset it, and the instance
@@ -33,12 +33,12 @@
 fn flows_of_a_removed_target_go_on() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 0);
-    instance.learn(one(200, Content::Removed(super::fixtures::name(1))), 100);
+    let at = instance.establish(key, 0);
+    instance.learn(incremental(200, Content::Removed(super::fixtures::name(1))), 100);
 
     instance.packet(middle(key, at, 1001, 500, 100), 30_000);
 
-    assert_eq!(instance.last(), at);
+    assert_eq!(instance.last_target(), at);
     assert!(instance.out.resets.is_empty());
 }
 
@@ -48,13 +48,13 @@
 fn an_open_flow_stays_when_its_route_moves() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     let mut config = super::fixtures::config(2);
     config.routes[0].shares[0].service = medlarspur_lib::ids::ServiceName::new("ingest");
-    instance.learn(one(300, Content::Config(config)), 100);
+    instance.learn(incremental(300, Content::Config(config)), 100);
 
     instance.packet(middle(key, at, 1001, 500, 100), 200);
-    assert_eq!(instance.last(), at);
+    assert_eq!(instance.last_target(), at);
 
     assert_eq!(instance.open(flow(2, FEED), 200), target(2, "ingest").incarnation);
 }
@@ -64,18 +64,18 @@
 #[test]
 fn a_repeated_request_has_its_target_asked() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
-    instance.hear_answers(FEED, 20, 40);
+    instance.record_answers(FEED, 20, 40);
     let key = flow(1, REQUEST);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 10);
 
     instance.packet(middle(key, at, 1001, 500, 100), 210);
 
-    assert_eq!(instance.out.asked, [at]);
+    assert_eq!(instance.out.probed, [at]);
     assert_eq!(instance.forwarder.counts().repeated, 1);
-    instance.opened(flow(2, super::fixtures::UPLOAD), 250);
+    instance.establish(flow(2, super::fixtures::UPLOAD), 250);
     let now = super::fixtures::millis(300);
-    instance.forwarder.answer(at, Finding::Silent, now, &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Silent, now, &mut instance.out);
     assert_eq!(instance.out.resets.len(), 1);
 }
 
@@ -87,19 +87,19 @@
 fn a_machine_that_hears_nobody_resets_nothing_at_first() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     let key = flow(1, REQUEST);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 10);
     instance.packet(middle(key, at, 1001, 500, 100), 210);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
     let silent = |instance: &mut Instance, now| {
         let now = super::fixtures::millis(now);
-        instance.forwarder.answer(at, Finding::Silent, now, &mut instance.out);
+        instance.forwarder.answer(at, ProbeResult::Silent, now, &mut instance.out);
     };
 
     silent(&mut instance, 510);
 
     assert!(instance.out.resets.is_empty());
-    assert_eq!(instance.out.asked, [target(2, "ingest").incarnation, at]);
+    assert_eq!(instance.out.probed, [target(2, "ingest").incarnation, at]);
     silent(&mut instance, 810);
     silent(&mut instance, 1_110);
     assert!(instance.out.resets.is_empty());
@@ -114,12 +114,12 @@
     let targets: Vec<_> = (1..=10).map(|number| target(number, "desk")).collect();
     let mut instance = Instance::new(&targets);
     for number in 0..40 {
-        instance.opened(flow(number, FEED), 0);
+        instance.establish(flow(number, FEED), 0);
     }
     let silent = |instance: &mut Instance, now: u64| {
         for it in &targets {
             let now = super::fixtures::millis(now);
-            instance.forwarder.answer(it.incarnation, Finding::Silent, now, &mut instance.out);
+            instance.forwarder.answer(it.incarnation, ProbeResult::Silent, now, &mut instance.out);
         }
     };
     for number in 0..40 {
@@ -142,7 +142,7 @@
 fn a_packet_for_a_lost_target_is_answered_by_a_reset() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let at = target(1, "desk").incarnation;
-    instance.forwarder.answer(at, Finding::Gone, super::fixtures::millis(0), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Gone, super::fixtures::millis(0), &mut instance.out);
 
     instance.packet(middle(flow(1, FEED), at, 1001, 4242, 100), 10);
 
@@ -154,7 +154,7 @@
 fn a_closed_flow_has_no_record_and_its_last_packets_still_pass() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, REQUEST);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     let close = Segment { kind: Kind::Close, ..middle(key, at, 1101, 900, 0) };
 
     instance.packet(close, 50);
@@ -171,7 +171,7 @@
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, FEED);
 
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
 
     assert!(instance.out.sent.iter().all(|(_, mark, _)| *mark == Mark::new(at, &key)));
 }
@@ -183,7 +183,7 @@
     use medlarspur_marked::Span;
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, REQUEST);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 10);
     instance.packet(middle(key, at, 1101, 900, 0), 52);
     instance.packet(Segment { kind: Kind::Close, ..middle(key, at, 1101, 900, 0) }, 60);
--- a/marked/tests/test_full.rs
+++ b/marked/tests/test_full.rs
@@ -1,20 +1,22 @@
 //! Targets that have no room for another flow, and how they are told from dead ones.
 
-use super::fixtures::{FEED, Instance, REQUEST, flow, middle, millis, one, segment, target};
+use super::fixtures::{
+    FEED, Instance, REQUEST, flow, incremental, middle, millis, segment, target,
+};
 use medlarspur_lib::status::TargetUse;
-use medlarspur_marked::{Content, Finding, FlowKey, Incarnation, Kind, Note, Refusal};
+use medlarspur_marked::{Content, FlowKey, Incarnation, Kind, Note, ProbeResult, Refusal};
 
 /// Two targets, of which the first has an open feed, and answers take 40 ms.
 fn two() -> (Instance, FlowKey, Incarnation) {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
-    instance.hear_answers(FEED, 20, 40);
+    instance.record_answers(FEED, 20, 40);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 100);
+    let at = instance.establish(key, 100);
     (instance, key, at)
 }
 
 fn silent(instance: &mut Instance, at: Incarnation, now: u64) {
-    instance.forwarder.answer(at, Finding::Silent, millis(now), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Silent, millis(now), &mut instance.out);
 }
 
 /// Opens flows until one goes to `at`.
@@ -62,13 +64,13 @@
     silent(&mut instance, at, 1_330);
 
     assert!(instance.out.resets.is_empty());
-    assert_ne!(instance.last(), at, "what was being opened went elsewhere");
+    assert_ne!(instance.last_target(), at, "what was being opened went elsewhere");
     assert_eq!(usage(&instance, at, 1_340), TargetUse::Full);
     for number in 40..60 {
         assert_ne!(instance.open(flow(number, FEED), 1_340), at);
     }
     instance.packet(middle(feed, at, 1101, 700, 100), 1_400);
-    assert_eq!(instance.last(), at);
+    assert_eq!(instance.last_target(), at);
     let told = |note: &Note| matches!(note, Note::Full { target, .. } if *target == at);
     assert_eq!(instance.out.notes.iter().filter(|note| told(note)).count(), 1);
     assert!(instance.forwarder.explain(&opening, None, millis(1_400)).target.is_some());
@@ -80,7 +82,7 @@
     let (mut instance, _, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.opened(flow(90, REQUEST), 1_100);
+    instance.establish(flow(90, REQUEST), 1_100);
 
     silent(&mut instance, at, 1_330);
     for now in (1_340..9_000).step_by(20) {
@@ -98,7 +100,7 @@
     open_at(&mut instance, at, 10..30, 1_010);
     instance.tick(1_040);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
-    instance.opened(flow(90, REQUEST), 1_250);
+    instance.establish(flow(90, REQUEST), 1_250);
 
     silent(&mut instance, at, 1_340);
 
@@ -118,7 +120,7 @@
     instance.packet(middle(other, at, 1101, 700, 0), 260);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.opened(flow(90, REQUEST), 1_100);
+    instance.establish(flow(90, REQUEST), 1_100);
     silent(&mut instance, at, 1_330);
     assert!(instance.out.resets.is_empty());
 
@@ -138,10 +140,10 @@
 fn without_knowing_how_long_answers_take_it_waits_longer() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 100);
     instance.packet(middle(key, at, 1001, 500, 100), 300);
-    instance.opened(flow(90, REQUEST), 400);
+    instance.establish(flow(90, REQUEST), 400);
 
     silent(&mut instance, at, 600);
 
@@ -157,8 +159,8 @@
 fn a_silent_target_whose_entry_went_is_lost() {
     let (mut instance, feed, at) = two();
     let name = instance.forwarder.catalog().entry(at).expect("known").target.name.clone();
-    instance.learn(one(200, Content::Removed(name)), 1_000);
-    instance.opened(flow(90, REQUEST), 1_100);
+    instance.learn(incremental(200, Content::Removed(name)), 1_000);
+    instance.establish(flow(90, REQUEST), 1_100);
 
     silent(&mut instance, at, 1_300);
 
@@ -170,7 +172,7 @@
 fn when_all_are_full_callers_are_refused_at_once() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let feed = flow(1, FEED);
-    let at = instance.opened(feed, 0);
+    let at = instance.establish(feed, 0);
     let opening = flow(2, REQUEST);
     instance.open(opening, 1_000);
     instance.tick(1_030);
@@ -190,12 +192,12 @@
     let (mut instance, _, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_330), &mut instance.out);
-    instance.out.asked.clear();
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_330), &mut instance.out);
+    instance.out.probed.clear();
     instance.tick(1_830);
-    assert!(instance.out.asked.contains(&at), "it is asked again after 500 ms");
+    assert!(instance.out.probed.contains(&at), "it is asked again after 500 ms");
 
-    instance.forwarder.answer(at, Finding::Answers, millis(1_835), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Answers, millis(1_835), &mut instance.out);
     let trial = open_at(&mut instance, at, 100..120, 1_840);
     for number in 120..140 {
         assert_ne!(instance.open(flow(number, FEED), 1_845), at, "one at a time");
@@ -208,11 +210,11 @@
         instance.forwarder.catalog().entry(at).map(|it| it.target.name.clone())
     );
     assert_eq!(usage(&instance, at, 1_871), TargetUse::Full);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
     instance.tick(2_900);
-    assert!(!instance.out.asked.contains(&at), "the pause has doubled");
+    assert!(!instance.out.probed.contains(&at), "the pause has doubled");
     instance.tick(2_931);
-    assert!(instance.out.asked.contains(&at));
+    assert!(instance.out.probed.contains(&at));
 }
 
 /// Guards against a place that stays empty until the next question.
@@ -221,7 +223,7 @@
     let (mut instance, feed, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_033), &mut instance.out);
 
     let mut end = middle(feed, at, 1001, 500, 0);
     end.kind = Kind::Close;
@@ -242,7 +244,7 @@
     instance.packet(middle(request, at, 1001, 500, 100), 508);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_033), &mut instance.out);
     let mut end = middle(request, at, 1101, 700, 0);
     end.kind = Kind::Close;
     instance.packet(end, 1_100);
@@ -258,8 +260,8 @@
     let (mut instance, _, at) = two();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_330), &mut instance.out);
-    instance.forwarder.answer(at, Finding::Answers, millis(1_835), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_330), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Answers, millis(1_835), &mut instance.out);
 
     for round in 0..8 {
         assert_eq!(usage(&instance, at, 1_840), TargetUse::Full);
@@ -279,16 +281,16 @@
     let mut instance = Instance::new(&[target(1, "desk")]);
     let it = target(1, "desk");
     let at = it.incarnation;
-    instance.forwarder.answer(at, Finding::Gone, millis(1_000), &mut instance.out);
-    instance.learn(one(200, Content::Removed(it.name.clone())), 1_100);
+    instance.forwarder.answer(at, ProbeResult::Gone, millis(1_000), &mut instance.out);
+    instance.learn(incremental(200, Content::Removed(it.name.clone())), 1_100);
     instance.tick(3_000);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
 
-    instance.learn(one(201, Content::Target(it)), 4_000);
+    instance.learn(incremental(201, Content::Target(it)), 4_000);
     instance.tick(4_500);
 
-    assert_eq!(instance.out.asked, [at]);
-    instance.forwarder.answer(at, Finding::Answers, millis(4_510), &mut instance.out);
+    assert_eq!(instance.out.probed, [at]);
+    instance.forwarder.answer(at, ProbeResult::Answers, millis(4_510), &mut instance.out);
     assert_eq!(instance.open(flow(5, FEED), 4_520), at);
 }
 
@@ -298,13 +300,13 @@
     let it = target(1, "desk");
     let at = it.incarnation;
     let mut instances: Vec<Instance> =
-        (0..160).map(|seed| Instance::seeded(std::slice::from_ref(&it), seed)).collect();
+        (0..160).map(|seed| Instance::with_seed(std::slice::from_ref(&it), seed)).collect();
     for instance in &mut instances {
-        instance.forwarder.answer(at, Finding::Gone, millis(1_000), &mut instance.out);
-        instance.learn(one(200, Content::Removed(it.name.clone())), 1_100);
+        instance.forwarder.answer(at, ProbeResult::Gone, millis(1_000), &mut instance.out);
+        instance.learn(incremental(200, Content::Removed(it.name.clone())), 1_100);
         instance.tick(3_000);
-        instance.out.asked.clear();
-        instance.learn(one(201, Content::Target(it.clone())), 4_000);
+        instance.out.probed.clear();
+        instance.learn(incremental(201, Content::Target(it.clone())), 4_000);
     }
 
     let mut most = 0;
@@ -312,7 +314,7 @@
         let mut asked = 0;
         for instance in &mut instances {
             instance.tick(now);
-            asked += instance.out.asked.drain(..).count();
+            asked += instance.out.probed.drain(..).count();
         }
         most = most.max(asked);
     }
@@ -334,10 +336,10 @@
     instance.open(flow(50, REQUEST), 5_000);
     instance.tick(5_070);
 
-    assert!(instance.out.asked.is_empty());
+    assert!(instance.out.probed.is_empty());
     assert_eq!(instance.out.sent.len(), 1);
     instance.tick(5_150);
-    assert_eq!(instance.out.asked.len(), 1, "not for ever");
+    assert_eq!(instance.out.probed.len(), 1, "not for ever");
 }
 
 /// Guards against a wait for a silent target where it has said that it has no room.
@@ -347,10 +349,10 @@
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
 
-    instance.forwarder.answer(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_033), &mut instance.out);
 
     assert_eq!(usage(&instance, at, 1_034), TargetUse::Full);
-    assert_ne!(instance.last(), at, "what was being opened went elsewhere");
+    assert_ne!(instance.last_target(), at, "what was being opened went elsewhere");
     assert!(instance.out.resets.is_empty());
 }
 
@@ -361,7 +363,7 @@
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
 
-    instance.forwarder.answer(at, Finding::Declines, millis(1_210), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_210), &mut instance.out);
 
     assert_eq!(usage(&instance, at, 1_600), TargetUse::Good);
 }
@@ -372,14 +374,14 @@
     let (mut instance, feed, at) = two();
     let mut leaving = instance.forwarder.catalog().entry(at).expect("known").target.clone();
     leaving.leaving = true;
-    instance.learn(one(200, Content::Target(leaving)), 500);
+    instance.learn(incremental(200, Content::Target(leaving)), 500);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
 
-    instance.forwarder.answer(at, Finding::Gone, millis(1_020), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Gone, millis(1_020), &mut instance.out);
 
     assert!(instance.out.resets.is_empty());
     instance.packet(middle(feed, at, 1101, 700, 0), 1_060);
-    assert_eq!(instance.last(), at);
+    assert_eq!(instance.last_target(), at);
 }
 
 /// It answers questions, which take one connection for a moment, and no openings.
@@ -389,11 +391,11 @@
     let first = open_at(&mut instance, at, 200..230, 1_000);
     let second = open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Answers, millis(1_032), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Answers, millis(1_032), &mut instance.out);
     for it in [target(1, "desk"), target(2, "desk")] {
         instance.forwarder.answer(
             it.incarnation,
-            Finding::Answers,
+            ProbeResult::Answers,
             millis(1_033),
             &mut instance.out,
         );
@@ -416,7 +418,7 @@
     let first = open_at(&mut instance, at, 200..230, 1_000);
     open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Answers, millis(1_032), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Answers, millis(1_032), &mut instance.out);
 
     for now in (1_040..1_400).step_by(10) {
         instance.tick(now);
@@ -445,7 +447,7 @@
     instance.open(flow(50, REQUEST), 9_000);
     instance.tick(9_030);
 
-    assert_eq!(instance.out.asked.len(), 1);
+    assert_eq!(instance.out.probed.len(), 1);
 }
 
 /// Guards against targets of a large site that look full by openings added up over a day.
@@ -456,7 +458,7 @@
         let key = open_at(instance, at, numbers, now);
         instance.tick(now + 30);
         for it in [target(1, "desk"), target(2, "desk")] {
-            let answers = Finding::Answers;
+            let answers = ProbeResult::Answers;
             instance.forwarder.answer(it.incarnation, answers, millis(now + 33), &mut instance.out);
         }
         let other = open_other(instance, at, 400..900, now + 40);
@@ -479,18 +481,23 @@
     instance.forwarder.set_near(instances);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.answer(at, Finding::Declines, millis(1_031), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Declines, millis(1_031), &mut instance.out);
     for now in (1_340..60_000).step_by(20) {
         if now == 30_000 {
-            instance.out.asked.clear();
+            instance.out.probed.clear();
         }
-        let before = instance.out.asked.len();
+        let before = instance.out.probed.len();
         instance.tick(now);
-        if instance.out.asked.len() > before {
-            instance.forwarder.answer(at, Finding::Declines, millis(now + 1), &mut instance.out);
+        if instance.out.probed.len() > before {
+            instance.forwarder.answer(
+                at,
+                ProbeResult::Declines,
+                millis(now + 1),
+                &mut instance.out,
+            );
         }
     }
-    instance.out.asked.len()
+    instance.out.probed.len()
 }
 
 /// Guards against a full target whose last places go to the questions of hundreds of instances.
--- a/marked/tests/test_health.rs
+++ b/marked/tests/test_health.rs
@@ -1,14 +1,14 @@
 //! When a target is asked and when it counts as lost.
 
 use super::fixtures::millis;
-use medlarspur_marked::{Finding, Health};
+use medlarspur_marked::{Health, ProbeResult};
 
 #[test]
 fn a_packet_without_answer_asks_once() {
     let mut health = Health::new(millis(0));
 
-    assert!(health.doubt(millis(100), millis(130)));
-    assert!(!health.doubt(millis(120), millis(150)));
+    assert!(health.suspect(millis(100), millis(130)));
+    assert!(!health.suspect(millis(120), millis(150)));
     assert!(!health.is_lost());
 }
 
@@ -17,17 +17,17 @@
 #[test]
 fn a_target_that_answers_others_is_not_asked() {
     let mut health = Health::new(millis(0));
-    health.see_life(millis(120));
+    health.record_alive(millis(120));
 
-    assert!(!health.doubt(millis(100), millis(130)));
+    assert!(!health.suspect(millis(100), millis(130)));
 }
 
 #[test]
 fn a_target_that_answers_is_not_lost() {
     let mut health = Health::new(millis(0));
-    health.doubt(millis(100), millis(130));
+    health.suspect(millis(100), millis(130));
 
-    health.find(Finding::Answers, millis(140));
+    health.record_probe_result(ProbeResult::Answers, millis(140));
 
     assert!(!health.is_lost());
 }
@@ -40,15 +40,15 @@
     let mut now = millis(100);
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        health.find(Finding::Silent, now);
-        let retry = health.retry().expect("it is lost");
+        health.record_probe_result(ProbeResult::Silent, now);
+        let retry = health.next_probe().expect("it is lost");
         pauses.push(retry.since(now).0);
         now = retry;
     }
 
     assert_eq!(pauses, [500, 1000, 2000, 2000, 2000]);
     assert_eq!(health.lost_since(), Some(millis(100)));
-    health.find(Finding::Answers, now);
+    health.record_probe_result(ProbeResult::Answers, now);
     assert!(!health.is_lost());
-    assert_eq!(health.retry(), None);
+    assert_eq!(health.next_probe(), None);
 }
--- a/marked/tests/test_mark.rs
+++ b/marked/tests/test_mark.rs
@@ -49,7 +49,7 @@
 fn a_mark_copied_to_another_flow_leads_nowhere() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
     let feed = flow(40_001, FEED);
-    let desk = instance.opened(feed, 0);
+    let desk = instance.establish(feed, 0);
     instance.out.sent.clear();
 
     let upload = flow(40_002, UPLOAD);
@@ -67,10 +67,11 @@
 fn a_mark_does_not_lead_to_the_next_user_of_an_address() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let feed = flow(40_001, FEED);
-    let first = instance.opened(feed, 0);
+    let first = instance.establish(feed, 0);
     let mut next = target(9, "ingest");
     next.address = target(1, "desk").address;
-    let listed = super::fixtures::one(200, medlarspur_marked::Content::Target(next.clone()));
+    let listed =
+        super::fixtures::incremental(200, medlarspur_marked::Content::Target(next.clone()));
     instance.learn(listed, 100);
     instance.out.sent.clear();
 
@@ -90,8 +91,8 @@
 
     for number in 0..500 {
         let key = flow(10_000 + number, FEED);
-        let opened = first.opened(key, u64::from(number));
+        let opened = first.establish(key, u64::from(number));
         second.packet(middle(key, opened, 1001, 500, 10), 5000);
-        assert_eq!(second.last(), opened);
+        assert_eq!(second.last_target(), opened);
     }
 }
--- a/marked/tests/test_openings.rs
+++ b/marked/tests/test_openings.rs
@@ -1,7 +1,7 @@
 //! Where opening packets go, and what happens when nothing answers them.
 
-use super::fixtures::{FEED, Instance, REQUEST, flow, middle, name, one, segment, target};
-use medlarspur_marked::{Content, Finding, Incarnation, Kind, Refusal};
+use super::fixtures::{FEED, Instance, REQUEST, flow, incremental, middle, name, segment, target};
+use medlarspur_marked::{Content, Incarnation, Kind, ProbeResult, Refusal};
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
 #[test]
@@ -48,18 +48,18 @@
 fn a_leaving_target_gets_nothing_new_and_keeps_its_flows() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let old = flow(1, FEED);
-    let first = instance.opened(old, 0);
+    let first = instance.establish(old, 0);
     let mut leaving = target(1, "desk");
     leaving.leaving = true;
-    instance.learn(one(200, Content::Target(leaving)), 100);
-    instance.learn(one(201, Content::Target(target(2, "desk"))), 100);
+    instance.learn(incremental(200, Content::Target(leaving)), 100);
+    instance.learn(incremental(201, Content::Target(target(2, "desk"))), 100);
 
     for number in 10..40 {
         assert_ne!(instance.open(flow(number, FEED), 200), first);
     }
     instance.packet(middle(old, first, 1001, 500, 100), 300);
 
-    assert_eq!(instance.last(), first);
+    assert_eq!(instance.last_target(), first);
 }
 
 /// The packet or its answer is lost on the way. Callers repeat an opening only
@@ -74,14 +74,14 @@
     instance.tick(due.0);
 
     assert_eq!(instance.out.sent.len(), 2);
-    assert_eq!(instance.out.asked.len(), 1);
+    assert_eq!(instance.out.probed.len(), 1);
 }
 
 #[test]
 fn an_answered_opening_leaves_nothing_due() {
     let mut instance = Instance::new(&[target(1, "desk")]);
 
-    instance.opened(flow(1, REQUEST), 0);
+    instance.establish(flow(1, REQUEST), 0);
 
     assert_eq!(instance.forwarder.deadline(), None);
 }
@@ -96,7 +96,7 @@
     let (mut open, mut opening) = (Vec::new(), Vec::new());
     for number in 0..20 {
         let key = flow(number, FEED);
-        open.push((key, instance.opened(key, 0)));
+        open.push((key, instance.establish(key, 0)));
     }
     for number in 20..40 {
         let key = flow(number, REQUEST);
@@ -105,7 +105,12 @@
     let dead = open[0].1;
     instance.out.sent.clear();
 
-    instance.forwarder.answer(dead, Finding::Gone, super::fixtures::millis(100), &mut instance.out);
+    instance.forwarder.answer(
+        dead,
+        ProbeResult::Gone,
+        super::fixtures::millis(100),
+        &mut instance.out,
+    );
 
     let expected = open.iter().filter(|(_, at)| *at == dead).count();
     assert_eq!(instance.out.resets.len(), expected);
@@ -120,10 +125,15 @@
 fn a_reset_carries_the_number_that_the_caller_expects() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 7777, 100), 20);
 
-    instance.forwarder.answer(at, Finding::Gone, super::fixtures::millis(100), &mut instance.out);
+    instance.forwarder.answer(
+        at,
+        ProbeResult::Gone,
+        super::fixtures::millis(100),
+        &mut instance.out,
+    );
 
     assert_eq!(instance.out.resets, [(key, 7777, Refusal::TargetLost)]);
 }
@@ -137,14 +147,14 @@
     let answer = |instance: &mut Instance, finding, now| {
         instance.forwarder.answer(only, finding, super::fixtures::millis(now), &mut instance.out);
     };
-    answer(&mut instance, Finding::Silent, 100);
+    answer(&mut instance, ProbeResult::Silent, 100);
     instance.packet(segment(flow(1, FEED), Kind::Open), 150);
     assert_eq!(instance.out.resets.len(), 1);
 
     let due = instance.forwarder.deadline().expect("asking again is due").0;
     instance.tick(due);
-    assert_eq!(instance.out.asked, [only]);
-    answer(&mut instance, Finding::Answers, due + 3);
+    assert_eq!(instance.out.probed, [only]);
+    answer(&mut instance, ProbeResult::Answers, due + 3);
 
     assert_eq!(instance.open(flow(2, FEED), due + 10), only);
 }
@@ -155,11 +165,11 @@
 fn a_target_whose_entry_lapsed_is_used_while_it_answers() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let only = target(1, "desk").incarnation;
-    instance.learn(one(200, Content::Removed(name(1))), 1000);
-    assert_eq!(instance.out.asked, [only]);
+    instance.learn(incremental(200, Content::Removed(name(1))), 1000);
+    assert_eq!(instance.out.probed, [only]);
     instance.forwarder.answer(
         only,
-        Finding::Answers,
+        ProbeResult::Answers,
         super::fixtures::millis(1010),
         &mut instance.out,
     );
@@ -176,7 +186,7 @@
     let mut instance = Instance::new(&targets);
     let mut counts = BTreeMap::new();
     for number in 0..count {
-        *counts.entry(instance.opened(flow(number, service), 0)).or_default() += 1;
+        *counts.entry(instance.establish(flow(number, service), 0)).or_default() += 1;
     }
     counts
 }
@@ -188,7 +198,7 @@
     let mut counts = BTreeMap::<Incarnation, u32>::new();
     for number in 0..140 {
         let key = flow(number, REQUEST);
-        let at = instance.opened(key, 0);
+        let at = instance.establish(key, 0);
         instance.packet(middle(key, at, 1001, 500, 100), 6);
         *counts.entry(at).or_default() += 1;
     }
@@ -218,11 +228,11 @@
 fn flows_that_ended_without_a_word_are_forgotten() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, REQUEST);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 10);
     instance.open(flow(2, FEED), 20);
 
-    instance.opened(flow(3, FEED), 20_000);
+    instance.establish(flow(3, FEED), 20_000);
 
     assert_eq!(instance.forwarder.len(), 1);
 }
@@ -245,14 +255,14 @@
 fn a_target_that_is_gone_casts_no_doubt_on_its_neighbours() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     for number in 0..10 {
-        instance.opened(flow(number, FEED), 0);
+        instance.establish(flow(number, FEED), 0);
     }
     let now = super::fixtures::millis(1_000);
     let gone = target(1, "desk").incarnation;
 
-    instance.forwarder.answer(gone, Finding::Gone, now, &mut instance.out);
+    instance.forwarder.answer(gone, ProbeResult::Gone, now, &mut instance.out);
 
-    assert!(instance.out.asked.is_empty());
+    assert!(instance.out.probed.is_empty());
 }
 
 /// While a target is asked, it answers other flows. What asking brings is then
@@ -262,14 +272,14 @@
 fn a_target_that_answered_others_while_it_was_asked_is_not_lost() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 1_000);
     instance.packet(middle(key, at, 1001, 500, 100), 1_200);
-    assert_eq!(instance.out.asked, [at]);
+    assert_eq!(instance.out.probed, [at]);
     instance.packet(middle(key, at, 1101, 2500, 0), 1_250);
 
     let now = super::fixtures::millis(1_320);
-    instance.forwarder.answer(at, Finding::Silent, now, &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Silent, now, &mut instance.out);
 
     assert!(instance.out.resets.is_empty());
     assert_eq!(instance.open(flow(2, FEED), 1_330), at);
@@ -282,11 +292,11 @@
     let targets: Vec<_> = (1..=10).map(|number| target(number, "desk")).collect();
     let placed = || {
         let mut instance = Instance::new(&targets);
-        instance.hear_answers(FEED, 73, 50);
-        instance.hear_answers(REQUEST, 60, 40);
-        let feeds = (0..28).map(|number| instance.opened(flow(number, FEED), 1_000));
+        instance.record_answers(FEED, 73, 50);
+        instance.record_answers(REQUEST, 60, 40);
+        let feeds = (0..28).map(|number| instance.establish(flow(number, FEED), 1_000));
         let feeds: std::collections::BTreeSet<Incarnation> = feeds.collect();
-        let requests = (100..108).map(|number| instance.opened(flow(number, REQUEST), 1_000));
+        let requests = (100..108).map(|number| instance.establish(flow(number, REQUEST), 1_000));
         (feeds.clone(), requests.filter(|it| !feeds.contains(it)).count())
     };
 
@@ -304,12 +314,17 @@
 fn a_moved_opening_is_looked_at_anew() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let first = instance.open(flow(1, REQUEST), 0);
-    instance.forwarder.answer(first, Finding::Gone, super::fixtures::millis(25), &mut instance.out);
+    instance.forwarder.answer(
+        first,
+        ProbeResult::Gone,
+        super::fixtures::millis(25),
+        &mut instance.out,
+    );
     instance.out.sent.clear();
-    instance.out.asked.clear();
+    instance.out.probed.clear();
 
     instance.tick(35);
-    assert!(instance.out.sent.is_empty() && instance.out.asked.is_empty());
+    assert!(instance.out.sent.is_empty() && instance.out.probed.is_empty());
     instance.tick(60);
 
     assert_eq!(instance.out.sent.len(), 1, "it is sent again in its own time");
--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -1,8 +1,8 @@
 //! What holds whatever comes.
 
-use super::fixtures::{FEED, Instance, REQUEST, UPLOAD, flow, one, target};
+use super::fixtures::{FEED, Instance, REQUEST, UPLOAD, flow, incremental, target};
 use medlarspur_lib::collections::Map;
-use medlarspur_marked::{Content, Finding, FlowKey, Incarnation, Kind, Mark, Segment};
+use medlarspur_marked::{Content, FlowKey, Incarnation, Kind, Mark, ProbeResult, Segment};
 use proptest::{collection::vec, prelude::*};
 
 /// How far the numbers of two packets of a flow are from each other at most: both ends have
@@ -99,13 +99,13 @@
                 Step::Listed { target, leaving } => {
                     let mut entry = of(target);
                     entry.leaving = leaving;
-                    instance.learn(one(revision, Content::Target(entry)), now);
+                    instance.learn(incremental(revision, Content::Target(entry)), now);
                 }
                 Step::Removed { target } => {
-                    instance.learn(one(revision, Content::Removed(of(target).name)), now);
+                    instance.learn(incremental(revision, Content::Removed(of(target).name)), now);
                 }
                 Step::Found { target, finding } => {
-                    let findings = [Finding::Answers, Finding::Gone, Finding::Silent];
+                    let findings = [ProbeResult::Answers, ProbeResult::Gone, ProbeResult::Silent];
                     let (at, finding) = (of(target).incarnation, findings[usize::from(finding)]);
                     let time = super::fixtures::millis(now);
                     instance.forwarder.answer(at, finding, time, &mut instance.out);
--- a/marked/tests/test_regions.rs
+++ b/marked/tests/test_regions.rs
@@ -1,13 +1,13 @@
 //! Routes whose requests must stay in some regions.
 
 use super::fixtures::{
-    FEED, Instance, REQUEST, config, flow, middle, millis, one, segment, target,
+    FEED, Instance, REQUEST, config, flow, incremental, middle, millis, segment, target,
 };
 use medlarspur_lib::{
     ids::{DomainName, RegionName},
     status::TargetUse,
 };
-use medlarspur_marked::{Config, Content, Finding, Incarnation, Kind, Refusal, Target};
+use medlarspur_marked::{Config, Content, Incarnation, Kind, ProbeResult, Refusal, Target};
 
 /// A target in a domain; `north` and `centre` are in `here`, `south` is in `there`.
 fn in_domain(number: u64, domain: &str) -> Target {
@@ -26,7 +26,7 @@
 fn three(region: &str) -> (Instance, [Incarnation; 3]) {
     let targets = [in_domain(1, "north"), in_domain(2, "centre"), in_domain(3, "south")];
     let mut instance = Instance::new(&targets);
-    instance.learn(one(101, Content::Config(bound(2, region))), 0);
+    instance.learn(incremental(101, Content::Config(bound(2, region))), 0);
     (instance, targets.map(|it| it.incarnation))
 }
 
@@ -71,7 +71,7 @@
 fn a_domain_of_unknown_region_is_in_none() {
     let (mut instance, _) = three("here");
     let unknown = in_domain(4, "new");
-    instance.learn(one(102, Content::Target(unknown.clone())), 5);
+    instance.learn(incremental(102, Content::Target(unknown.clone())), 5);
 
     let targets = opened(&mut instance, 60, 10);
 
@@ -85,7 +85,7 @@
     opened(&mut instance, 20, 10);
     instance.out.sent.clear();
 
-    instance.forwarder.answer(north, Finding::Gone, millis(40), &mut instance.out);
+    instance.forwarder.answer(north, ProbeResult::Gone, millis(40), &mut instance.out);
 
     assert!(!instance.out.sent.is_empty());
     assert!(instance.out.sent.iter().all(|(to, ..)| *to != south));
@@ -98,10 +98,10 @@
     let key = flow(1, REQUEST);
     assert_eq!(instance.open(key, 10), south);
 
-    instance.learn(one(102, Content::Config(bound(3, "here"))), 20);
+    instance.learn(incremental(102, Content::Config(bound(3, "here"))), 20);
     instance.packet(segment(key, Kind::Open), 210);
 
-    assert_ne!(instance.last(), south);
+    assert_ne!(instance.last_target(), south);
 }
 
 /// A flow that is open stays where it is: to end it would break it.
@@ -109,12 +109,12 @@
 fn open_flows_stay_where_they_are_when_their_route_is_bound() {
     let (mut instance, [.., south]) = three("there");
     let key = flow(1, REQUEST);
-    instance.opened(key, 10);
+    instance.establish(key, 10);
 
-    instance.learn(one(102, Content::Config(bound(3, "here"))), 20);
+    instance.learn(incremental(102, Content::Config(bound(3, "here"))), 20);
     instance.packet(middle(key, south, 1001, 500, 100), 30);
 
-    assert_eq!(instance.last(), south);
+    assert_eq!(instance.last_target(), south);
     assert!(instance.out.resets.is_empty());
 }
 
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -1,8 +1,10 @@
 //! Targets that start again under the name that they had.
 
-use super::fixtures::{FEED, Instance, flow, middle, millis, name, one, segment, started, target};
+use super::fixtures::{
+    FEED, Instance, flow, incremental, middle, millis, name, segment, started, target,
+};
 use medlarspur_marked::{
-    Catalog, Content, EntryState, Finding, Incarnation, Kind, Note, Presence, Refusal, Revision,
+    Catalog, Content, EntryState, Incarnation, Kind, Note, Presence, ProbeResult, Refusal, Revision,
 };
 
 const FIRST: u64 = 1_700_000_000_000;
@@ -29,13 +31,13 @@
 fn flows_that_were_opened_by_the_earlier_entry_go_on() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 100);
+    let at = instance.establish(key, 100);
 
-    instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 2_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 2_000);
     instance.packet(middle(key, at, 1001, 500, 100), 2_100);
 
     assert!(instance.out.resets.is_empty());
-    assert_eq!(instance.last(), incarnation(FIRST), "its mark stays what it was");
+    assert_eq!(instance.last_target(), incarnation(FIRST), "its mark stays what it was");
     assert_eq!(instance.open(flow(2, FEED), 2_200), incarnation(SECOND));
 }
 
@@ -45,11 +47,11 @@
 #[test]
 fn a_late_entry_of_the_earlier_start_changes_nothing() {
     let mut instance = two();
-    instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
     let mut late = started(1, "desk", FIRST);
     late.leaving = true;
 
-    instance.learn(one(201, Content::Target(late)), 1_100);
+    instance.learn(incremental(201, Content::Target(late)), 1_100);
 
     assert_eq!(presence(instance.forwarder.catalog(), SECOND), Presence::Listed);
     let opened = (10..20).map(|number| instance.open(flow(number, FEED), 1_200));
@@ -60,11 +62,11 @@
 #[test]
 fn a_target_that_comes_back_after_its_entry_lapsed_is_used() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
-    instance.learn(one(200, Content::Removed(name(1))), 1_000);
+    instance.learn(incremental(200, Content::Removed(name(1))), 1_000);
     instance.packet(segment(flow(1, FEED), Kind::Open), 1_100);
     assert_eq!(instance.out.resets.len(), 1);
 
-    instance.learn(one(201, Content::Target(started(1, "desk", SECOND))), 2_000);
+    instance.learn(incremental(201, Content::Target(started(1, "desk", SECOND))), 2_000);
 
     assert_eq!(instance.open(flow(2, FEED), 2_100), incarnation(SECOND));
     assert!(matches!(presence(instance.forwarder.catalog(), FIRST), Presence::Replaced(_)));
@@ -75,9 +77,9 @@
 #[test]
 fn of_two_starts_within_a_heartbeat_the_later_one_counts() {
     let mut instance = two();
-    instance.learn(one(202, Content::Target(started(1, "desk", THIRD))), 1_000);
+    instance.learn(incremental(202, Content::Target(started(1, "desk", THIRD))), 1_000);
 
-    instance.learn(one(201, Content::Target(started(1, "desk", SECOND))), 1_010);
+    instance.learn(incremental(201, Content::Target(started(1, "desk", SECOND))), 1_010);
 
     assert_eq!(presence(instance.forwarder.catalog(), THIRD), Presence::Listed);
     assert!(instance.forwarder.catalog().entry(incarnation(SECOND)).is_none());
@@ -90,7 +92,7 @@
     leaving.leaving = true;
     let mut instance = Instance::new(&[leaving]);
 
-    instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
 
     assert_eq!(instance.open(flow(1, FEED), 1_100), incarnation(SECOND));
 }
@@ -100,9 +102,14 @@
 #[test]
 fn what_was_believed_of_the_earlier_start_is_not_held_against_the_later_one() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
-    instance.forwarder.answer(incarnation(FIRST), Finding::Gone, millis(500), &mut instance.out);
+    instance.forwarder.answer(
+        incarnation(FIRST),
+        ProbeResult::Gone,
+        millis(500),
+        &mut instance.out,
+    );
 
-    instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
 
     assert_eq!(instance.open(flow(1, FEED), 1_010), incarnation(SECOND));
 }
@@ -112,13 +119,13 @@
 #[test]
 fn what_asking_the_earlier_start_brought_says_nothing_of_the_later_one() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
-    instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 1_010);
+    let at = instance.establish(key, 1_010);
 
     instance.forwarder.answer(
         incarnation(FIRST),
-        Finding::Silent,
+        ProbeResult::Silent,
         millis(1_100),
         &mut instance.out,
     );
@@ -134,16 +141,16 @@
 fn at_another_address_the_earlier_start_is_asked() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 100);
+    let at = instance.establish(key, 100);
     let mut moved = started(1, "desk", SECOND);
     moved.address.set_port(9_090);
     let mut other = target(3, "ingest");
     other.address = started(1, "desk", FIRST).address;
-    instance.learn(one(199, Content::Target(other.clone())), 1_900);
-    instance.learn(one(200, Content::Target(moved)), 2_000);
-    assert_eq!(instance.out.asked, [incarnation(FIRST)]);
+    instance.learn(incremental(199, Content::Target(other.clone())), 1_900);
+    instance.learn(incremental(200, Content::Target(moved)), 2_000);
+    assert_eq!(instance.out.probed, [incarnation(FIRST)]);
 
-    instance.forwarder.answer(at, Finding::Gone, millis(2_010), &mut instance.out);
+    instance.forwarder.answer(at, ProbeResult::Gone, millis(2_010), &mut instance.out);
 
     assert_eq!(instance.out.resets.len(), 1);
     assert_eq!(instance.open(flow(2, FEED), 2_100), incarnation(SECOND));
@@ -156,29 +163,29 @@
 fn instances_with_different_pictures_send_a_flow_to_the_same_process() {
     let mut ahead = Instance::new(&[started(1, "desk", FIRST)]);
     let mut behind = Instance::new(&[started(1, "desk", FIRST)]);
-    ahead.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
+    ahead.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
     let by_old = flow(1, FEED);
-    let at = behind.opened(by_old, 1_100);
+    let at = behind.establish(by_old, 1_100);
     let by_new = flow(2, FEED);
-    let new = ahead.opened(by_new, 1_100);
+    let new = ahead.establish(by_new, 1_100);
 
     ahead.packet(middle(by_old, at, 1001, 500, 100), 1_200);
     behind.out.sent.clear();
     behind.packet(middle(by_new, new, 1001, 500, 100), 1_200);
 
-    assert_eq!(ahead.last(), at);
+    assert_eq!(ahead.last_target(), at);
     assert!(behind.out.sent.is_empty(), "a mark that is not known yet leads nowhere");
     assert!(behind.out.resets.is_empty());
-    behind.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_300);
+    behind.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_300);
     behind.packet(middle(by_new, new, 1001, 500, 100), 1_400);
-    assert_eq!(behind.last(), incarnation(SECOND));
+    assert_eq!(behind.last_target(), incarnation(SECOND));
 }
 
 #[test]
 fn a_start_again_is_told_with_its_name_and_both_starts() {
     let mut instance = two();
 
-    instance.learn(one(200, Content::Target(started(1, "desk", SECOND))), 1_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
 
     let told = instance.out.notes.iter().filter_map(|note| match note {
         Note::Entry { name: it, start, state, .. } if *it == name(1) => Some((start.0, *state)),
@@ -197,9 +204,9 @@
     let mut clash = target(9, "desk");
     clash.incarnation = incarnation(FIRST);
 
-    instance.learn(one(200, Content::Target(clash)), 1_000);
+    instance.learn(incremental(200, Content::Target(clash)), 1_000);
 
-    assert_eq!(instance.forwarder.catalog().clashes(), 1);
+    assert_eq!(instance.forwarder.catalog().collisions(), 1);
     assert_eq!(presence(instance.forwarder.catalog(), FIRST), Presence::Listed);
 }
 
@@ -209,20 +216,20 @@
 fn an_entry_without_a_start_names_no_target_where_starts_are_known() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
 
-    instance.learn(one(200, Content::Target(started(1, "desk", 0))), 1_000);
+    instance.learn(incremental(200, Content::Target(started(1, "desk", 0))), 1_000);
     instance.packet(segment(flow(1, FEED), Kind::Open), 1_100);
 
     assert!(matches!(presence(instance.forwarder.catalog(), FIRST), Presence::Unusable(_)));
     assert_eq!(instance.out.resets.len(), 1);
-    instance.learn(one(201, Content::Target(started(1, "desk", FIRST))), 2_000);
+    instance.learn(incremental(201, Content::Target(started(1, "desk", FIRST))), 2_000);
     assert_eq!(instance.open(flow(2, FEED), 2_100), incarnation(FIRST));
 }
 
 /// The picture of an instance that knew target 1 until its entry went, as it was `later`.
-fn picture_without_one(later: u64) -> medlarspur_marked::News {
+fn picture_without_one(later: u64) -> medlarspur_marked::Update {
     let mut old = Instance::new(&[target(1, "desk"), target(2, "desk")]);
-    old.learn(one(200, Content::Removed(name(1))), 1_000);
-    old.forwarder.catalog().since(Revision::new(0, 0), millis(1_000 + later))
+    old.learn(incremental(200, Content::Removed(name(1))), 1_000);
+    old.forwarder.catalog().update_since(Revision::new(0, 0), millis(1_000 + later))
 }
 
 /// Guards against feeds that hang since an instance that started later doesn't know their mark.
@@ -234,8 +241,8 @@
 
     started.learn(picture_without_one(500), 0);
     started.packet(middle(key, gone, 1001, 500, 100), 100);
-    assert_eq!((started.last(), &started.out.asked[..]), (gone, &[gone][..]));
-    started.forwarder.answer(gone, Finding::Gone, millis(110), &mut started.out);
+    assert_eq!((started.last_target(), &started.out.probed[..]), (gone, &[gone][..]));
+    started.forwarder.answer(gone, ProbeResult::Gone, millis(110), &mut started.out);
     started.packet(middle(key, gone, 1001, 500, 100), 300);
 
     // At once, and again for what the caller still sends.
@@ -254,7 +261,7 @@
         assert_eq!(started.open(flow(number, FEED), 1_000_010), other);
     }
     assert!(started.forwarder.catalog().entry(gone).is_some());
-    started.learn(one(300, Content::Target(target(3, "desk"))), 1_010_500);
+    started.learn(incremental(300, Content::Target(target(3, "desk"))), 1_010_500);
 
     assert!(started.forwarder.catalog().entry(gone).is_none());
 }
--- a/marked/tests/test_restore.rs
+++ b/marked/tests/test_restore.rs
@@ -4,8 +4,8 @@
 use super::fixtures::{config, millis, name, target};
 use medlarspur_lib::{ids::DomainName, time::Millis};
 use medlarspur_marked::{
-    Catalog, Change, Content, News, Presence, Restored, Revision, Scope, Target,
-    message::encode_news,
+    Catalog, Change, Content, Presence, Restored, Revision, Scope, Target, Update,
+    message::encode_update,
 };
 
 /// The time by which all is written again, and with it what the copy says holds.
@@ -23,13 +23,13 @@
     Content::Target(written(number, writes, false))
 }
 
-fn whole(era: u32, count: u64, changes: Vec<Change>) -> News {
-    News::new(Revision::new(era, count), Scope::All, changes)
+fn whole(era: u32, count: u64, changes: Vec<Change>) -> Update {
+    Update::new(Revision::new(era, count), Scope::Snapshot, changes)
 }
 
-fn event(era: u32, count: u64, content: Content) -> News {
-    let scope = Scope::Since(Revision::new(era, count - 1));
-    News::new(Revision::new(era, count), scope, vec![at(era, count, content)])
+fn event(era: u32, count: u64, content: Content) -> Update {
+    let scope = Scope::Incremental(Revision::new(era, count - 1));
+    Update::new(Revision::new(era, count), scope, vec![at(era, count, content)])
 }
 
 /// One that knows the first era up to revision 50: two targets, and config 1.
@@ -45,7 +45,7 @@
 }
 
 /// What the copy has of that, and some more.
-fn copy(count: u64, more: Vec<Change>) -> News {
+fn copy(count: u64, more: Vec<Change>) -> Update {
     let mut all = vec![at(1, 1, Content::Config(config(1))), at(1, 2, entry(1, 3))];
     all.push(at(1, 3, entry(2, 3)));
     all.extend(more);
@@ -139,8 +139,8 @@
     let mut catalog = knowing(vec![at(0, 50, Content::Removed(name(1)))]);
 
     let leaves = Content::Target(written(2, 4, true));
-    let news = whole(1, 32, vec![at(1, 31, entry(1, 4)), at(1, 32, leaves)]);
-    catalog.merge(news, millis(10));
+    let update = whole(1, 32, vec![at(1, 31, entry(1, 4)), at(1, 32, leaves)]);
+    catalog.merge(update, millis(10));
 
     assert!(is_listed(&catalog, 1));
     assert!(catalog.latest(&name(2)).expect("known").target.leaving);
@@ -161,7 +161,7 @@
     catalog.merge(event(1, 31, Content::Evacuated(south())), millis(1_000));
     catalog.confirm(millis(10) + REWRITTEN);
     assert!(catalog.is_evacuated(&south()));
-    catalog.merge(event(1, 32, Content::Restored(south())), millis(4_000));
+    catalog.merge(event(1, 32, Content::EvacuationEnded(south())), millis(4_000));
     assert!(!catalog.is_evacuated(&south()));
 }
 
@@ -169,7 +169,7 @@
 #[test]
 fn an_evacuation_that_ended_after_the_copy_does_not_hold_again() {
     let mut catalog = knowing(vec![at(0, 50, Content::Evacuated(south()))]);
-    catalog.merge(event(0, 51, Content::Restored(south())), millis(0));
+    catalog.merge(event(0, 51, Content::EvacuationEnded(south())), millis(0));
 
     let of_copy = at(1, 50, Content::Evacuated(south()));
     catalog.merge(copy(50, vec![of_copy]), millis(10));
@@ -249,9 +249,9 @@
 
         reader.merge(whole(1, 10_000, all.collect()), millis(10));
 
-        let told = reader.since(known, millis(20));
-        assert!(matches!(told.scope, Scope::Across { since, .. } if since == known));
-        encode_news(&told).expect("sound").len()
+        let told = reader.update_since(known, millis(20));
+        assert!(matches!(told.scope, Scope::WithDigest { since, .. } if since == known));
+        encode_update(&told).expect("sound").len()
     };
 
     assert!(size(100) < 200);
@@ -267,9 +267,9 @@
     let mut listener = knowing(vec![at(0, 50, entry(3, 1))]);
     reader.merge(copy(30, vec![]), millis(10));
 
-    listener.merge(reader.since(known, millis(20)), millis(20));
+    listener.merge(reader.update_since(known, millis(20)), millis(20));
     assert!(listener.revision().era == 0 && is_listed(&listener, 3));
-    listener.merge(reader.since(listener.basis(), millis(30)), millis(30));
+    listener.merge(reader.update_since(listener.pull_base(), millis(30)), millis(30));
     listener.confirm(millis(30) + REWRITTEN);
 
     assert_eq!((listener.revision().era, is_listed(&listener, 3)), (1, false));
@@ -284,9 +284,9 @@
     reader.merge(copy(30, vec![]), millis(10));
 
     reader.merge(event(1, 31, Content::Config(config(10))), millis(20));
-    fresh.merge(reader.since(fresh.basis(), millis(20)), millis(20));
+    fresh.merge(reader.update_since(fresh.pull_base(), millis(20)), millis(20));
     assert_eq!(fresh.revision(), Revision::new(1, 30));
-    fresh.merge(reader.since(fresh.basis(), millis(30)), millis(30));
+    fresh.merge(reader.update_since(fresh.pull_base(), millis(30)), millis(30));
 
     assert_eq!(fresh.config(), reader.config());
     assert_eq!(fresh.revision(), Revision::new(1, 31));
--- a/marked/tests/test_scale.rs
+++ b/marked/tests/test_scale.rs
@@ -1,6 +1,6 @@
 //! What an instance does for one flow or one piece of news, before few targets and many.
 
-use super::fixtures::{FEED, Instance, REQUEST, change, flow, middle, news, target};
+use super::fixtures::{FEED, Instance, REQUEST, change, flow, middle, target, update};
 use medlarspur_load::warmup::Seat;
 use medlarspur_marked::{Content, Incarnation, Note, Revision, Scope, Target};
 use std::collections::BTreeMap;
@@ -10,11 +10,11 @@
 }
 
 /// News that the entries of all these targets have gone.
-fn removal(targets: &[Target]) -> medlarspur_marked::News {
+fn removal(targets: &[Target]) -> medlarspur_marked::Update {
     let changes = targets.iter().zip(200_000..);
     let changes =
         changes.map(|(it, revision)| change(revision, Content::Removed(it.name.clone()))).collect();
-    news(300_000, Scope::Since(Revision::new(0, 100)), changes)
+    update(300_000, Scope::Incremental(Revision::new(0, 100)), changes)
 }
 
 /// Guards against instances times targets questions when a domain's entries go in one moment.
@@ -24,13 +24,13 @@
         let targets = targets(count);
         let mut instance = Instance::new(&targets);
         let with_flow: Vec<Incarnation> =
-            (0..6).map(|nth| instance.opened(flow(1_000 + nth, FEED), 0)).collect();
-        instance.out.asked.clear();
+            (0..6).map(|nth| instance.establish(flow(1_000 + nth, FEED), 0)).collect();
+        instance.out.probed.clear();
 
         instance.learn(removal(&targets), 1_000);
 
-        assert!(with_flow.iter().all(|it| instance.out.asked.contains(it)), "with {count}");
-        instance.out.asked.len()
+        assert!(with_flow.iter().all(|it| instance.out.probed.contains(it)), "with {count}");
+        instance.out.probed.len()
     };
 
     assert_eq!(asked(1_000), asked(100));
@@ -48,7 +48,7 @@
 
             instance.learn(removal(&targets), 1_000);
 
-            asked.append(&mut instance.out.asked);
+            asked.append(&mut instance.out.probed);
         }
 
         asked.sort_unstable();
@@ -65,13 +65,13 @@
     let mut instance = Instance::new(&targets);
     instance.learn(removal(&targets), 1_000);
     let mut unasked = targets.iter().map(|it| it.incarnation);
-    let unasked = unasked.rfind(|it| !instance.out.asked.contains(it)).expect("one");
-    instance.out.asked.clear();
+    let unasked = unasked.rfind(|it| !instance.out.probed.contains(it)).expect("one");
+    instance.out.probed.clear();
 
     instance.packet(middle(flow(1, FEED), unasked, 1001, 500, 100), 1_100);
     instance.packet(middle(flow(2, FEED), unasked, 1001, 500, 100), 1_100);
 
-    assert_eq!(instance.out.asked, [unasked]);
+    assert_eq!(instance.out.probed, [unasked]);
 }
 
 /// Guards against work for one flow that grows with the targets.
@@ -81,8 +81,8 @@
         let mut instance = Instance::new(&targets(count));
         instance.forwarder.set_seat(Some(Seat { position: instances / 2, count: instances }));
         for nth in 0..6 {
-            instance.opened(flow(1_000 + nth, FEED), 0);
-            instance.opened(flow(2_000 + nth, REQUEST), 0);
+            instance.establish(flow(1_000 + nth, FEED), 0);
+            instance.establish(flow(2_000 + nth, REQUEST), 0);
         }
         let looked = instance.out.notes.iter().filter_map(|note| match note {
             Note::Opened { candidates, .. } => Some(*candidates),
@@ -101,12 +101,12 @@
     let mut feeds: BTreeMap<Incarnation, u32> = BTreeMap::new();
     let mut opened = 0;
     for position in 0..count {
-        let mut instance = Instance::seeded(&targets, u64::from(position) * 77);
+        let mut instance = Instance::with_seed(&targets, u64::from(position) * 77);
         if is_seated {
             instance.forwarder.set_seat(Some(Seat { position, count }));
         }
         for nth in 0..7 {
-            let at = instance.opened(flow(1_000 + nth, FEED), u64::from(nth) * 100);
+            let at = instance.establish(flow(1_000 + nth, FEED), u64::from(nth) * 100);
             *feeds.entry(at).or_default() += 1;
             opened += 1;
         }
@@ -133,7 +133,7 @@
     let mut used: Vec<Incarnation> = Vec::new();
     for nth in 0..8 {
         let key = flow(1_000 + nth, REQUEST);
-        let at = instance.opened(key, 0);
+        let at = instance.establish(key, 0);
         instance.packet(middle(key, at, 1001, 500, 100), 0);
         used.push(at);
     }
--- a/marked/tests/test_seats.rs
+++ b/marked/tests/test_seats.rs
@@ -96,7 +96,7 @@
     /// Some of a domain are killed, and start again.
     Restart(u8, u8),
     Loss(u64),
-    News(u64),
+    Update(u64),
     Unserved(u8),
 }
 
@@ -108,7 +108,7 @@
         domain.clone().prop_map(Event::KillReaders),
         (domain.clone(), 1..10u8).prop_map(|(domain, count)| Event::Restart(domain, count)),
         (0..150u64).prop_map(Event::Loss),
-        (10..40u64).prop_map(Event::News),
+        (10..40u64).prop_map(Event::Update),
         domain.prop_map(Event::Unserved),
     ]
 }
@@ -130,7 +130,7 @@
             (1..=count).for_each(|nth| net.start(address(domain, nth)))
         }
         Event::Loss(loss) => net.loss = loss,
-        Event::News(number) => drop(net.list(number)),
+        Event::Update(number) => drop(net.list(number)),
         Event::Unserved(domain) => net.serve(domain, false),
     }
 }
--- a/marked/tests/test_waiting.rs
+++ b/marked/tests/test_waiting.rs
@@ -1,8 +1,8 @@
 //! New flows that wait while their service has no room.
 
 use super::fixtures::{
-    FEED, Instance, REQUEST, UPLOAD, change, config, flow, middle, millis, news, one, segment,
-    target,
+    FEED, Instance, REQUEST, UPLOAD, change, config, flow, incremental, middle, millis, segment,
+    target, update,
 };
 use medlarspur_lib::{
     ids::DomainName,
@@ -10,7 +10,7 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Content, Finding, FlowKey, Incarnation, Kind, Note, Refusal, Revision, Scope, Target,
+    Content, FlowKey, Incarnation, Kind, Note, ProbeResult, Refusal, Revision, Scope, Target,
 };
 use std::net::SocketAddrV4;
 
@@ -26,11 +26,11 @@
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk"), target(3, "ingest")]);
     let mut config = config(2);
     for route in &mut config.routes {
-        route.goal = Some(Millis(GOAL));
+        route.objective = Some(Millis(GOAL));
     }
-    instance.learn(one(200, Content::Config(config)), 0);
+    instance.learn(incremental(200, Content::Config(config)), 0);
     let targets: Vec<_> =
-        (0..20).map(|number| instance.opened(flow(1 + number, FEED), 0)).collect();
+        (0..20).map(|number| instance.establish(flow(1 + number, FEED), 0)).collect();
     for number in 0..targets.len() {
         let now = 10 + number as u64 * PACE;
         let key = |number: usize| flow(1 + number as u16, FEED);
@@ -52,7 +52,7 @@
         if instance.out.sent.is_empty() {
             return key;
         }
-        let target = instance.last();
+        let target = instance.last_target();
         instance.packet(middle(key, target, 1001, 500, 100), now);
     }
     panic!("nothing waits");
@@ -106,16 +106,16 @@
     let mut instance = busy(140);
     let south = DomainName::new("south");
     let moved = Target { domain: south.clone(), ..target(2, "desk") };
-    instance.learn(one(201, Content::Target(moved.clone())), 450);
+    instance.learn(incremental(201, Content::Target(moved.clone())), 450);
     let held = fill(&mut instance, REQUEST, 500);
 
-    instance.learn(one(202, Content::Evacuated(south)), 510);
+    instance.learn(incremental(202, Content::Evacuated(south)), 510);
     empty(&mut instance, held, 520);
     instance.out.sent.clear();
     instance.tick(530);
 
     assert_eq!(opened(&instance).last(), Some(&held));
-    assert_ne!(instance.last(), moved.incarnation);
+    assert_ne!(instance.last_target(), moved.incarnation);
 }
 
 #[test]
@@ -234,7 +234,7 @@
     let mut without = config(3);
     without.routes.retain(|route| route.address != REQUEST);
     let change = change(300, Content::Config(without));
-    instance.learn(news(300, Scope::Since(Revision::new(0, 200)), vec![change]), 520);
+    instance.learn(update(300, Scope::Incremental(Revision::new(0, 200)), vec![change]), 520);
     instance.out.notes.clear();
 
     empty(&mut instance, held, 560);
@@ -253,7 +253,7 @@
     instance.out.notes.clear();
     instance.tick(1_000);
     assert_eq!(opened(&instance), [held]);
-    let target = instance.last();
+    let target = instance.last_target();
     (instance, target)
 }
 
@@ -266,7 +266,7 @@
     for now in (1_010..1_400).step_by(10) {
         instance.tick(now);
     }
-    instance.forwarder.answer(target, Finding::Answers, millis(1_400), &mut instance.out);
+    instance.forwarder.answer(target, ProbeResult::Answers, millis(1_400), &mut instance.out);
 
     assert_eq!(instance.forwarder.counts().filled, 0);
     assert_eq!(instance.forwarder.counts().moved, 0);
@@ -277,11 +277,11 @@
 #[test]
 fn a_silent_target_is_asked_though_all_openings_have_waited() {
     let (mut instance, target) = opened_for_nobody();
-    instance.out.asked.clear();
+    instance.out.probed.clear();
 
     instance.tick(1_100);
 
-    assert_eq!(instance.out.asked, [target]);
+    assert_eq!(instance.out.probed, [target]);
 }
 
 /// The same with a target that is full and ends the connection by which it is asked.
@@ -290,7 +290,7 @@
     let (mut instance, target) = opened_for_nobody();
 
     instance.tick(1_100);
-    instance.forwarder.answer(target, Finding::Declines, millis(1_105), &mut instance.out);
+    instance.forwarder.answer(target, ProbeResult::Declines, millis(1_105), &mut instance.out);
 
     assert_eq!(instance.forwarder.count_full(), 1);
 }
@@ -305,7 +305,7 @@
         instance.packet(middle(key, target, 1101, 700, 0), 1_200);
     }
 
-    instance.forwarder.answer(target, Finding::Silent, millis(1_400), &mut instance.out);
+    instance.forwarder.answer(target, ProbeResult::Silent, millis(1_400), &mut instance.out);
 
     assert_eq!(instance.forwarder.count_full(), 1);
 }
@@ -362,7 +362,7 @@
     let held = fill(&mut instance, REQUEST, 500);
     let mut leaving = target(2, "desk");
     leaving.leaving = true;
-    instance.learn(one(201, Content::Target(leaving)), 510);
+    instance.learn(incremental(201, Content::Target(leaving)), 510);
     let reason = |key| instance.forwarder.explain(&key, None, millis(520)).reason;
 
     assert_eq!(reason(held), MarkedReason::Waiting);
