--- a/marked/src/catalog/restore.rs
+++ b/marked/src/catalog/restore.rs
@@ -2,7 +2,7 @@
 //! the copy lacks has been written again; the options are in `docs/design/eras.md`.
 
 use super::Catalog;
-use crate::{Change, Content, Revision, Target, news::Subject};
+use crate::{Change, Content, Revision, Target, update::Subject};
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 
 /// How long operators and targets have to write again what a copy lacks: they do within some
--- a/marked/src/fleet/presence.rs
+++ b/marked/src/fleet/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Heartbeats: who is there, and who tells whom of it.
 
-use super::{Fleet, Peer, lack::NEWS_DELAY, readers::READERS};
+use super::{Fleet, Peer, pull::NEWS_DELAY, readers::READERS};
 use crate::{
     Revision,
     message::{DomainId, Heartbeat, Message, Role},
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -18,8 +18,8 @@
 //! All beliefs are local. Two parts of a domain that are cut off from each other
 //! each have their own readers, and what they know merges by revision.
 
-mod lack;
-mod presence;
+mod heartbeats;
+mod pull;
 mod readers;
 mod seats;
 mod spread;
@@ -28,10 +28,10 @@
     Catalog, Revision, Update,
     message::{DomainId, Message, Role, encode},
 };
-use lack::Lacking;
+use heartbeats::Purpose;
 use medlarspur_lib::{collections::Map, ids::DomainName, time::Millis};
 use medlarspur_load::random::Random;
-use presence::Purpose;
+use pull::Lacking;
 use readers::START_PAUSE;
 use seats::ToldSeat;
 use std::{hash::Hasher, net::SocketAddrV4};
--- a/marked/src/fleet/spread.rs
+++ b/marked/src/fleet/spread.rs
@@ -1,6 +1,6 @@
 //! Passing news on through a failure domain, as a tree.
 
-use super::{Fleet, lack::NEWS_DELAY, presence::MAX_PEERS};
+use super::{Fleet, heartbeats::MAX_PEERS, pull::NEWS_DELAY};
 use crate::{
     Catalog, Change, Revision, Scope, Update,
     message::{self, MAX_DATAGRAM, Message, size},
--- a/marked/src/lib.rs
+++ b/marked/src/lib.rs
@@ -21,9 +21,9 @@
 mod incarnation;
 mod mark;
 pub mod message;
-mod news;
 mod note;
 mod segment;
+mod update;
 
 pub use catalog::{Catalog, MergeOutcome, Restored};
 pub use delta::Delta;
@@ -34,9 +34,9 @@
 pub use health::{Health, ProbeResult};
 pub use incarnation::{Incarnation, Start};
 pub use mark::Mark;
-pub use news::{
+pub use note::{EntryState, Fields, Note, NoteKind};
+pub use segment::{FlowKey, Kind, Segment};
+pub use update::{
     Change, Config, Content, FormerTarget, MAX_ERA_LEAD, MAX_SLOTS, Revision, Route, Scope,
     Service, Share, Target, Update, Warmup,
 };
-pub use note::{EntryState, Fields, Note, NoteKind};
-pub use segment::{FlowKey, Kind, Segment};
