--- a/marked/src/catalog/merge.rs
+++ b/marked/src/catalog/merge.rs
@@ -1,7 +1,7 @@
 //! Merging news into a catalog.
 
 use super::{
-    Catalog, MAX_DELTAS, MergeOutcome, RETENTION, Restored, Step, Withdrawal, restore::Verdict,
+    Catalog, ConfigStep, MAX_DELTAS, MergeOutcome, RETENTION, Restored, Tombstone, restore::Verdict,
 };
 use crate::{
     Change, Config, Content, Entry, FormerTarget, Incarnation, Presence, Revision, Scope, Start,
@@ -15,7 +15,7 @@
 
 /// What a whole reading lists.
 #[derive(Default)]
-pub(super) struct Listed {
+pub(super) struct SnapshotItems {
     pub(super) targets: Set<TargetName>,
     pub(super) domains: Set<DomainName>,
 }
@@ -23,79 +23,79 @@
 impl Catalog {
     /// Takes in news. That of an earlier era is none.
     pub fn merge(&mut self, update: Update, now: Millis) -> MergeOutcome {
-        let mut changed = self.confirm(now);
-        let is_covered = !self.has_gap_before(&update);
+        let mut outcome = self.confirm(now);
+        let is_contiguous = !self.has_gap_before(&update);
         let Update { revision, scope, changes, mut unconfirmed } = update;
         let before = self.revision;
         if revision.era < before.era {
-            return changed;
+            return outcome;
         }
-        let is_later = revision.era > before.era && before > Revision::default();
-        let mut is_whole = is_covered;
+        let is_later_era = revision.era > before.era && before > Revision::default();
+        let mut is_complete = is_contiguous;
         if scope == Scope::Snapshot {
-            let is_copy = is_later || self.restore.is_open(now);
-            self.take_all(revision, changes, &mut unconfirmed, is_copy, now, &mut changed);
+            let is_copy = is_later_era || self.restore.is_open(now);
+            self.merge_snapshot(revision, changes, &mut unconfirmed, is_copy, now, &mut outcome);
         } else {
             for change in changes {
-                is_whole &= self.take(change, now, &mut changed);
+                is_complete &= self.apply(change, now, &mut outcome);
             }
         }
         if let Scope::WithDigest { digest, .. } = scope
-            && is_whole
+            && is_complete
             && digest != self.listing_digest()
         {
-            self.astray = true;
-            is_whole = false;
+            self.needs_snapshot = true;
+            is_complete = false;
         }
-        let is_restored = is_whole && is_later;
+        let is_restored = is_complete && is_later_era;
         if is_restored {
-            self.restore.enter(now);
+            self.restore.begin_era(now);
         }
-        if is_whole {
+        if is_complete {
             if !matches!(scope, Scope::Incremental(_)) {
-                self.read = self.read.max(revision);
-                self.restore.replace(unconfirmed, now);
+                self.full_read = self.full_read.max(revision);
+                self.restore.replace_unconfirmed(unconfirmed, now);
             }
             if is_restored && scope != Scope::Snapshot {
-                self.list_all_again(revision.era);
+                self.relist_all(revision.era);
             }
             self.revision = self.revision.max(revision);
         }
         self.drop_superseded();
         if is_restored {
-            changed.restore = Some(Restored {
+            outcome.restore = Some(Restored {
                 from: before,
                 to: self.revision,
-                changed: changed.targets.len(),
+                changed: outcome.targets.len(),
                 unconfirmed: self.restore.len(),
             });
         }
-        self.forget(now);
-        changed
+        self.purge_expired(now);
+        outcome
     }
 
     /// Takes in a whole reading, which may be of a copy; what it says against what is known is
     /// then added to what is unconfirmed.
-    fn take_all(
+    fn merge_snapshot(
         &mut self,
         revision: Revision,
         changes: Vec<Change>,
         unconfirmed: &mut Vec<Change>,
         is_copy: bool,
         now: Millis,
-        changed: &mut MergeOutcome,
+        outcome: &mut MergeOutcome,
     ) {
-        self.astray = false;
-        let (mut listed, mut doubted) = (Listed::default(), Vec::new());
+        self.needs_snapshot = false;
+        let (mut listed, mut deferred) = (SnapshotItems::default(), Vec::new());
         // What may be there is not missing.
         unconfirmed.iter().for_each(|change| listed.add(&change.content));
         for change in changes {
             listed.add(&change.content);
-            match self.judge(&change, is_copy) {
-                Verdict::Take => drop(self.take(change, now, changed)),
+            match self.classify(&change, is_copy) {
+                Verdict::Apply => drop(self.apply(change, now, outcome)),
                 Verdict::Skip => {}
-                Verdict::Same => self.list_again(&change),
-                Verdict::Doubt => doubted.push(change),
+                Verdict::Unchanged => self.relist(&change),
+                Verdict::Defer => deferred.push(change),
             }
         }
         for (known, content) in self.missing(revision, &listed) {
@@ -103,55 +103,55 @@
             if is_copy && known.era < revision.era {
                 unconfirmed.push(change);
             } else {
-                self.take(change, now, changed);
+                self.apply(change, now, outcome);
             }
         }
         // What the teller has judged goes last, and counts where both say something.
-        doubted.append(unconfirmed);
-        *unconfirmed = doubted;
+        deferred.append(unconfirmed);
+        *unconfirmed = deferred;
     }
 
     /// Takes in what a copy said, once there was time to write it again.
     pub fn confirm(&mut self, now: Millis) -> MergeOutcome {
-        let mut changed = MergeOutcome::default();
+        let mut outcome = MergeOutcome::default();
         for change in self.restore.take_due(now) {
-            self.take(change, now, &mut changed);
+            self.apply(change, now, &mut outcome);
         }
-        changed
+        outcome
     }
 
     /// When [`confirm`](Self::confirm) has something to do next.
     pub fn deadline(&self) -> Option<Millis> {
-        self.restore.due()
+        self.restore.next_due()
     }
 
     /// Takes a change in by its revision; answers whether it could be.
-    fn take(&mut self, change: Change, now: Millis, changed: &mut MergeOutcome) -> bool {
+    fn apply(&mut self, change: Change, now: Millis, outcome: &mut MergeOutcome) -> bool {
         let Change { revision, content } = change;
         match content {
             Content::Config(config) => self.merge_config(revision, config),
             Content::Delta(delta) => return self.merge_delta(revision, delta),
             Content::Target(target) => {
-                self.merge_target(revision, target, now, &mut changed.targets);
+                self.merge_target(revision, target, now, &mut outcome.targets);
             }
             Content::Removed(name) => {
-                let withdrawal = Withdrawal::new(revision, Presence::Removed(now));
-                self.withdraw(&name, withdrawal, &mut changed.targets);
+                let tombstone = Tombstone::new(revision, Presence::Removed(now));
+                self.unlist(&name, tombstone, &mut outcome.targets);
             }
             Content::Unusable(name) => {
-                let withdrawal = Withdrawal::new(revision, Presence::Unusable(now));
-                self.withdraw(&name, withdrawal, &mut changed.targets);
+                let tombstone = Tombstone::new(revision, Presence::Unusable(now));
+                self.unlist(&name, tombstone, &mut outcome.targets);
             }
             Content::FormerTarget(former) => {
-                changed.former_targets.extend(self.merge_former(revision, former, now));
+                outcome.former_targets.extend(self.merge_former(revision, former, now));
             }
             Content::Evacuated(domain) => {
                 let is_new = self.evacuations.set(&domain, revision, None);
-                changed.domains.extend(is_new.then_some(domain));
+                outcome.domains.extend(is_new.then_some(domain));
             }
             Content::EvacuationEnded(domain) => {
                 let is_new = self.evacuations.set(&domain, revision, Some(now));
-                changed.domains.extend(is_new.then_some(domain));
+                outcome.domains.extend(is_new.then_some(domain));
             }
         }
         true
@@ -165,7 +165,7 @@
                 return;
             }
             let delta = Delta::between(old, &config);
-            self.deltas.push_back(Step { from: *from, to: revision, delta });
+            self.deltas.push_back(ConfigStep { from: *from, to: revision, delta });
             if self.deltas.len() > MAX_DELTAS {
                 self.deltas.pop_front();
             }
@@ -182,7 +182,7 @@
             Some((at, known)) if (known.version, *at) >= (delta.version, revision) => return true,
             Some((_, known)) if known.version == delta.base => delta.apply(known),
             _ => {
-                self.astray = true;
+                self.needs_snapshot = true;
                 return false;
             }
         };
@@ -203,12 +203,12 @@
             return;
         }
         let listing = self.names.entry(target.name.clone()).or_default();
-        let unusable = |revision| Withdrawal::new(revision, Presence::Unusable(now));
+        let unusable = |revision| Tombstone::new(revision, Presence::Unusable(now));
         if target.start < listing.start {
             // Whoever says when it started says so always: without it, the entry comes
             // from another writer, and names no target.
             if target.start == Start::default() {
-                self.withdraw(&target.name, unusable(revision), changed);
+                self.unlist(&target.name, unusable(revision), changed);
             }
             return;
         }
@@ -220,12 +220,12 @@
                 earlier.presence = Presence::Replaced(now);
                 changed.push(earlier.target.incarnation);
                 let known = earlier.revision;
-                if is_foreign && listing.withdrawn.is_none_or(|it| it.revision < known) {
-                    listing.withdrawn = Some(unusable(known));
+                if is_foreign && listing.tombstone.is_none_or(|it| it.revision < known) {
+                    listing.tombstone = Some(unusable(known));
                 }
             }
         }
-        if listing.withdrawn.is_some_and(|it| it.revision >= revision) {
+        if listing.tombstone.is_some_and(|it| it.revision >= revision) {
             return;
         }
         listing.current = Some(incarnation);
@@ -258,7 +258,7 @@
         }
         let listing = self.names.entry(target.name.clone()).or_default();
         let ended = Millis(now.0.saturating_sub(age.0));
-        let presence = match (listing.current, listing.withdrawn.map(|it| it.presence)) {
+        let presence = match (listing.current, listing.tombstone.map(|it| it.presence)) {
             (Some(_), _) => Presence::Replaced(ended),
             (None, Some(Presence::Unusable(_))) => Presence::Unusable(ended),
             (None, _) => Presence::Removed(ended),
@@ -266,7 +266,7 @@
         if listing.current.is_none() {
             listing.start = listing.start.max(target.start);
             listing.current = Some(incarnation);
-            listing.withdrawn.get_or_insert(Withdrawal::new(revision, presence));
+            listing.tombstone.get_or_insert(Tombstone::new(revision, presence));
         }
         self.insert(Entry {
             target,
@@ -297,16 +297,11 @@
         known.is_some_and(|it| (&it.name, it.start) != (&target.name, target.start))
     }
 
-    fn withdraw(
-        &mut self,
-        name: &TargetName,
-        withdrawal: Withdrawal,
-        changed: &mut Vec<Incarnation>,
-    ) {
-        let Withdrawal { revision, presence } = withdrawal;
+    fn unlist(&mut self, name: &TargetName, tombstone: Tombstone, changed: &mut Vec<Incarnation>) {
+        let Tombstone { revision, presence } = tombstone;
         let listing = self.names.entry(name.clone()).or_default();
-        if listing.withdrawn.is_none_or(|it| it.revision < revision) {
-            listing.withdrawn = Some(withdrawal);
+        if listing.tombstone.is_none_or(|it| it.revision < revision) {
+            listing.tombstone = Some(tombstone);
         }
         let Some(known) = listing.current.and_then(|it| self.targets.get_mut(&it)) else { return };
         if known.revision >= revision {
@@ -314,18 +309,18 @@
         }
         (known.revision, known.content_revision) = (revision, revision);
         // An entry that named no target and then goes says nothing more of the target.
-        let is_news = match presence {
+        let is_change = match presence {
             Presence::Unusable(_) => !matches!(known.presence, Presence::Unusable(_)),
             _ => known.is_listed(),
         };
-        if is_news {
+        if is_change {
             known.presence = presence;
             changed.push(known.target.incarnation);
         }
     }
 
     /// The end of all that a whole reading doesn't list, and since when each is known.
-    fn missing(&self, revision: Revision, listed: &Listed) -> Vec<(Revision, Content)> {
+    fn missing(&self, revision: Revision, listed: &SnapshotItems) -> Vec<(Revision, Content)> {
         let end = |known: &Content| match known {
             Content::Target(target) if !listed.targets.contains(&target.name) => {
                 Some(Content::Removed(target.name.clone()))
@@ -340,13 +335,13 @@
         let gone = gone.map(|it| (it.revision, Content::Removed(it.target.name.clone())));
         let evacuations = self.evacuations.changes();
         let ended = evacuations.filter_map(|it| Some((it.revision, end(&it.content)?)));
-        let waiting = self.restore.waiting().filter(|it| it.revision.era == revision.era);
-        let waiting = waiting.filter_map(|it| Some((it.revision, end(&it.content)?)));
-        gone.chain(ended).chain(waiting).collect()
+        let unconfirmed = self.restore.unconfirmed().filter(|it| it.revision.era == revision.era);
+        let unconfirmed = unconfirmed.filter_map(|it| Some((it.revision, end(&it.content)?)));
+        gone.chain(ended).chain(unconfirmed).collect()
     }
 }
 
-impl Listed {
+impl SnapshotItems {
     fn add(&mut self, content: &Content) {
         match content {
             Content::Target(target) => drop(self.targets.insert(target.name.clone())),
--- a/marked/src/catalog/mod.rs
+++ b/marked/src/catalog/mod.rs
@@ -29,7 +29,7 @@
     ids::{DomainName, ServiceName, TargetName},
     time::Millis,
 };
-use restore::Restore;
+use restore::RestoreWindow;
 use siphasher::sip::SipHasher13;
 use std::{
     collections::VecDeque,
@@ -53,12 +53,12 @@
     /// That start, while it is remembered.
     current: Option<Incarnation>,
     /// The latest news that no target is listed there.
-    withdrawn: Option<Withdrawal>,
+    tombstone: Option<Tombstone>,
 }
 
 /// That an entry names no target any more.
 #[derive(Debug, Clone, Copy)]
-struct Withdrawal {
+struct Tombstone {
     revision: Revision,
     presence: Presence,
 }
@@ -95,28 +95,28 @@
     revision: Revision,
     config: Option<(Revision, Config)>,
     /// How the config came from earlier ones, the latest last.
-    deltas: VecDeque<Step>,
+    deltas: VecDeque<ConfigStep>,
     /// Whether what was told did not fit what is known here.
-    astray: bool,
+    needs_snapshot: bool,
     routes: Map<SocketAddrV4, usize>,
     targets: Map<Incarnation, Entry>,
     services: Map<ServiceName, Vec<Incarnation>>,
     indexes: Map<Index, Vec<Incarnation>>,
     /// The latest removal that is no longer remembered.
-    forgotten: Revision,
+    purged: Revision,
     names: Map<TargetName, Listing>,
     evacuations: Evacuations,
-    restore: Restore,
+    restore: RestoreWindow,
     /// Up to where all was read whole last, here or by whoever told it: what ended before is
     /// known in part only.
-    read: Revision,
+    full_read: Revision,
     /// Targets that were not taken because another one has their number.
     collisions: u64,
 }
 
 /// How a config came from the one before.
 #[derive(Debug)]
-struct Step {
+struct ConfigStep {
     /// The revision of the one before.
     from: Revision,
     to: Revision,
@@ -131,7 +131,7 @@
 
     /// From which revision on to ask for changes: all, if differences don't fit any more.
     pub fn pull_base(&self) -> Revision {
-        if self.astray { Revision::default() } else { self.revision }
+        if self.needs_snapshot { Revision::default() } else { self.revision }
     }
 
     /// The config in force.
@@ -245,29 +245,30 @@
     /// remembered, is told all.
     pub fn update_since(&self, known: Revision, now: Millis) -> Update {
         let scope = self.scope(known);
-        let is_old = scope == Scope::Snapshot;
-        let is_told = |revision: Revision| is_old || revision > known;
-        let config = self.config_since(if is_old { Revision::default() } else { known });
-        let targets = self.targets.values().filter(|it| is_told(it.content_revision));
-        let targets = targets.filter_map(|entry| entry.change(now));
-        let withdrawn = self.names.iter().filter_map(|(name, it)| it.change(name));
-        let others = withdrawn.chain(self.evacuations.changes());
-        let others = targets.chain(others.filter(|change| is_told(change.revision)));
-        let former = self.targets.values().filter(|_| is_old).filter_map(|it| it.former(now));
+        let is_snapshot = scope == Scope::Snapshot;
+        let is_included = |revision: Revision| is_snapshot || revision > known;
+        let config = self.config_since(if is_snapshot { Revision::default() } else { known });
+        let targets = self.targets.values().filter(|it| is_included(it.content_revision));
+        let targets = targets.filter_map(|entry| entry.to_change(now));
+        let tombstones = self.names.iter().filter_map(|(name, it)| it.to_change(name));
+        let others = tombstones.chain(self.evacuations.changes());
+        let others = targets.chain(others.filter(|change| is_included(change.revision)));
+        let former =
+            self.targets.values().filter(|_| is_snapshot).filter_map(|it| it.to_former(now));
         // Last, so that what is listed under their names is known before them.
         let changes = config.into_iter().chain(others).chain(former).collect();
         // Whoever knows all since the last whole reading has judged it by itself.
-        let is_judged = matches!(scope, Scope::Incremental(_));
-        let unconfirmed = self.restore.waiting().filter(|_| !is_judged).cloned().collect();
+        let is_classified = matches!(scope, Scope::Incremental(_));
+        let unconfirmed = self.restore.unconfirmed().filter(|_| !is_classified).cloned().collect();
         Update { revision: self.revision, scope, changes, unconfirmed }
     }
 
     /// What covers all changes since a revision.
     fn scope(&self, known: Revision) -> Scope {
-        if known == Revision::default() || known < self.forgotten {
+        if known == Revision::default() || known < self.purged {
             return Scope::Snapshot;
         }
-        match known < self.read {
+        match known < self.full_read {
             true => Scope::WithDigest { since: known, digest: self.listing_digest() },
             false => Scope::Incremental(known),
         }
@@ -280,7 +281,7 @@
         if *revision <= known {
             return Vec::new();
         }
-        let steps: Vec<&Step> = self.deltas.iter().filter(|it| it.to > known).collect();
+        let steps: Vec<&ConfigStep> = self.deltas.iter().filter(|it| it.to > known).collect();
         if steps.first().is_some_and(|it| it.from <= known) {
             let changes = steps
                 .into_iter()
@@ -291,7 +292,7 @@
     }
 
     /// Drops what was removed more than [`RETENTION`] ago.
-    fn forget(&mut self, now: Millis) {
+    fn purge_expired(&mut self, now: Millis) {
         let is_over =
             |presence: Presence| presence.ended().is_some_and(|at| now.since(at) >= RETENTION);
         let old = self.targets.values().filter(|entry| is_over(entry.presence));
@@ -299,14 +300,14 @@
             self.drop_target(incarnation);
         }
         if let Some(revision) = self.evacuations.forget(RETENTION, now) {
-            self.forgotten = revision.max(self.forgotten);
+            self.purged = revision.max(self.purged);
         }
-        let (targets, forgotten) = (&self.targets, &mut self.forgotten);
+        let (targets, purged) = (&self.targets, &mut self.purged);
         self.names.retain(|_, listing| {
             let is_kept = listing.current.is_some_and(|it| targets.contains_key(&it))
-                || listing.withdrawn.is_some_and(|it| !is_over(it.presence));
-            if !is_kept && let Some(withdrawal) = listing.withdrawn {
-                *forgotten = withdrawal.revision.max(*forgotten);
+                || listing.tombstone.is_some_and(|it| !is_over(it.presence));
+            if !is_kept && let Some(tombstone) = listing.tombstone {
+                *purged = tombstone.revision.max(*purged);
             }
             is_kept
         });
@@ -314,7 +315,7 @@
 
     fn drop_target(&mut self, incarnation: Incarnation) {
         let Some(entry) = self.targets.remove(&incarnation) else { return };
-        self.forgotten = self.forgotten.max(entry.revision);
+        self.purged = self.purged.max(entry.revision);
         if let Some(listing) = self.names.get_mut(&entry.target.name) {
             listing.current.take_if(|it| *it == incarnation);
         }
@@ -334,19 +335,19 @@
     hasher.finish()
 }
 
-impl Withdrawal {
-    fn new(revision: Revision, presence: Presence) -> Withdrawal {
-        Withdrawal { revision, presence }
+impl Tombstone {
+    fn new(revision: Revision, presence: Presence) -> Tombstone {
+        Tombstone { revision, presence }
     }
 }
 
 impl Listing {
     /// That no target is listed there as news, unless the entry of one says so.
-    fn change(&self, name: &TargetName) -> Option<Change> {
+    fn to_change(&self, name: &TargetName) -> Option<Change> {
         if self.current.is_some() {
             return None;
         }
-        let Withdrawal { revision, presence } = self.withdrawn?;
+        let Tombstone { revision, presence } = self.tombstone?;
         let content = match presence {
             Presence::Unusable(_) => Content::Unusable(name.clone()),
             _ => Content::Removed(name.clone()),
--- a/marked/src/catalog/restore.rs
+++ b/marked/src/catalog/restore.rs
@@ -11,7 +11,7 @@
 
 /// What a copy of the source says against what is known.
 #[derive(Debug, Default)]
-pub(super) struct Restore {
+pub(super) struct RestoreWindow {
     /// Until when a whole reading may show what the copy has.
     until: Option<Millis>,
     unconfirmed: Map<Subject, Unconfirmed>,
@@ -28,18 +28,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// Its revision decides.
-    Take,
+    Apply,
     /// It says what is known, in a later era.
-    Same,
+    Unchanged,
     /// What is known is later, whatever the revisions.
     Skip,
     /// It may be of the copy, and waits.
-    Doubt,
+    Defer,
 }
 
-impl Restore {
+impl RestoreWindow {
     /// A later era begins. What a copy said before is void, since all is read anew.
-    pub(super) fn enter(&mut self, now: Millis) {
+    pub(super) fn begin_era(&mut self, now: Millis) {
         self.until = Some(now + REWRITE_TIME);
         self.unconfirmed.clear();
     }
@@ -50,7 +50,7 @@
     }
 
     /// Has these changes wait in place of those before; what waits already goes on to.
-    pub(super) fn replace(&mut self, changes: Vec<Change>, now: Millis) {
+    pub(super) fn replace_unconfirmed(&mut self, changes: Vec<Change>, now: Millis) {
         let earlier = std::mem::take(&mut self.unconfirmed);
         for change in changes {
             let Some(subject) = Subject::of(&change.content) else { continue };
@@ -66,7 +66,7 @@
     }
 
     /// When the next change has waited for long enough.
-    pub(super) fn due(&self) -> Option<Millis> {
+    pub(super) fn next_due(&self) -> Option<Millis> {
         self.unconfirmed.values().map(|it| it.due).min()
     }
 
@@ -76,12 +76,12 @@
     }
 
     /// What waits.
-    pub(super) fn waiting(&self) -> impl Iterator<Item = &Change> {
+    pub(super) fn unconfirmed(&self) -> impl Iterator<Item = &Change> {
         self.unconfirmed.values().map(|it| &it.change)
     }
 
     /// Whether something waits that concerns a target.
-    pub(super) fn is_doubted(&self, name: &TargetName) -> bool {
+    pub(super) fn is_unconfirmed(&self, name: &TargetName) -> bool {
         !self.unconfirmed.is_empty()
             && self.unconfirmed.contains_key(&Subject::Target(name.clone()))
     }
@@ -92,8 +92,8 @@
     /// is known, but for the version of the config.
     pub fn reset_revisions(&mut self) {
         let start = Revision::default();
-        (self.revision, self.read, self.forgotten) = (start, start, start);
-        self.restore = Restore::default();
+        (self.revision, self.full_read, self.purged) = (start, start, start);
+        self.restore = RestoreWindow::default();
         self.deltas.clear();
         if let Some((revision, _)) = &mut self.config {
             *revision = start;
@@ -101,14 +101,14 @@
         self.targets
             .values_mut()
             .for_each(|it| (it.revision, it.content_revision) = (start, start));
-        for withdrawal in self.names.values_mut().filter_map(|it| it.withdrawn.as_mut()) {
-            withdrawal.revision = start;
+        for tombstone in self.names.values_mut().filter_map(|it| it.tombstone.as_mut()) {
+            tombstone.revision = start;
         }
         self.evacuations.reset_revisions();
     }
 
     /// Notes that a later era lists a target as it is known, which is no news for others.
-    pub(super) fn list_again(&mut self, change: &Change) {
+    pub(super) fn relist(&mut self, change: &Change) {
         let Content::Target(Target { incarnation, writes, .. }) = &change.content else { return };
         if let Some(known) = self.targets.get_mut(incarnation) {
             known.revision = change.revision;
@@ -117,10 +117,10 @@
     }
 
     /// The same of all targets that are listed and not in doubt.
-    pub(super) fn list_all_again(&mut self, era: u32) {
+    pub(super) fn relist_all(&mut self, era: u32) {
         let (restore, start) = (&self.restore, Revision::new(era, 0));
         for entry in self.targets.values_mut().filter(|it| it.is_listed()) {
-            if !restore.is_doubted(&entry.target.name) {
+            if !restore.is_unconfirmed(&entry.target.name) {
                 entry.revision = entry.revision.max(start);
             }
         }
@@ -129,27 +129,29 @@
     /// Drops what waits where something later is known by now.
     pub(super) fn drop_superseded(&mut self) {
         let mut unconfirmed = std::mem::take(&mut self.restore.unconfirmed);
-        unconfirmed.retain(|subject, it| self.known_since(subject) < it.change.revision);
+        unconfirmed.retain(|subject, it| self.known_revision(subject) < it.change.revision);
         self.restore.unconfirmed = unconfirmed;
     }
 
-    fn known_since(&self, subject: &Subject) -> Revision {
+    fn known_revision(&self, subject: &Subject) -> Revision {
         let known = match subject {
             Subject::Domain(domain) => self.evacuation_revision(domain),
             Subject::Target(name) => {
-                let withdrawn = self.names.get(name).and_then(|it| it.withdrawn);
-                let withdrawn = withdrawn.map(|it| it.revision);
-                withdrawn.max(self.latest(name).map(|it| it.revision))
+                let tombstone = self.names.get(name).and_then(|it| it.tombstone);
+                let tombstone = tombstone.map(|it| it.revision);
+                tombstone.max(self.latest(name).map(|it| it.revision))
             }
         };
         known.unwrap_or_default()
     }
 
     /// Judges an item of a whole reading, which may be of a copy if `is_copy`.
-    pub(super) fn judge(&self, change: &Change, is_copy: bool) -> Verdict {
+    pub(super) fn classify(&self, change: &Change, is_copy: bool) -> Verdict {
         let is_earlier = |known: Revision| known.era < change.revision.era;
-        let is_doubtful = match &change.content {
-            Content::Target(target) => return self.judge_target(change.revision, target, is_copy),
+        let may_be_stale = match &change.content {
+            Content::Target(target) => {
+                return self.classify_target(change.revision, target, is_copy);
+            }
             Content::Unusable(name) => {
                 let known = self.latest(name).filter(|it| it.is_listed());
                 known.is_some_and(|it| is_earlier(it.revision))
@@ -162,33 +164,33 @@
             }
             _ => false,
         };
-        if is_copy && is_doubtful { Verdict::Doubt } else { Verdict::Take }
+        if is_copy && may_be_stale { Verdict::Defer } else { Verdict::Apply }
     }
 
-    fn judge_target(&self, revision: Revision, target: &Target, is_copy: bool) -> Verdict {
-        let Some(listing) = self.names.get(&target.name) else { return Verdict::Take };
+    fn classify_target(&self, revision: Revision, target: &Target, is_copy: bool) -> Verdict {
+        let Some(listing) = self.names.get(&target.name) else { return Verdict::Apply };
         if listing.start != target.start {
-            return Verdict::Take;
+            return Verdict::Apply;
         }
         let Some(known) = self.latest(&target.name) else {
-            let is_earlier = listing.withdrawn.is_some_and(|it| it.revision.era < revision.era);
-            return if is_copy && is_earlier { Verdict::Doubt } else { Verdict::Take };
+            let is_earlier = listing.tombstone.is_some_and(|it| it.revision.era < revision.era);
+            return if is_copy && is_earlier { Verdict::Defer } else { Verdict::Apply };
         };
         if known.revision.era >= revision.era {
-            return Verdict::Take;
+            return Verdict::Apply;
         }
-        if known.is_listed() && target.says(&known.target) {
+        if known.is_listed() && target.has_same_content(&known.target) {
             // What waits says that it is gone; its revision tells others that it is not.
-            let is_doubted = self.restore.is_doubted(&target.name);
-            return if is_doubted { Verdict::Take } else { Verdict::Same };
+            let is_unconfirmed = self.restore.is_unconfirmed(&target.name);
+            return if is_unconfirmed { Verdict::Apply } else { Verdict::Unchanged };
         }
         if !is_copy || target.writes > known.target.writes {
-            return Verdict::Take;
+            return Verdict::Apply;
         }
         // A target that leaves doesn't stay. If it has gone, its entry in the copy lapses.
         match known.is_listed() && known.target.leaving {
             true => Verdict::Skip,
-            false => Verdict::Doubt,
+            false => Verdict::Defer,
         }
     }
 }
--- a/marked/src/delta.rs
+++ b/marked/src/delta.rs
@@ -24,9 +24,9 @@
     idle: Millis,
     omitted: u32,
     routes: Vec<Route>,
-    dropped: Vec<SocketAddrV4>,
+    removed_routes: Vec<SocketAddrV4>,
     services: Vec<Service>,
-    ended: Vec<ServiceName>,
+    removed_services: Vec<ServiceName>,
 }
 
 impl Delta {
@@ -50,19 +50,19 @@
             idle: new.idle,
             omitted: new.omitted,
             routes: new.routes.iter().filter(is_new).cloned().collect(),
-            dropped: addresses.filter(|it| !kept.contains(it)).collect(),
+            removed_routes: addresses.filter(|it| !kept.contains(it)).collect(),
             services: new.services.iter().filter(is_other).cloned().collect(),
-            ended: ended.cloned().collect(),
+            removed_services: ended.cloned().collect(),
         }
     }
 
     /// The config that `old` becomes. The order of its routes is not kept; no
     /// two have one address.
     pub fn apply(&self, old: &Config) -> Config {
-        let dropped: Set<_> = self.dropped.iter().copied().collect();
+        let dropped: Set<_> = self.removed_routes.iter().copied().collect();
         let set: Set<_> = self.routes.iter().map(|it| it.address).collect();
         let stays = |it: &&Route| !dropped.contains(&it.address) && !set.contains(&it.address);
-        let ended: Set<_> = self.ended.iter().collect();
+        let ended: Set<_> = self.removed_services.iter().collect();
         let named: Set<_> = self.services.iter().map(|it| &it.name).collect();
         let remains = |it: &&Service| !ended.contains(&it.name) && !named.contains(&it.name);
         Config {
--- a/marked/src/entry.rs
+++ b/marked/src/entry.rs
@@ -48,7 +48,7 @@
     }
 
     /// The entry as news; none if a later start of the target says more.
-    pub(crate) fn change(&self, now: Millis) -> Option<Change> {
+    pub(crate) fn to_change(&self, now: Millis) -> Option<Change> {
         let name = || self.target.name.clone();
         let content = match self.presence {
             Presence::Listed => {
@@ -62,7 +62,7 @@
     }
 
     /// The entry for whoever knows nothing yet, if it is not listed.
-    pub(crate) fn former(&self, now: Millis) -> Option<Change> {
+    pub(crate) fn to_former(&self, now: Millis) -> Option<Change> {
         let former =
             FormerTarget { target: self.target.clone(), age: now.since(self.presence.ended()?) };
         Some(Change { revision: self.revision, content: Content::FormerTarget(former) })
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -31,24 +31,24 @@
 use heartbeats::Purpose;
 use medlarspur_lib::{collections::Map, ids::DomainName, time::Millis};
 use medlarspur_load::random::Random;
-use pull::Lacking;
-use readers::START_PAUSE;
-use seats::ToldSeat;
+use pull::PendingPull;
+use readers::START_DELAY;
+use seats::AssignedSeat;
 use std::{hash::Hasher, net::SocketAddrV4};
 
 /// How often an instance that does not read tells its readers that it is there.
-const HEARTBEAT_PAUSE: Millis = Millis::secs(4);
+const HEARTBEAT_INTERVAL: Millis = Millis::secs(4);
 /// How long after its last message an instance is taken for gone: two heartbeats, with room.
 const PEER_TIMEOUT: Millis = Millis::secs(10);
 /// How long after others told of it an instance that was never heard is
 /// forgotten. Listeners are heard by readers only; when those go, whoever takes
 /// over should know the domain.
-const HEARSAY_TIMEOUT: Millis = Millis::secs(60);
+const INDIRECT_TIMEOUT: Millis = Millis::secs(60);
 /// How long an instance without readers waits between two questions to seeds.
-const SEEK_PAUSE: Millis = Millis(1_000);
+const DISCOVERY_INTERVAL: Millis = Millis(1_000);
 /// How often a reader tells the seeds that it is one, so that they can tell
 /// whoever starts.
-const SEED_PAUSE: Millis = Millis::secs(4);
+const SEED_INTERVAL: Millis = Millis::secs(4);
 
 /// What is believed of another instance.
 #[derive(Debug, Clone, Copy)]
@@ -56,10 +56,10 @@
     domain: DomainId,
     role: Role,
     /// When the store answered it last, by this instance's clock.
-    fresh: Option<Millis>,
+    last_answer: Option<Millis>,
     revision: Revision,
     /// When it was heard, or heard of.
-    heard: Millis,
+    last_seen: Millis,
     /// Whether others have told of it and it was never heard itself.
     indirect: bool,
 }
@@ -76,33 +76,33 @@
 /// The other instances as one of them sees them.
 #[derive(Debug)]
 pub struct Fleet {
-    me: SocketAddrV4,
+    address: SocketAddrV4,
     domain: DomainId,
     seeds: Vec<SocketAddrV4>,
     peers: Map<SocketAddrV4, Peer>,
     /// Since when this instance reads the store.
-    reading: Option<Millis>,
+    reading_since: Option<Millis>,
     /// When it becomes a reader, and how many others there were when that was
     /// drawn.
-    due: Option<(usize, Millis)>,
+    promotion: Option<(usize, Millis)>,
     /// When the store answered this instance last.
-    fresh: Option<Millis>,
+    last_answer: Option<Millis>,
     /// Up to which revision it has passed news on.
-    told: Revision,
+    propagated: Revision,
     /// The era of what this instance knows, and since when.
     era: (u32, Millis),
-    heartbeat_at: Option<Millis>,
-    sought: Option<Millis>,
+    last_heartbeat: Option<Millis>,
+    last_discovery: Option<Millis>,
     /// When it has told the seeds that it reads.
-    seeded: Option<Millis>,
-    pulled: Option<Millis>,
+    last_seed_heartbeat: Option<Millis>,
+    last_pull: Option<Millis>,
     /// Who knows more, if it is known that anybody does.
-    lacking: Option<Lacking>,
+    pending_pull: Option<PendingPull>,
     /// While this instance knows nothing, who may have the picture.
     sources: Vec<SocketAddrV4>,
     started: Millis,
     /// This instance's seat, as the first reader has told it last.
-    seat: Option<ToldSeat>,
+    assigned_seat: Option<AssignedSeat>,
     random: Random,
     outgoing: Vec<Outgoing>,
 }
@@ -111,30 +111,30 @@
     /// One that knows the seeds only, and reads the store soon if nobody has the
     /// picture.
     pub fn new(
-        me: SocketAddrV4,
+        address: SocketAddrV4,
         domain: &DomainName,
         seeds: &[SocketAddrV4],
         seed: u64,
         now: Millis,
     ) -> Fleet {
         Fleet {
-            me,
+            address,
             domain: domain_id(domain),
-            seeds: seeds.iter().copied().filter(|it| *it != me).collect(),
+            seeds: seeds.iter().copied().filter(|it| *it != address).collect(),
             peers: Map::default(),
-            reading: None,
-            due: Some((0, now + START_PAUSE)),
-            fresh: None,
-            told: Revision::default(),
+            reading_since: None,
+            promotion: Some((0, now + START_DELAY)),
+            last_answer: None,
+            propagated: Revision::default(),
             era: (0, now),
-            heartbeat_at: None,
-            sought: None,
-            seeded: None,
-            pulled: None,
-            lacking: None,
+            last_heartbeat: None,
+            last_discovery: None,
+            last_seed_heartbeat: None,
+            last_pull: None,
+            pending_pull: None,
             sources: Vec::new(),
             started: now,
-            seat: None,
+            assigned_seat: None,
             random: Random::new(seed),
             outgoing: Vec::new(),
         }
@@ -142,7 +142,7 @@
 
     /// Whether this instance reads the store.
     pub fn is_reading(&self) -> bool {
-        self.reading.is_some()
+        self.reading_since.is_some()
     }
 
     /// Its failure domain, as messages carry it.
@@ -167,13 +167,13 @@
 
     /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
-        self.seeds = seeds.iter().copied().filter(|it| *it != self.me).collect();
+        self.seeds = seeds.iter().copied().filter(|it| *it != self.address).collect();
     }
 
     /// When the store last answered this instance or a reader of its domain.
     pub fn confirmed(&self) -> Option<Millis> {
         let peers = self.peers.values().filter(|peer| peer.domain == self.domain);
-        peers.map(|peer| peer.fresh).chain([self.fresh]).max().flatten()
+        peers.map(|peer| peer.last_answer).chain([self.last_answer]).max().flatten()
     }
 
     /// What to send.
@@ -183,17 +183,17 @@
 
     /// The store has answered; `catalog` has what it said.
     pub fn store_answered(&mut self, catalog: &Catalog, now: Millis) {
-        self.fresh = Some(now);
+        self.last_answer = Some(now);
         // News says as well that the store has answered.
-        if !self.pass_on(catalog, now) {
-            self.tell_domain(catalog.revision(), now);
+        if !self.propagate(catalog, now) {
+            self.broadcast_heartbeat(catalog.revision(), now);
         }
     }
 
     /// The store can't be reached: the others must not rely on this instance.
     pub fn store_failed(&mut self, catalog: &Catalog, now: Millis) {
-        if self.fresh.take().is_some() {
-            self.tell_domain(catalog.revision(), now);
+        if self.last_answer.take().is_some() {
+            self.broadcast_heartbeat(catalog.revision(), now);
         }
     }
 
@@ -211,52 +211,55 @@
                 None
             }
             Message::Update { reader, update, to, seat } => {
-                self.confirm(reader, update.revision, now);
-                self.receive_news(reader, update, to, seat, catalog, now)
+                self.refresh_reader(reader, update.revision, now);
+                self.receive_update(reader, update, to, seat, catalog, now)
             }
         }
     }
 
     /// Does what is due by now.
     pub fn tick(&mut self, catalog: &Catalog, now: Millis) {
-        self.note_era(catalog.revision().era, now);
-        self.forget(now);
-        self.decide(catalog, now);
+        self.track_era(catalog.revision().era, now);
+        self.forget_silent(now);
+        self.update_role(catalog, now);
         let is_due = |at: Option<Millis>, pause| at.is_none_or(|at| now.since(at) >= pause);
         let revision = catalog.revision();
-        if self.readers(now).next().is_none() && is_due(self.sought, SEEK_PAUSE) {
-            self.sought = Some(now);
-            self.seek(revision, now);
+        if self.readers(now).next().is_none() && is_due(self.last_discovery, DISCOVERY_INTERVAL) {
+            self.last_discovery = Some(now);
+            self.discover(revision, now);
         }
-        if self.is_reading() && self.fresh.is_some() && is_due(self.seeded, SEED_PAUSE) {
-            self.seeded = Some(now);
+        if self.is_reading()
+            && self.last_answer.is_some()
+            && is_due(self.last_seed_heartbeat, SEED_INTERVAL)
+        {
+            self.last_seed_heartbeat = Some(now);
             for seed in self.seeds.clone() {
-                self.heartbeat(seed, Purpose::Tell, revision, now);
+                self.heartbeat(seed, Purpose::Announce, revision, now);
             }
         }
-        if !self.is_reading() && is_due(self.heartbeat_at, HEARTBEAT_PAUSE) {
-            self.heartbeat_at = Some(now);
+        if !self.is_reading() && is_due(self.last_heartbeat, HEARTBEAT_INTERVAL) {
+            self.last_heartbeat = Some(now);
             let readers: Vec<_> = self.readers(now).collect();
             for reader in readers {
-                self.heartbeat(reader, Purpose::Tell, revision, now);
+                self.heartbeat(reader, Purpose::Announce, revision, now);
             }
         }
     }
 
     /// When [`tick`](Self::tick) has something to do next.
     pub fn deadline(&self, now: Millis) -> Millis {
-        self.next_question(now).into_iter().chain([self.next_step(now)]).min().unwrap_or(now)
+        self.next_pull(now).into_iter().chain([self.next_decision(now)]).min().unwrap_or(now)
     }
 
     /// Forgets instances that were not heard of for long. One that listens hears no other
     /// listener after the start, so it knows of them by its readers only.
-    fn forget(&mut self, now: Millis) {
-        let listens = !self.is_reading();
+    fn forget_silent(&mut self, now: Millis) {
+        let is_listener = !self.is_reading();
         for peer in self.peers.values_mut() {
-            peer.indirect |= listens && now.since(peer.heard) >= PEER_TIMEOUT;
+            peer.indirect |= is_listener && now.since(peer.last_seen) >= PEER_TIMEOUT;
         }
-        let limit = |peer: &Peer| if peer.indirect { HEARSAY_TIMEOUT } else { PEER_TIMEOUT };
-        self.peers.retain(|_, peer| now.since(peer.heard) < limit(peer));
+        let limit = |peer: &Peer| if peer.indirect { INDIRECT_TIMEOUT } else { PEER_TIMEOUT };
+        self.peers.retain(|_, peer| now.since(peer.last_seen) < limit(peer));
     }
 
     fn send(&mut self, to: SocketAddrV4, message: &Message) {
--- a/marked/src/fleet/seats.rs
+++ b/marked/src/fleet/seats.rs
@@ -18,55 +18,57 @@
 
 /// A seat as it was told.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct ToldSeat {
+pub(super) struct AssignedSeat {
     seat: Seat,
     /// By which reader.
-    by: SocketAddrV4,
-    at: Millis,
+    reader: SocketAddrV4,
+    received_at: Millis,
 }
 
 impl Fleet {
     /// This instance's seat in its failure domain, if it is known now.
     pub fn seat(&self, now: Millis) -> Option<Seat> {
-        if self.gives_seats(now) {
-            return self.seat_of(self.me);
+        if self.assigns_seats(now) {
+            return self.seat_of(self.address);
         }
-        let is_valid =
-            |told: &ToldSeat| now.since(told.at) <= READER_TIMEOUT && self.is_first(told.by, now);
-        self.seat.filter(is_valid).map(|told| told.seat)
+        let is_valid = |assigned: &AssignedSeat| {
+            now.since(assigned.received_at) <= READER_TIMEOUT
+                && self.is_first_reader(assigned.reader, now)
+        };
+        self.assigned_seat.filter(is_valid).map(|assigned| assigned.seat)
     }
 
     /// Takes in a seat that another instance tells.
-    pub(super) fn take_seat(&mut self, seat: Option<Seat>, by: SocketAddrV4, now: Millis) {
-        if let Some(seat) = seat.filter(|_| self.is_first(by, now)) {
-            self.seat = Some(ToldSeat { seat, by, at: now });
+    pub(super) fn accept_seat(&mut self, seat: Option<Seat>, reader: SocketAddrV4, now: Millis) {
+        if let Some(seat) = seat.filter(|_| self.is_first_reader(reader, now)) {
+            self.assigned_seat = Some(AssignedSeat { seat, reader, received_at: now });
         }
     }
 
     /// The seat that a heartbeat to another instance tells.
     pub(super) fn seat_for(&self, to: SocketAddrV4, now: Millis) -> Option<Seat> {
-        self.gives_seats(now).then(|| self.seat_of(to)).flatten()
+        self.assigns_seats(now).then(|| self.seat_of(to)).flatten()
     }
 
     /// The position of an instance among all of its domain, in the order of their addresses.
     fn seat_of(&self, at: SocketAddrV4) -> Option<Seat> {
         let mut seated = self.domain_members();
-        seated.push(self.me);
+        seated.push(self.address);
         seated.sort_unstable();
         let position = seated.binary_search(&at).ok()?;
         Some(Seat { position: position as u32, count: seated.len() as u32 })
     }
 
-    pub(super) fn gives_seats(&self, now: Millis) -> bool {
+    pub(super) fn assigns_seats(&self, now: Millis) -> bool {
         let is_settled = now.since(self.started) >= MIN_UPTIME;
-        let is_reader = self.reading.is_some_and(|since| now.since(since) >= MIN_TENURE);
-        let reads = is_reader && self.fresh.is_some();
-        is_settled && reads && self.is_first(self.me, now)
+        let has_tenure = self.reading_since.is_some_and(|since| now.since(since) >= MIN_TENURE);
+        let is_reading = has_tenure && self.last_answer.is_some();
+        is_settled && is_reading && self.is_first_reader(self.address, now)
     }
 
     /// Whether no fresh reader with a smaller address is known, this instance included.
-    fn is_first(&self, at: SocketAddrV4, now: Millis) -> bool {
-        let reads_before = self.is_reading() && self.fresh.is_some() && self.me < at;
+    fn is_first_reader(&self, at: SocketAddrV4, now: Millis) -> bool {
+        let reads_before = self.is_reading() && self.last_answer.is_some() && self.address < at;
         !reads_before && self.readers(now).all(|it| it >= at)
     }
 }
--- a/marked/src/health.rs
+++ b/marked/src/health.rs
@@ -11,12 +11,12 @@
 
 /// How long one doubt keeps further ones from asking again: longer than an
 /// answer takes to come or to stay out.
-const ASK_PAUSE: Millis = Millis(300);
+const MIN_PROBE_INTERVAL: Millis = Millis(300);
 /// How long after a target was found lost it is asked again, at first. A cut
 /// lasts seconds, a restart brings a new incarnation.
-const FIRST_RETRY: Millis = Millis(500);
+const FIRST_LOST_INTERVAL: Millis = Millis(500);
 /// The longest pause between two questions to a lost target.
-const LAST_RETRY: Millis = Millis(2_000);
+const MAX_LOST_INTERVAL: Millis = Millis(2_000);
 
 /// What asking a target brought.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -40,63 +40,63 @@
 /// What is believed of one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
-    life: Millis,
+    last_alive: Millis,
     /// When it took an opening last.
-    taken: Millis,
-    asked: Option<Millis>,
+    last_accepted: Millis,
+    last_probe: Option<Millis>,
     lost: Option<Lost>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Lost {
     since: Millis,
-    retry: Millis,
-    pause: Millis,
+    next_probe: Millis,
+    interval: Millis,
 }
 
 impl Health {
     /// Of a target that was just heard of.
     pub fn new(now: Millis) -> Health {
-        Health { life: now, taken: now, asked: None, lost: None }
+        Health { last_alive: now, last_accepted: now, last_probe: None, lost: None }
     }
 
     /// Something was seen that only a living target can have caused. Answers
     /// whether it had been lost.
     pub fn record_alive(&mut self, now: Millis) -> bool {
-        self.life = now;
+        self.last_alive = now;
         self.lost.take().is_some()
     }
 
     /// It took an opening.
     pub fn record_accepted(&mut self, now: Millis) {
-        self.taken = now;
+        self.last_accepted = now;
     }
 
     /// When it took an opening last.
     pub fn last_accepted(&self) -> Millis {
-        self.taken
+        self.last_accepted
     }
 
     /// An opening packet that was first sent at `sent` got no answer. Answers whether
     /// to ask the target. Answers on flows that are open there say nothing of it: a
     /// target that is full gives them and takes no opening.
     pub fn suspect_opening(&mut self, sent: Millis, now: Millis) -> bool {
-        self.suspect_since(self.taken, sent, now)
+        self.suspect_since(self.last_accepted, sent, now)
     }
 
     /// A packet in mid-flow that was first sent at `sent` got no answer. Answers whether
     /// to ask the target.
     pub fn suspect(&mut self, sent: Millis, now: Millis) -> bool {
-        self.suspect_since(self.life, sent, now)
+        self.suspect_since(self.last_alive, sent, now)
     }
 
     fn suspect_since(&mut self, answered: Millis, sent: Millis, now: Millis) -> bool {
         let answered_others = answered > sent;
-        let asked_lately = self.asked.is_some_and(|at| now.since(at) < ASK_PAUSE);
-        if answered_others || asked_lately || self.lost.is_some() {
+        let probed_recently = self.last_probe.is_some_and(|at| now.since(at) < MIN_PROBE_INTERVAL);
+        if answered_others || probed_recently || self.lost.is_some() {
             return false;
         }
-        self.asked = Some(now);
+        self.last_probe = Some(now);
         true
     }
 
@@ -105,23 +105,25 @@
     /// It does not if the target has shown life since it was asked: then the
     /// answer got lost, or this machine was too busy to hear it in time, and to
     /// reset the target's flows would break them.
-    pub fn record_probe_result(&mut self, finding: ProbeResult, now: Millis) -> bool {
-        let asked = self.asked.replace(now);
-        if matches!(finding, ProbeResult::Answers | ProbeResult::Declines) {
+    pub fn record_probe_result(&mut self, result: ProbeResult, now: Millis) -> bool {
+        let probed_at = self.last_probe.replace(now);
+        if matches!(result, ProbeResult::Answers | ProbeResult::Declines) {
             return self.record_alive(now);
         }
-        if self.lost.is_none() && asked.is_some_and(|asked| self.life > asked) {
+        if self.lost.is_none() && probed_at.is_some_and(|probed_at| self.last_alive > probed_at) {
             return false;
         }
-        let pause = self.lost.map_or(FIRST_RETRY, |lost| LAST_RETRY.min(lost.pause + lost.pause));
+        let interval = self.lost.map_or(FIRST_LOST_INTERVAL, |lost| {
+            MAX_LOST_INTERVAL.min(lost.interval + lost.interval)
+        });
         let since = self.lost.map_or(now, |lost| lost.since);
-        let before = self.lost.replace(Lost { since, retry: now + pause, pause });
+        let before = self.lost.replace(Lost { since, next_probe: now + interval, interval });
         before.is_none()
     }
 
     /// When it was asked last.
     pub fn last_probe(&self) -> Option<Millis> {
-        self.asked
+        self.last_probe
     }
 
     /// Whether the target does not answer.
@@ -137,26 +139,26 @@
     /// When a lost target should be asked again. A cut may refuse connections
     /// in the place of a target that lives, so one that seems gone is too.
     pub fn next_probe(&self) -> Option<Millis> {
-        self.lost.map(|lost| lost.retry)
+        self.lost.map(|lost| lost.next_probe)
     }
 
     /// Has a lost target asked again at a moment.
     pub fn defer_probe(&mut self, until: Millis) {
         if let Some(lost) = &mut self.lost {
-            lost.retry = until;
+            lost.next_probe = until;
         }
     }
 
     /// Notes that a lost target is asked again.
     pub fn record_probe(&mut self, now: Millis) {
-        self.asked = Some(now);
+        self.last_probe = Some(now);
         if let Some(lost) = &mut self.lost {
-            lost.retry = now + LAST_RETRY;
+            lost.next_probe = now + MAX_LOST_INTERVAL;
         }
     }
 
     /// When the last sign of life came.
     pub fn last_alive(&self) -> Millis {
-        self.life
+        self.last_alive
     }
 }
--- a/marked/src/message.rs
+++ b/marked/src/message.rs
@@ -140,13 +140,13 @@
 
 /// How many bytes a change takes in a message; more than any datagram has if it can't
 /// be encoded, and whoever sends it is told why.
-pub(crate) fn size(change: &Change) -> usize {
+pub(crate) fn change_size(change: &Change) -> usize {
     postcard::to_stdvec(change).map_or(usize::MAX, |bytes| bytes.len())
 }
 
 /// The same of the changes of a piece of news.
 pub(crate) fn update_size(update: &Update) -> usize {
-    update.changes.iter().chain(&update.unconfirmed).map(size).fold(0, usize::saturating_add)
+    update.changes.iter().chain(&update.unconfirmed).map(change_size).fold(0, usize::saturating_add)
 }
 
 fn body(bytes: &[u8]) -> Result<&[u8], MessageError> {
--- a/marked/src/update.rs
+++ b/marked/src/update.rs
@@ -77,7 +77,7 @@
 
 impl Target {
     /// Whether another entry says the same, but for when it was written.
-    pub(crate) fn says(&self, other: &Target) -> bool {
+    pub(crate) fn has_same_content(&self, other: &Target) -> bool {
         let at = |it: &Target| Target { cold: Millis(0), writes: 0, ..it.clone() };
         at(self) == at(other)
     }
