--- a/marked/src/catalog/merge.rs
+++ b/marked/src/catalog/merge.rs
@@ -1,4 +1,4 @@
-//! Merging news into a catalog.
+//! Merging updates into the catalog.
 
 use super::{
     Catalog, ConfigStep, MAX_DELTAS, MergeOutcome, RETENTION, Restored, Tombstone, restore::Verdict,
@@ -13,7 +13,7 @@
     time::Millis,
 };
 
-/// What a whole reading lists.
+/// Names of the items that a snapshot lists.
 #[derive(Default)]
 pub(super) struct SnapshotItems {
     pub(super) targets: Set<TargetName>,
@@ -21,7 +21,7 @@
 }
 
 impl Catalog {
-    /// Takes in news. That of an earlier era is none.
+    /// Merges an update. An update of an earlier era changes nothing.
     pub fn merge(&mut self, update: Update, now: Millis) -> MergeOutcome {
         let mut outcome = self.confirm(now);
         let is_contiguous = !self.has_gap_before(&update);
@@ -74,8 +74,8 @@
         outcome
     }
 
-    /// Takes in a whole reading, which may be of a copy; what it says against what is known is
-    /// then added to what is unconfirmed.
+    /// Merges a snapshot. If the store may still show its restored copy (`is_copy`), what
+    /// contradicts the catalog is not applied but added to `unconfirmed`.
     fn merge_snapshot(
         &mut self,
         revision: Revision,
@@ -87,7 +87,7 @@
     ) {
         self.needs_snapshot = false;
         let (mut listed, mut deferred) = (SnapshotItems::default(), Vec::new());
-        // What may be there is not missing.
+        // Items that may exist are not missing.
         unconfirmed.iter().for_each(|change| listed.add(&change.content));
         for change in changes {
             listed.add(&change.content);
@@ -106,12 +106,14 @@
                 self.apply(change, now, outcome);
             }
         }
-        // What the teller has judged goes last, and counts where both say something.
+        // The sender's own unconfirmed changes come last: they take precedence for the same
+        // subject.
         deferred.append(unconfirmed);
         *unconfirmed = deferred;
     }
 
-    /// Takes in what a copy said, once there was time to write it again.
+    /// Applies unconfirmed changes for which writers have had enough time to repeat what the copy
+    /// lacks.
     pub fn confirm(&mut self, now: Millis) -> MergeOutcome {
         let mut outcome = MergeOutcome::default();
         for change in self.restore.take_due(now) {
@@ -125,7 +127,8 @@
         self.restore.next_due()
     }
 
-    /// Takes a change in by its revision; answers whether it could be.
+    /// Applies a change if its revision is later than what is known. Returns false if it is a delta
+    /// of a config that is not known here.
     fn apply(&mut self, change: Change, now: Millis, outcome: &mut MergeOutcome) -> bool {
         let Change { revision, content } = change;
         match content {
@@ -157,8 +160,8 @@
         true
     }
 
-    /// The larger version wins, whatever the revisions: a copy of the source may have an
-    /// older one.
+    /// The larger version wins, whatever the revisions, because a copy of the store may contain an
+    /// older config.
     fn merge_config(&mut self, revision: Revision, config: Config) {
         if let Some((from, old)) = &self.config {
             if (old.version, *from) >= (config.version, revision) {
@@ -175,8 +178,7 @@
         self.config = Some((revision, config));
     }
 
-    /// Answers whether the config that it changes is the one in force, or is
-    /// older.
+    /// Returns false if the delta is newer than the config in force but based on another version.
     fn merge_delta(&mut self, revision: Revision, delta: Delta) -> bool {
         let config = match &self.config {
             Some((at, known)) if (known.version, *at) >= (delta.version, revision) => return true,
@@ -205,8 +207,8 @@
         let listing = self.names.entry(target.name.clone()).or_default();
         let unusable = |revision| Tombstone::new(revision, Presence::Unusable(now));
         if target.start < listing.start {
-            // Whoever says when it started says so always: without it, the entry comes
-            // from another writer, and names no target.
+            // A target that gives its start time always does. An entry without it comes from
+            // another writer and describes no usable target.
             if target.start == Start::default() {
                 self.unlist(&target.name, unusable(revision), changed);
             }
@@ -244,7 +246,7 @@
         changed.push(incarnation);
     }
 
-    /// Takes in a target that is not listed any more; answers it if it is new here.
+    /// Adds a target that is no longer listed. Returns it if it was not known here.
     fn merge_former(
         &mut self,
         revision: Revision,
@@ -290,8 +292,8 @@
         self.targets.insert(incarnation, entry);
     }
 
-    /// Whether another target has the same number. Packets in mid-flow would go to
-    /// either of the two, and be answered by a reset at the wrong one.
+    /// Whether another target has the same incarnation. Packets in mid-flow would then go to either
+    /// of the two, and the wrong one would reset the flow.
     fn collides(&self, target: &Target) -> bool {
         let known = self.targets.get(&target.incarnation).map(|entry| &entry.target);
         known.is_some_and(|it| (&it.name, it.start) != (&target.name, target.start))
@@ -308,7 +310,7 @@
             return;
         }
         (known.revision, known.content_revision) = (revision, revision);
-        // An entry that named no target and then goes says nothing more of the target.
+        // The removal of an entry that was already unusable says nothing new about the target.
         let is_change = match presence {
             Presence::Unusable(_) => !matches!(known.presence, Presence::Unusable(_)),
             _ => known.is_listed(),
@@ -319,7 +321,8 @@
         }
     }
 
-    /// The end of all that a whole reading doesn't list, and since when each is known.
+    /// Returns the removals of all known items that a snapshot does not list, each with the
+    /// revision at which the item is known.
     fn missing(&self, revision: Revision, listed: &SnapshotItems) -> Vec<(Revision, Content)> {
         let end = |known: &Content| match known {
             Content::Target(target) if !listed.targets.contains(&target.name) => {
--- a/marked/src/catalog/mod.rs
+++ b/marked/src/catalog/mod.rs
@@ -1,21 +1,19 @@
-//! Which targets and routes there are, merged from news in any order.
+//! Targets and routes, merged from updates in any order.
 //!
-//! Each item carries the revision at which its source changed it last. The
-//! larger revision wins, and that something was removed has a revision too, so
-//! the same news may come late, twice, from several sources and out of order
-//! and every instance ends with the same picture.
+//! Each item carries the revision at which the store last changed it, and the larger revision wins.
+//! A removal leaves a tombstone with its revision. Updates may therefore be late, repeated, out of
+//! order and from several senders, and all instances still converge on the same catalog.
 //!
-//! The source itself may go back: it comes back from a copy that lacks some
-//! seconds, and counts on from there in a later era. What it then lists against
-//! what is known is unconfirmed until there was time to write it again
+//! The store itself may go back in time: it is restored from a copy that lacks the last seconds,
+//! and continues from there in a later era. What it then lists in contradiction to the catalog
+//! stays unconfirmed until writers have had time to repeat what the copy lacks
 //! (`docs/design/eras.md`).
 //!
-//! Of a target that starts again under its name the later start wins, whatever
-//! the revisions: an entry that the earlier process had still under way may be
-//! written after the first one of the later process, and would have new flows
-//! wait for a process that is gone.
+//! When a target restarts under its name, the later start wins, whatever the revisions: a late
+//! write of the earlier process may follow the first entry of the later one, and new flows would
+//! then go to a process that is gone.
 //!
-//! A target that is removed stays known for [`RETENTION`], since flows to it go on.
+//! A removed target is retained for [`RETENTION`], because its flows continue.
 
 mod merge;
 mod restore;
@@ -37,99 +35,100 @@
     net::SocketAddrV4,
 };
 
-/// How long a removed target is remembered. Longer than the longest life of a
-/// flow on the platforms known (60 s) and than any delay of news.
+/// How long a removed target is retained. It exceeds the longest lifetime of a flow on the known
+/// platforms (60 s) and any delay of an update.
 const RETENTION: Millis = Millis::secs(90);
 
-/// How many differences of configs are kept: those of a storm between two pieces
-/// of news. Whoever lacks more is told the config whole.
+/// Maximum number of config deltas that are kept, enough for a burst of changes between two
+/// updates. An instance that lacks more gets the whole config.
 const MAX_DELTAS: usize = 16;
 
-/// What is known of the entries under one name.
+/// Known entries of one target name.
 #[derive(Debug, Default)]
 struct Listing {
-    /// The latest start that was heard of.
+    /// Latest known start.
     start: Start,
-    /// That start, while it is remembered.
+    /// Incarnation of that start, while it is retained.
     current: Option<Incarnation>,
-    /// The latest news that no target is listed there.
+    /// Latest removal of the entry.
     tombstone: Option<Tombstone>,
 }
 
-/// That an entry names no target any more.
+/// Records that a name lists no usable target since a revision.
 #[derive(Debug, Clone, Copy)]
 struct Tombstone {
     revision: Revision,
     presence: Presence,
 }
 
-/// What news has changed.
+/// Effects of merging an update.
 #[derive(Debug, Default)]
 pub struct MergeOutcome {
-    /// Targets whose entries are others now.
+    /// Targets whose entries changed.
     pub targets: Vec<Incarnation>,
-    /// Targets that were listed once, and are heard of for the first time.
+    /// Targets that are no longer listed and were not known here before.
     pub former_targets: Vec<Incarnation>,
-    /// Failure domains that operators have emptied, or have taken back.
+    /// Failure domains whose evacuation began or ended.
     pub domains: Vec<DomainName>,
-    /// That the source came back from a copy since the last news.
+    /// Set if the update showed that the store was restored from a copy.
     pub restore: Option<Restored>,
 }
 
-/// That the source came back from a copy.
+/// A restore of the store from a copy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Restored {
-    /// Up to which revision all was known before.
+    /// Revision up to which all changes were known before.
     pub from: Revision,
-    /// Up to which revision all is known now.
+    /// Revision up to which all changes are known now.
     pub to: Revision,
-    /// How many entries of targets are others.
+    /// Number of targets whose entries changed.
     pub changed: usize,
-    /// How many items say something else than what is known, and are unconfirmed.
+    /// Number of items that contradict the catalog and are unconfirmed.
     pub unconfirmed: usize,
 }
 
-/// All that is known of targets and routes.
+/// All known targets and routes.
 #[derive(Debug, Default)]
 pub struct Catalog {
     revision: Revision,
     config: Option<(Revision, Config)>,
-    /// How the config came from earlier ones, the latest last.
+    /// Deltas between successive configs, the latest last.
     deltas: VecDeque<ConfigStep>,
-    /// Whether what was told did not fit what is known here.
+    /// Whether an update did not fit the catalog, so that only a snapshot helps.
     needs_snapshot: bool,
     routes: Map<SocketAddrV4, usize>,
     targets: Map<Incarnation, Entry>,
     services: Map<ServiceName, Vec<Incarnation>>,
     indexes: Map<Index, Vec<Incarnation>>,
-    /// The latest removal that is no longer remembered.
+    /// Revision of the latest removal that is no longer retained.
     purged: Revision,
     names: Map<TargetName, Listing>,
     evacuations: Evacuations,
     restore: RestoreWindow,
-    /// Up to where all was read whole last, here or by whoever told it: what ended before is
-    /// known in part only.
+    /// Revision of the last full read, by this instance or by the sender of an update. Removals
+    /// before it are only known in part.
     full_read: Revision,
-    /// Targets that were not taken because another one has their number.
+    /// Number of targets that were rejected because another one has their incarnation.
     collisions: u64,
 }
 
-/// How a config came from the one before.
+/// The change from one config to the next.
 #[derive(Debug)]
 struct ConfigStep {
-    /// The revision of the one before.
+    /// Revision of the earlier config.
     from: Revision,
     to: Revision,
     delta: Delta,
 }
 
 impl Catalog {
-    /// Up to which revision all changes are known.
+    /// Revision up to which all changes are known.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// From which revision on to ask for changes: all, if differences don't fit any more.
+    /// Revision to pull updates from; the default, which asks for a snapshot, if an update did not
+    /// fit.
     pub fn pull_base(&self) -> Revision {
         if self.needs_snapshot { Revision::default() } else { self.revision }
     }
@@ -144,31 +143,30 @@
         self.config.as_ref().map(|(revision, config)| (*revision, config))
     }
 
-    /// Whether there is enough to serve: routes, a target, and all that was so at one
-    /// revision. A single piece of news may name targets and not that their failure
-    /// domain is evacuated.
+    /// Whether the catalog is complete enough to serve: it has routes and targets, and all changes
+    /// up to some revision are known. A single incremental update may name targets without telling
+    /// that their failure domain is evacuated.
     pub fn is_usable(&self) -> bool {
         let is_whole = self.revision > Revision::default();
         is_whole && self.config.is_some() && !self.targets.is_empty()
     }
 
-    /// Whether operators want the targets of a failure domain to get no new flows.
+    /// Whether a failure domain is evacuated, so that its targets get no new flows.
     pub fn is_evacuated(&self, domain: &DomainName) -> bool {
         self.evacuations.holds(domain)
     }
 
-    /// The failure domains whose targets are to get no new flows.
+    /// The evacuated failure domains.
     pub fn evacuated(&self) -> impl Iterator<Item = &DomainName> {
         self.evacuations.evacuated()
     }
 
-    /// When this instance heard that operators have taken an evacuation of a failure
-    /// domain back.
+    /// When this instance learned that the evacuation of a failure domain had ended.
     pub fn evacuation_ended(&self, domain: &DomainName) -> Option<Millis> {
         self.evacuations.ended(domain)
     }
 
-    /// The revision that says whether a failure domain is evacuated, if any does.
+    /// Revision of the latest change that began or ended the evacuation of a failure domain.
     pub fn evacuation_revision(&self, domain: &DomainName) -> Option<Revision> {
         self.evacuations.revision(domain)
     }
@@ -179,46 +177,47 @@
         self.config()?.routes.get(position)
     }
 
-    /// A target that is listed or was not long ago.
+    /// Entry of a target that is listed, or was until recently.
     pub fn entry(&self, incarnation: Incarnation) -> Option<&Entry> {
         self.targets.get(&incarnation)
     }
 
-    /// The latest start of a target, while it is remembered.
+    /// Entry of the latest start of a target, while it is retained.
     pub fn latest(&self, name: &TargetName) -> Option<&Entry> {
         self.targets.get(&self.names.get(name)?.current?)
     }
 
-    /// How many targets were not taken because another one has their number.
+    /// Number of targets that were rejected because another one has their incarnation.
     pub fn collisions(&self) -> u64 {
         self.collisions
     }
 
-    /// All targets that are known.
+    /// Entries of all known targets, including removed ones.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.targets.values()
     }
 
-    /// The targets of a service, removed ones included.
+    /// Entries of the targets of a service, including removed ones.
     pub fn targets(&self, service: &ServiceName) -> impl Iterator<Item = &Entry> {
         let found = self.services.get(service).map(Vec::as_slice).unwrap_or_default();
         let entries = found.iter().filter_map(|incarnation| self.targets.get(incarnation));
         entries.filter(move |entry| entry.target.service == *service)
     }
 
-    /// What the config says of a service.
+    /// Properties of a service in the config.
     pub fn service(&self, name: &ServiceName) -> Option<&Service> {
         self.config()?.services.iter().find(|it| it.name == *name)
     }
 
-    /// The target that a mark of a flow means; none if the mark doesn't hold.
+    /// Entry of the target that a mark of the flow names; `None` if the mark matches no known
+    /// target.
     pub fn entry_by_mark(&self, mark: Mark, flow: &FlowKey) -> Option<&Entry> {
         let found = self.indexes.get(&mark.index())?;
         let incarnation = found.iter().find(|&&it| mark.holds(it, flow))?;
         self.targets.get(incarnation)
     }
 
-    /// Whether there are changes before that news which are not known here.
+    /// Whether changes are missing between the catalog and the update.
     pub fn has_gap_before(&self, update: &Update) -> bool {
         match update.scope {
             Scope::Snapshot => false,
@@ -228,7 +227,8 @@
         }
     }
 
-    /// A digest of what is listed, in any order.
+    /// Digest of the listed targets, the evacuated failure domains and the config's version. It
+    /// does not depend on their order.
     fn listing_digest(&self) -> u64 {
         let targets = self.targets.values().filter(|it| it.is_listed());
         let targets = targets.map(|it| {
@@ -240,9 +240,9 @@
         targets.chain(domains).fold(version, u64::wrapping_add)
     }
 
-    /// What has changed since a revision, to be told to another instance. One
-    /// that knows nothing, or was away for longer than removed targets are
-    /// remembered, is told all.
+    /// Returns the update that brings an instance from revision `known` to the present. The update
+    /// is a snapshot if that instance knows nothing, or missed removals that are no longer
+    /// retained.
     pub fn update_since(&self, known: Revision, now: Millis) -> Update {
         let scope = self.scope(known);
         let is_snapshot = scope == Scope::Snapshot;
@@ -255,15 +255,17 @@
         let others = targets.chain(others.filter(|change| is_included(change.revision)));
         let former =
             self.targets.values().filter(|_| is_snapshot).filter_map(|it| it.to_former(now));
-        // Last, so that what is listed under their names is known before them.
+        // Former targets come last, so that the listed targets of the same names are known before
+        // them.
         let changes = config.into_iter().chain(others).chain(former).collect();
-        // Whoever knows all since the last whole reading has judged it by itself.
+        // An instance that knows everything since the last full read has classified the changes
+        // itself.
         let is_classified = matches!(scope, Scope::Incremental(_));
         let unconfirmed = self.restore.unconfirmed().filter(|_| !is_classified).cloned().collect();
         Update { revision: self.revision, scope, changes, unconfirmed }
     }
 
-    /// What covers all changes since a revision.
+    /// Scope of an update that covers all changes since a revision.
     fn scope(&self, known: Revision) -> Scope {
         if known == Revision::default() || known < self.purged {
             return Scope::Snapshot;
@@ -274,8 +276,8 @@
         }
     }
 
-    /// The config for one that knows all up to a revision: the differences, if
-    /// they are still there, or the whole.
+    /// Returns the config for an instance that knows all changes up to a revision: the deltas if
+    /// they are still kept, otherwise the whole config.
     fn config_since(&self, known: Revision) -> Vec<Change> {
         let Some((revision, config)) = &self.config else { return Vec::new() };
         if *revision <= known {
@@ -291,7 +293,7 @@
         vec![Change { revision: *revision, content: Content::Config(config.clone()) }]
     }
 
-    /// Drops what was removed more than [`RETENTION`] ago.
+    /// Drops targets, tombstones and ended evacuations that are older than [`RETENTION`].
     fn purge_expired(&mut self, now: Millis) {
         let is_over =
             |presence: Presence| presence.ended().is_some_and(|at| now.since(at) >= RETENTION);
@@ -328,7 +330,7 @@
     }
 }
 
-/// The same on all instances.
+/// Hashes a value with fixed keys, so that all instances get the same digest.
 fn digest(value: &impl Hash) -> u64 {
     let mut hasher = SipHasher13::new();
     value.hash(&mut hasher);
@@ -342,7 +344,8 @@
 }
 
 impl Listing {
-    /// That no target is listed there as news, unless the entry of one says so.
+    /// Returns the tombstone as a change. A name with a retained target has none, because that
+    /// target's entry says the same.
     fn to_change(&self, name: &TargetName) -> Option<Change> {
         if self.current.is_some() {
             return None;
--- a/marked/src/catalog/restore.rs
+++ b/marked/src/catalog/restore.rs
@@ -1,55 +1,56 @@
-//! What holds between the return of the source from a copy and the moment by which all that
-//! the copy lacks has been written again; the options are in `docs/design/eras.md`.
+//! Handling of a store that was restored from a copy, until everything that the copy lacks has been
+//! written again. The alternatives are discussed in `docs/design/eras.md`.
 
 use super::Catalog;
 use crate::{Change, Content, Revision, Target, update::Subject};
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 
-/// How long operators and targets have to write again what a copy lacks: they do within some
-/// two seconds, and an entry that lapsed has as long.
+/// Time that operators and targets have to repeat writes that a copy lacks. They need about two
+/// seconds, and so does the copy's entry of a target that is gone to lapse again.
 const REWRITE_TIME: Millis = Millis::secs(3);
 
-/// What a copy of the source says against what is known.
+/// What a restored copy of the store says in contradiction to the catalog.
 #[derive(Debug, Default)]
 pub(super) struct RestoreWindow {
-    /// Until when a whole reading may show what the copy has.
+    /// Until when a full read may show the state of the copy.
     until: Option<Millis>,
     unconfirmed: Map<Subject, Unconfirmed>,
 }
 
-/// A change that waits.
+/// A change that is not applied before `due`.
 #[derive(Debug)]
 struct Unconfirmed {
     change: Change,
     due: Millis,
 }
 
-/// What to do with an item of a whole reading.
+/// How to treat an item of a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
-    /// Its revision decides.
+    /// Apply it if its revision is later.
     Apply,
-    /// It says what is known, in a later era.
+    /// The item is as known, in a later era.
     Unchanged,
-    /// What is known is later, whatever the revisions.
+    /// Ignore it: the known state is later, whatever the revisions.
     Skip,
-    /// It may be of the copy, and waits.
+    /// The item may be the state of the copy, so its change stays unconfirmed for a while.
     Defer,
 }
 
 impl RestoreWindow {
-    /// A later era begins. What a copy said before is void, since all is read anew.
+    /// Starts a later era. Unconfirmed changes are dropped, because a full read in the new era
+    /// replaces them.
     pub(super) fn begin_era(&mut self, now: Millis) {
         self.until = Some(now + REWRITE_TIME);
         self.unconfirmed.clear();
     }
 
-    /// Whether what is read whole may be of a copy.
+    /// Whether a full read may show the state of the copy.
     pub(super) fn is_open(&self, now: Millis) -> bool {
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Has these changes wait in place of those before; what waits already goes on to.
+    /// Replaces the unconfirmed changes. A subject that was already unconfirmed keeps its due time.
     pub(super) fn replace_unconfirmed(&mut self, changes: Vec<Change>, now: Millis) {
         let earlier = std::mem::take(&mut self.unconfirmed);
         for change in changes {
@@ -59,28 +60,28 @@
         }
     }
 
-    /// What has waited for long enough.
+    /// Removes and returns the changes that are due.
     pub(super) fn take_due(&mut self, now: Millis) -> Vec<Change> {
         let due = self.unconfirmed.extract_if(|_, it| it.due <= now);
         due.map(|(_, it)| it.change).collect()
     }
 
-    /// When the next change has waited for long enough.
+    /// When the next change is due.
     pub(super) fn next_due(&self) -> Option<Millis> {
         self.unconfirmed.values().map(|it| it.due).min()
     }
 
-    /// How many changes wait.
+    /// Number of unconfirmed changes.
     pub(super) fn len(&self) -> usize {
         self.unconfirmed.len()
     }
 
-    /// What waits.
+    /// The unconfirmed changes.
     pub(super) fn unconfirmed(&self) -> impl Iterator<Item = &Change> {
         self.unconfirmed.values().map(|it| &it.change)
     }
 
-    /// Whether something waits that concerns a target.
+    /// Whether there is an unconfirmed change of a target.
     pub(super) fn is_unconfirmed(&self, name: &TargetName) -> bool {
         !self.unconfirmed.is_empty()
             && self.unconfirmed.contains_key(&Subject::Target(name.clone()))
@@ -88,8 +89,8 @@
 }
 
 impl Catalog {
-    /// The source is in an earlier era than was believed: whatever it lists next wins over what
-    /// is known, but for the version of the config.
+    /// Prepares for a store whose era is earlier than the known one: everything that it lists next
+    /// wins over the catalog, except for an older version of the config.
     pub fn reset_revisions(&mut self) {
         let start = Revision::default();
         (self.revision, self.full_read, self.purged) = (start, start, start);
@@ -107,7 +108,7 @@
         self.evacuations.reset_revisions();
     }
 
-    /// Notes that a later era lists a target as it is known, which is no news for others.
+    /// Records that a later era lists a target as it is known. This is no change to pass on.
     pub(super) fn relist(&mut self, change: &Change) {
         let Content::Target(Target { incarnation, writes, .. }) = &change.content else { return };
         if let Some(known) = self.targets.get_mut(incarnation) {
@@ -116,7 +117,7 @@
         }
     }
 
-    /// The same of all targets that are listed and not in doubt.
+    /// Does the same for all listed targets without an unconfirmed change.
     pub(super) fn relist_all(&mut self, era: u32) {
         let (restore, start) = (&self.restore, Revision::new(era, 0));
         for entry in self.targets.values_mut().filter(|it| it.is_listed()) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Drops what waits where something later is known by now.
+    /// Drops unconfirmed changes that are older than what is known by now.
     pub(super) fn drop_superseded(&mut self) {
         let mut unconfirmed = std::mem::take(&mut self.restore.unconfirmed);
         unconfirmed.retain(|subject, it| self.known_revision(subject) < it.change.revision);
@@ -145,7 +146,8 @@
         known.unwrap_or_default()
     }
 
-    /// Judges an item of a whole reading, which may be of a copy if `is_copy`.
+    /// Decides how to treat an item of a snapshot. With `is_copy`, the snapshot may show the state
+    /// of the copy.
     pub(super) fn classify(&self, change: &Change, is_copy: bool) -> Verdict {
         let is_earlier = |known: Revision| known.era < change.revision.era;
         let may_be_stale = match &change.content {
@@ -158,7 +160,7 @@
             }
             Content::Evacuated(domain) => {
                 let known = self.evacuation_revision(domain).filter(|_| !self.is_evacuated(domain));
-                // Whatever has a larger count than the end was written after the copy.
+                // An evacuation with a larger count than its end was written after the restore.
                 let is_older = |end: Revision| change.revision.count <= end.count;
                 known.is_some_and(|end| is_earlier(end) && is_older(end))
             }
@@ -180,14 +182,15 @@
             return Verdict::Apply;
         }
         if known.is_listed() && target.has_same_content(&known.target) {
-            // What waits says that it is gone; its revision tells others that it is not.
+            // The unconfirmed change says that the target is gone. Applying the entry tells others
+            // that it is not.
             let is_unconfirmed = self.restore.is_unconfirmed(&target.name);
             return if is_unconfirmed { Verdict::Apply } else { Verdict::Unchanged };
         }
         if !is_copy || target.writes > known.target.writes {
             return Verdict::Apply;
         }
-        // A target that leaves doesn't stay. If it has gone, its entry in the copy lapses.
+        // A leaving target does not come back. If it is already gone, its entry in the copy lapses.
         match known.is_listed() && known.target.leaving {
             true => Verdict::Skip,
             false => Verdict::Defer,
--- a/marked/src/delta.rs
+++ b/marked/src/delta.rs
@@ -1,9 +1,9 @@
-//! The difference between two configs, to be told instead of the whole.
+//! The difference between two configs, which is sent in place of the whole config.
 //!
-//! At the size aimed for a config has 3,400 routes, some 100 KB between
-//! instances, and changes 4,000 times a day by one or a few of them. Passed on
-//! whole to a hundred instances of a failure domain, each change would take a
-//! reader's share of traffic for minutes; the difference fits into a datagram.
+//! At the intended scale a config has 3,400 routes, some 100 KB between instances, and changes
+//! 4,000 times a day in one or a few of them. Sent whole to the hundred instances of a failure
+//! domain, each change would use up a reader's share of traffic for minutes. The difference fits
+//! into a datagram.
 
 use crate::{Config, Route, Service};
 use medlarspur_lib::{
@@ -14,12 +14,12 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// What makes one config of another one.
+/// Turns one config into another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version of the config that it changes.
+    /// Version of the config that the delta applies to.
     pub base: Version,
-    /// That of the config that it makes.
+    /// Version of the resulting config.
     pub(crate) version: Version,
     idle: Millis,
     omitted: u32,
@@ -34,7 +34,7 @@
         self.routes.iter().all(Route::is_valid) && self.services.iter().all(Service::is_valid)
     }
 
-    /// The difference from `old` to `new`.
+    /// Computes the delta from `old` to `new`.
     pub fn between(old: &Config, new: &Config) -> Delta {
         let known: Map<_, _> = old.routes.iter().map(|it| (it.address, it)).collect();
         let kept: Set<_> = new.routes.iter().map(|it| it.address).collect();
@@ -56,8 +56,8 @@
         }
     }
 
-    /// The config that `old` becomes. The order of its routes is not kept; no
-    /// two have one address.
+    /// Applies the delta to `old`. The order of routes is not preserved; no two routes have the
+    /// same address.
     pub fn apply(&self, old: &Config) -> Config {
         let dropped: Set<_> = self.removed_routes.iter().copied().collect();
         let set: Set<_> = self.routes.iter().map(|it| it.address).collect();
--- a/marked/src/entry.rs
+++ b/marked/src/entry.rs
@@ -1,23 +1,23 @@
-//! A target with what is known of its entry.
+//! A target with the state of its entry in the store.
 
 use crate::{Change, Content, FormerTarget, Revision, Target};
 use medlarspur_lib::time::Millis;
 
-/// Whether the source lists a target.
+/// Whether the store lists a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Presence {
-    /// It does.
+    /// The store lists the target.
     Listed,
-    /// It did until then, by this instance's clock.
+    /// The entry was removed at this time of the local clock.
     Removed(Millis),
-    /// Since then its entry names no target that could be used.
+    /// Since this time, the entry has described no usable target.
     Unusable(Millis),
-    /// Since then a later start under the same name is known.
+    /// Since this time, a later start of the target has been known.
     Replaced(Millis),
 }
 
 impl Presence {
-    /// Since when it is not listed, if it is not.
+    /// When the target ceased to be listed; `None` for a listed target.
     pub fn ended(self) -> Option<Millis> {
         match self {
             Presence::Listed => None,
@@ -26,28 +26,30 @@
     }
 }
 
-/// A target with what is known of its entry.
+/// A target with the state of its entry in the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Entry {
     /// The target.
     pub target: Target,
-    /// The revision of this picture.
+    /// Revision of the latest change to the entry.
     pub revision: Revision,
-    /// The one at which it began to say this, if the source has listed it again in a later era.
+    /// Revision of the latest change that altered the content. It is lower than `revision` if a
+    /// later era lists the entry unchanged.
     pub content_revision: Revision,
-    /// Whether it is listed.
+    /// Whether the entry is listed.
     pub presence: Presence,
-    /// Until when it is slow after its start.
+    /// End of the slow start, by the local clock.
     pub cold_until: Millis,
 }
 
 impl Entry {
-    /// Whether the source lists it.
+    /// Whether the store lists the target.
     pub fn is_listed(&self) -> bool {
         self.presence == Presence::Listed
     }
 
-    /// The entry as news; none if a later start of the target says more.
+    /// Returns the entry as a change, or `None` if a later start replaced the target: the entry of
+    /// that start supersedes this one.
     pub(crate) fn to_change(&self, now: Millis) -> Option<Change> {
         let name = || self.target.name.clone();
         let content = match self.presence {
@@ -61,7 +63,8 @@
         Some(Change { revision: self.revision, content })
     }
 
-    /// The entry for whoever knows nothing yet, if it is not listed.
+    /// Returns an unlisted entry as a [`Content::FormerTarget`], which only snapshots contain;
+    /// `None` if the target is listed.
     pub(crate) fn to_former(&self, now: Millis) -> Option<Change> {
         let former =
             FormerTarget { target: self.target.clone(), age: now.since(self.presence.ended()?) };
--- a/marked/src/fleet/heartbeats.rs
+++ b/marked/src/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: who is there, and who tells whom of it.
+//! Membership by heartbeats: which instances are alive, and which readers they know.
 
 use super::{Fleet, Peer, pull::PROPAGATION_DELAY, readers::READERS_PER_DOMAIN};
 use crate::{
@@ -8,11 +8,11 @@
 use medlarspur_lib::time::Millis;
 use std::net::SocketAddrV4;
 
-/// How many others a heartbeat names; bounds what a reader sends to its domain.
+/// Maximum number of contacts in a heartbeat. It bounds the traffic of a reader to its domain.
 const HEARTBEAT_CONTACTS: usize = 3;
-/// How many others the answer to a question names.
+/// Maximum number of contacts in the reply to a request.
 const REPLY_CONTACTS: usize = 12;
-/// How many others are remembered at most.
+/// Maximum number of peers that are remembered.
 pub(super) const MAX_PEERS: usize = 1_000;
 
 impl Fleet {
@@ -23,12 +23,12 @@
         known: Revision,
         now: Millis,
     ) {
-        let fresh = heartbeat.answer_age.map(|age| now.since(Millis(age.into())));
+        let last_answer = heartbeat.answer_age.map(|age| now.since(Millis(age.into())));
         let reply = Purpose::Reply(heartbeat.domain);
         let is_full = self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&from);
         if is_full && !(heartbeat.domain == self.domain && self.evict_foreign()) {
-            // Whoever starts must hear of others from any seed, also from one that can't
-            // remember it.
+            // A starting instance must learn of others from any seed, even from one that has no
+            // space to remember it.
             if heartbeat.wants_reply {
                 self.heartbeat(from, reply, known, now);
             }
@@ -37,7 +37,7 @@
         let peer = Peer {
             domain: heartbeat.domain,
             role: heartbeat.role,
-            fresh,
+            last_answer,
             revision: heartbeat.revision,
             last_seen: now,
             indirect: false,
@@ -52,15 +52,15 @@
         if heartbeat.wants_reply || is_new && heartbeat.domain == self.domain {
             self.heartbeat(from, reply, known, now);
         }
-        // Within a domain all that readers know is passed on. An instance that
-        // starts, or can't reach the store, takes it from anywhere.
+        // Within a domain, readers propagate everything that they know. An instance that starts or
+        // can't reach the store pulls from any domain.
         let is_starting = known == Revision::default();
         let is_cut_off = self.is_reading() && self.last_answer.is_none();
         if heartbeat.revision <= known || !self.is_credible(heartbeat.revision, known) {
             return;
         }
-        // A later era is news only from whom the store answers: whoever was told a wrong one by
-        // mistake would pass it on to all who listen.
+        // A later era is only believed if the sender gets answers from the store. An instance that
+        // was given a wrong era by mistake would otherwise pass it on to all listeners.
         let is_from_reader = heartbeat.role == Role::Reader && heartbeat.answer_age.is_some();
         let is_later = heartbeat.revision.era > known.era;
         if is_later && !(is_starting || is_cut_off || is_from_reader) {
@@ -73,18 +73,19 @@
         }
     }
 
-    /// Forgets an instance of another domain, the one that was not heard for longest: whoever
-    /// is in this domain needs its news from here. Answers whether there was any.
+    /// Forgets the peer of another domain that was not seen for longest, to make space for an
+    /// instance of this domain, which depends on updates from here. Returns whether there was one.
     fn evict_foreign(&mut self) -> bool {
         let foreign = self.peers.iter().filter(|(_, peer)| peer.domain != self.domain);
         let oldest = foreign.min_by_key(|(_, peer)| peer.last_seen).map(|(address, _)| *address);
         oldest.is_some_and(|address| self.peers.remove(&address).is_some())
     }
 
-    /// Takes in that another one has told of an instance in this one's domain.
+    /// Records an instance of this domain that another instance named as a contact.
     fn learn_contact(&mut self, contact: SocketAddrV4, known: Revision, now: Millis) {
-        // Listeners hear each other at the start only. Forgotten after that, they would be
-        // missing where their number counts, and where the readers are gone.
+        // Listeners exchange heartbeats at the start only. If they forgot each other after that,
+        // the size of the domain would be wrong, and they would not know each other once the
+        // readers are gone.
         if let Some(peer) = self.peers.get_mut(&contact) {
             if !peer.is_reading(now) {
                 (peer.last_seen, peer.indirect) = (now, true);
@@ -104,13 +105,13 @@
             indirect: true,
         };
         self.peers.insert(contact, unknown);
-        // Whoever starts needs the readers of its domain, and they it.
+        // A starting instance and the readers of its domain must learn of each other.
         if self.readers(now).count() < READERS_PER_DOMAIN {
             self.heartbeat(contact, Purpose::Request, known, now);
         }
     }
 
-    /// News of a reader has come, by way of others: the store answers it.
+    /// Records an update that a reader sent and others forwarded: the store answers that reader.
     pub(super) fn refresh_reader(&mut self, reader: SocketAddrV4, revision: Revision, now: Millis) {
         let domain = self.domain;
         let Some(peer) = self.peers.get_mut(&reader).filter(|it| it.domain == domain) else {
@@ -122,7 +123,7 @@
         peer.revision = peer.revision.max(revision);
     }
 
-    /// Asks the seeds and one other who is there.
+    /// Asks the seeds and one random instance of the domain for contacts.
     pub(super) fn discover(&mut self, revision: Revision, now: Millis) {
         let mut receivers = self.seeds.clone();
         let others = self.domain_members();
@@ -134,8 +135,9 @@
         }
     }
 
-    /// Tells the whole domain, unless enough others do: when all start at once,
-    /// all read, and heartbeats between all pairs would grow with their square.
+    /// Sends a heartbeat to the whole domain, unless this instance is a redundant reader. When all
+    /// instances start at once, all read the store, and heartbeats between all pairs would grow
+    /// with the square of their number.
     pub(super) fn broadcast_heartbeat(&mut self, revision: Revision, now: Millis) {
         if self.is_redundant(now) {
             return;
@@ -168,8 +170,7 @@
         self.send(to, &Message::Heartbeat(heartbeat));
     }
 
-    /// Some instances of the receiver's domain, readers first, the others drawn
-    /// anew each time.
+    /// Returns up to `max` instances of the receiver's domain: readers first, the others at random.
     fn contacts(&mut self, to: SocketAddrV4, domain: DomainId, max: usize) -> Vec<SocketAddrV4> {
         let others = self.peers.iter().filter(|(it, peer)| **it != to && peer.domain == domain);
         let others = others.map(|(address, peer)| (peer.role == Role::Listener, *address));
@@ -177,7 +178,7 @@
         if others.len() > max {
             let start = (self.random.draw() % others.len() as u64) as usize;
             others.rotate_left(start);
-            // Readers first: they know all the others.
+            // Readers know all other instances.
             others.sort_by_key(|(is_listener, _)| *is_listener);
             others.truncate(max);
         }
@@ -185,14 +186,14 @@
     }
 }
 
-/// What a heartbeat is sent for.
+/// Purpose of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Purpose {
-    /// To say that this instance is there and what it knows.
+    /// Announces this instance and what it knows.
     Announce,
-    /// To learn who else is there.
+    /// Requests a reply with contacts.
     Request,
-    /// To tell an instance of that domain who else is there.
+    /// Replies to an instance of that domain with contacts.
     Reply(DomainId),
 }
 
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -1,22 +1,22 @@
-//! Who reads the store, and how news reaches the others.
+//! Gossip between instances: who reads the store, and how updates reach the others.
 //!
-//! Each call to the store is priced and its rate is limited, so two instances in
-//! each failure domain read it and pass on what they read. Nobody appoints them:
+//! Calls to the store cost money and are rate-limited, so two instances in each failure domain read
+//! it and propagate what they read. The readers are not appointed:
 //!
-//! - A reader tells its domain after each answer of the store, so silence says
-//!   that the reader or its way to the store is gone.
-//! - Who hears of fewer than two such readers becomes one itself, at once if
-//!   there is none, after a random pause if there is one. Too many readers cost
-//!   calls; too few would cost callers.
-//! - A reader that hears of two others with smaller addresses stops.
+//! - A reader sends its domain a heartbeat after each answer of the store. Silence means that the
+//!   reader or its connection to the store has failed.
+//! - An instance that knows fewer than two such readers becomes one itself: at once if there is
+//!   none, after a random delay if there is one. Too many readers cost calls to the store; too few
+//!   cost callers.
+//! - A reader that knows two others with smaller addresses stops reading.
 //!
-//! News goes through a domain as a tree: the reader sends it to a few, each of
-//! which passes it on to a part of the others, so no instance sends more than
-//! [`FANOUT`] copies. It says up to which revision the receiver must know all;
-//! who lacks something asks for it.
+//! Updates spread through a domain as a tree. The reader sends an update to a few instances, each
+//! of which forwards it to a part of the others, so that no instance sends more than [`FANOUT`]
+//! copies. An update names the revision that the receiver must already know; an instance that lacks
+//! changes pulls them.
 //!
-//! All beliefs are local. Two parts of a domain that are cut off from each other
-//! each have their own readers, and what they know merges by revision.
+//! All knowledge is local. After a network partition within a domain, each part has its own
+//! readers, and later the parts merge their catalogs by revision.
 
 mod heartbeats;
 mod pull;
@@ -36,80 +36,81 @@
 use seats::AssignedSeat;
 use std::{hash::Hasher, net::SocketAddrV4};
 
-/// How often an instance that does not read tells its readers that it is there.
+/// How often a listener sends its readers a heartbeat.
 const HEARTBEAT_INTERVAL: Millis = Millis::secs(4);
-/// How long after its last message an instance is taken for gone: two heartbeats, with room.
+/// Time after the last message at which an instance is taken for gone: two heartbeat intervals and
+/// a margin.
 const PEER_TIMEOUT: Millis = Millis::secs(10);
-/// How long after others told of it an instance that was never heard is
-/// forgotten. Listeners are heard by readers only; when those go, whoever takes
-/// over should know the domain.
+/// Time after which an instance is forgotten that is known only as a contact in heartbeats of
+/// others. Only readers receive heartbeats of listeners; when the readers are gone, their
+/// successors should know the domain.
 const INDIRECT_TIMEOUT: Millis = Millis::secs(60);
-/// How long an instance without readers waits between two questions to seeds.
+/// How often an instance that knows no readers asks the seeds for contacts.
 const DISCOVERY_INTERVAL: Millis = Millis(1_000);
-/// How often a reader tells the seeds that it is one, so that they can tell
-/// whoever starts.
+/// How often a reader announces itself to the seeds, so that they can name it to starting
+/// instances.
 const SEED_INTERVAL: Millis = Millis::secs(4);
 
-/// What is believed of another instance.
+/// State of another instance.
 #[derive(Debug, Clone, Copy)]
 struct Peer {
     domain: DomainId,
     role: Role,
-    /// When the store answered it last, by this instance's clock.
+    /// When the store last answered it, by the local clock.
     last_answer: Option<Millis>,
     revision: Revision,
-    /// When it was heard, or heard of.
+    /// When a message of it or about it last arrived.
     last_seen: Millis,
-    /// Whether others have told of it and it was never heard itself.
+    /// Whether the instance is known only as a contact in heartbeats of others.
     indirect: bool,
 }
 
 /// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Who gets it.
+    /// Address of the receiver.
     pub to: SocketAddrV4,
-    /// Its bytes.
+    /// Content of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// The other instances as one of them sees them.
+/// Membership and gossip of one instance.
 #[derive(Debug)]
 pub struct Fleet {
     address: SocketAddrV4,
     domain: DomainId,
     seeds: Vec<SocketAddrV4>,
     peers: Map<SocketAddrV4, Peer>,
-    /// Since when this instance reads the store.
+    /// When this instance began to read the store, if it does.
     reading_since: Option<Millis>,
-    /// When it becomes a reader, and how many others there were when that was
+    /// When this instance becomes a reader, and the number of other readers for which that time was
     /// drawn.
     promotion: Option<(usize, Millis)>,
-    /// When the store answered this instance last.
+    /// When the store last answered this instance.
     last_answer: Option<Millis>,
-    /// Up to which revision it has passed news on.
+    /// Revision up to which this instance has propagated updates.
     propagated: Revision,
-    /// The era of what this instance knows, and since when.
+    /// Era of the catalog, and when it was first seen.
     era: (u32, Millis),
     last_heartbeat: Option<Millis>,
     last_discovery: Option<Millis>,
-    /// When it has told the seeds that it reads.
+    /// When this instance last announced itself to the seeds as a reader.
     last_seed_heartbeat: Option<Millis>,
     last_pull: Option<Millis>,
-    /// Who knows more, if it is known that anybody does.
+    /// The next pull, if another instance is known to have later changes.
     pending_pull: Option<PendingPull>,
-    /// While this instance knows nothing, who may have the picture.
+    /// Instances that may have a snapshot, while this instance knows nothing.
     sources: Vec<SocketAddrV4>,
     started: Millis,
-    /// This instance's seat, as the first reader has told it last.
+    /// The seat that the first reader last assigned to this instance.
     assigned_seat: Option<AssignedSeat>,
     random: Random,
     outgoing: Vec<Outgoing>,
 }
 
 impl Fleet {
-    /// One that knows the seeds only, and reads the store soon if nobody has the
-    /// picture.
+    /// Creates the state of an instance that knows only the seeds. It soon reads the store itself,
+    /// unless another instance has a snapshot.
     pub fn new(
         address: SocketAddrV4,
         domain: &DomainName,
@@ -145,22 +146,22 @@
         self.reading_since.is_some()
     }
 
-    /// Its failure domain, as messages carry it.
+    /// Hash of the own failure domain's name.
     pub fn domain(&self) -> DomainId {
         self.domain
     }
 
-    /// How many others are known.
+    /// Number of other instances that are known.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// How many instances of its failure domain are known, this one included.
+    /// Number of known instances in the own failure domain, including this one.
     pub fn domain_size(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.domain == self.domain).count()
     }
 
-    /// Whether no other is known.
+    /// Whether no other instance is known.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
@@ -176,28 +177,28 @@
         peers.map(|peer| peer.last_answer).chain([self.last_answer]).max().flatten()
     }
 
-    /// What to send.
+    /// Returns the datagrams to send.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// The store has answered; `catalog` has what it said.
+    /// Handles an answer of the store, which is already merged into `catalog`.
     pub fn store_answered(&mut self, catalog: &Catalog, now: Millis) {
         self.last_answer = Some(now);
-        // News says as well that the store has answered.
+        // An update also announces that the store has answered.
         if !self.propagate(catalog, now) {
             self.broadcast_heartbeat(catalog.revision(), now);
         }
     }
 
-    /// The store can't be reached: the others must not rely on this instance.
+    /// Handles a failed call to the store. Others must no longer rely on this instance as a reader.
     pub fn store_failed(&mut self, catalog: &Catalog, now: Millis) {
         if self.last_answer.take().is_some() {
             self.broadcast_heartbeat(catalog.revision(), now);
         }
     }
 
-    /// Takes in a message; answers the news in it, to be merged.
+    /// Handles a message. Returns the update in it if the update is to be merged.
     pub fn receive(
         &mut self,
         from: SocketAddrV4,
@@ -217,7 +218,7 @@
         }
     }
 
-    /// Does what is due by now.
+    /// Does everything that is due.
     pub fn tick(&mut self, catalog: &Catalog, now: Millis) {
         self.track_era(catalog.revision().era, now);
         self.forget_silent(now);
@@ -251,8 +252,8 @@
         self.next_pull(now).into_iter().chain([self.next_decision(now)]).min().unwrap_or(now)
     }
 
-    /// Forgets instances that were not heard of for long. One that listens hears no other
-    /// listener after the start, so it knows of them by its readers only.
+    /// Forgets instances that were not seen for long. Listeners exchange heartbeats at the start
+    /// only, so a listener knows others only as contacts that its readers name.
     fn forget_silent(&mut self, now: Millis) {
         let is_listener = !self.is_reading();
         for peer in self.peers.values_mut() {
@@ -265,9 +266,9 @@
     fn send(&mut self, to: SocketAddrV4, message: &Message) {
         match encode(message) {
             Ok(bytes) => self.outgoing.push(Outgoing { to, bytes }),
-            // One item may be too large for a datagram. The next heartbeat tells the
-            // revision, and whoever lacks it asks for it.
-            Err(error) => log::debug!("peers: a message is not sent: {error}"),
+            // A single change may be too large for a datagram. The next heartbeat announces the
+            // revision, and instances that lack the change pull it.
+            Err(error) => log::debug!("peers: a message to {to} was not sent: {error}"),
         }
     }
 
--- a/marked/src/fleet/pull.rs
+++ b/marked/src/fleet/pull.rs
@@ -1,32 +1,32 @@
-//! Asking for news that an instance lacks.
+//! Pulling changes that this instance lacks from another instance.
 
 use super::{Fleet, readers::PULL_TIMEOUT};
 use crate::{MAX_ERA_LEAD, Revision};
 use medlarspur_lib::time::Millis;
 use std::net::SocketAddrV4;
 
-/// How long after one question for lacking news the next is asked.
+/// Minimum time between two pulls.
 const PULL_INTERVAL: Millis = Millis(400);
-/// How long news may be on its way after a heartbeat that tells its revision. The heartbeat
-/// comes straight from the reader, the news by way of others.
+/// Time that an update may need to arrive after a heartbeat that announces its revision. The
+/// heartbeat comes directly from the reader, while the update is forwarded by others.
 pub(super) const PROPAGATION_DELAY: Millis = Millis(250);
 
-/// The least that an instance knows which has the picture.
+/// Lowest revision of an instance that has a snapshot.
 const MIN_REVISION: Revision = Revision { era: 0, count: 1 };
 
-/// News that this instance lacks.
+/// A pull to be made.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PendingPull {
-    /// Who has it.
+    /// Instance to pull from.
     pub(super) from: SocketAddrV4,
-    /// Up to which revision that one knows all.
+    /// Revision up to which that instance knows all changes.
     pub(super) revision: Revision,
-    /// When to ask; it may be on its way until then.
+    /// When to pull. Until then, the update may still arrive by itself.
     pub(super) due: Millis,
 }
 
 impl Fleet {
-    /// Whom to ask for news that this instance lacks, if anybody.
+    /// Returns the instance to pull from now, if a pull is due.
     pub fn take_pull(&mut self, known: Revision, now: Millis) -> Option<SocketAddrV4> {
         let is_early = self.last_pull.is_some_and(|at| now.since(at) < PULL_INTERVAL);
         if is_early {
@@ -49,8 +49,9 @@
         Some(from)
     }
 
-    /// An instance that was asked has told nothing: it has no picture itself, tells others, or
-    /// is gone. The next one that may have it is asked at once.
+    /// Handles a pull without an answer: the instance has no snapshot itself, is busy with other
+    /// pulls, or is gone. While this instance knows nothing, it pulls from the next possible source
+    /// at once.
     pub fn pull_failed(&mut self, from: SocketAddrV4, known: Revision, now: Millis) {
         self.sources.retain(|it| *it != from);
         if known > Revision::default() {
@@ -62,8 +63,9 @@
         }
     }
 
-    /// An instance that starts has heard who may have the picture. It asks one of all these:
-    /// if all that start asked whoever answers them first, a few seeds would tell hundreds.
+    /// Schedules the first pull of a starting instance from a random one of all instances that may
+    /// have a snapshot. If starting instances all pulled from whichever instance replied first, a
+    /// few seeds would have to serve hundreds.
     pub(super) fn schedule_first_pull(
         &mut self,
         from: SocketAddrV4,
@@ -87,15 +89,17 @@
         (count > 0).then(|| self.sources[(self.random.draw() % count) as usize])
     }
 
-    /// Whether another instance's word for an era is taken. An instance that the store answers
-    /// takes the era from there, and nobody is led so far ahead that the store can't follow.
+    /// Whether to accept the era in another instance's message. An instance that gets answers from
+    /// the store learns the era there. For others the era is limited, so that no message moves them
+    /// so far ahead that the store never catches up.
     pub fn is_credible(&self, claimed: Revision, known: Revision) -> bool {
         let has_store = self.is_reading() && self.last_answer.is_some();
         let max_lead = if has_store { 0 } else { MAX_ERA_LEAD };
         known == Revision::default() || claimed.era <= known.era.saturating_add(max_lead)
     }
 
-    /// Something shows that this instance lacks news; asks whoever knows most.
+    /// Schedules an immediate pull from the peer that knows most, after a sign that changes are
+    /// missing.
     pub fn catch_up(&mut self) {
         let best = self.peers.iter().max_by_key(|(_, peer)| (peer.last_answer, peer.revision));
         self.pending_pull = best.map(|(address, peer)| PendingPull {
@@ -105,14 +109,14 @@
         });
     }
 
-    /// When to ask for what is lacking. Not before the next question is allowed: until
-    /// then nothing can be done, and the main thread would spin.
+    /// Time of the next pull. It is never earlier than the pull interval allows, because the main
+    /// thread would otherwise spin until then.
     pub(super) fn next_pull(&self, now: Millis) -> Option<Millis> {
         let allowed = self.last_pull.map_or(now, |at| at + PULL_INTERVAL);
         self.pending_pull.map(|it| it.due.max(allowed))
     }
 
-    /// Notes that another instance knows more, unless that is known of one already.
+    /// Schedules a pull, unless one is already scheduled.
     pub(super) fn schedule_pull(&mut self, from: SocketAddrV4, revision: Revision, due: Millis) {
         self.pending_pull.get_or_insert(PendingPull { from, revision, due });
     }
--- a/marked/src/fleet/readers.rs
+++ b/marked/src/fleet/readers.rs
@@ -1,37 +1,37 @@
-//! Deciding which instances of a failure domain read the store.
+//! Choice of the instances of a failure domain that read the store.
 
 use super::{DISCOVERY_INTERVAL, Fleet, Peer};
 use crate::{Catalog, Revision, message::Role};
 use medlarspur_lib::time::Millis;
 use std::net::SocketAddrV4;
 
-/// How many instances of a failure domain read the store: one may fail, be cut
-/// off or be turned away, and the other still does.
+/// Number of instances in a failure domain that read the store. If one fails, is cut off or is
+/// refused by the store, the other continues.
 pub(super) const READERS_PER_DOMAIN: usize = 2;
-/// How old a reader's last answer from the store may be: longer than a watch takes, with a
-/// slow store and a busy reader.
+/// Maximum age of a reader's last answer from the store. It exceeds the duration of a watch,
+/// including a slow store and a busy reader.
 pub(super) const READER_TIMEOUT: Millis = Millis(2_400);
-/// How long a reader may take to hear of a later era: some calls, and the time until others
-/// have heard of it.
+/// Time within which a reader must learn of a later era. It covers some calls, and the time until
+/// others have learned of it.
 const ERA_TIMEOUT: Millis = Millis::secs(6);
-/// How long an instance waits at most before it becomes the second reader.
+/// Maximum delay before an instance becomes the second reader.
 const MAX_SECOND_DELAY: Millis = Millis(1_500);
-/// How long it waits at most before it becomes the only one, so that of many that lose their
-/// readers at once a few go first.
+/// Maximum delay before an instance becomes the only reader. When many instances lose their readers
+/// at once, the random delay lets a few go first.
 const MAX_FIRST_DELAY: Millis = Millis(150);
-/// How long a reader reads at least. Roles that change with each lost datagram
-/// would cost more calls than they save.
+/// Minimum time that an instance remains a reader. Roles that changed with each lost datagram would
+/// cost more calls than they save.
 const MIN_READING_TIME: Millis = Millis::secs(3);
-/// How long an instance that starts waits for others that have the picture before it reads the
-/// store: longer than a seed takes to answer. The store serves a picture dearly, and a crowd
-/// that starts reads it at once.
+/// Time that a starting instance waits for others that have a snapshot before it reads the store,
+/// longer than a seed needs to reply. Full reads are expensive for the store, and many instances
+/// may start at once.
 pub(super) const START_DELAY: Millis = Millis(12);
-/// How long it waits for a picture that it has asked for before it reads the
-/// store after all.
+/// Time that a starting instance waits for a snapshot that it has pulled before it reads the store
+/// itself.
 pub(super) const PULL_TIMEOUT: Millis = Millis(400);
 
 impl Peer {
-    /// Whether it reads the store, which has answered it lately.
+    /// Whether the instance reads the store and got an answer recently.
     pub(super) fn is_reading(&self, now: Millis) -> bool {
         self.role == Role::Reader
             && self.last_answer.is_some_and(|at| now.since(at) <= READER_TIMEOUT)
@@ -39,15 +39,15 @@
 }
 
 impl Fleet {
-    /// Whether nobody of this instance's domain hears from the store, as far as it knows. An
-    /// instance that hears from no reader reads by itself, so that this doesn't last where the
+    /// Whether no instance of this domain gets answers from the store, as far as is known. An
+    /// instance that knows no readers begins to read itself, so this state does not last where the
     /// store can be reached.
     pub fn is_cut_off(&self, now: Millis) -> bool {
         self.confirmed().is_none_or(|at| now.since(at) > READER_TIMEOUT)
     }
 
-    /// The other readers of the domain that have heard from the store lately. One that stays in
-    /// an earlier era is none: either it or this instance is wrong about the store.
+    /// The other readers of the domain that recently got an answer from the store. A reader that
+    /// stays in an earlier era does not count: either it or this instance is wrong about the store.
     pub(super) fn readers(&self, now: Millis) -> impl Iterator<Item = SocketAddrV4> {
         let (era, since) = self.era;
         let is_behind =
@@ -57,19 +57,19 @@
         peers.map(|(address, _)| *address)
     }
 
-    /// Notes since when this instance knows of the era.
+    /// Records when the catalog's era changed.
     pub(super) fn track_era(&mut self, era: u32, now: Millis) {
         if self.era.0 != era {
             self.era = (era, now);
         }
     }
 
-    /// Decides whether to read.
+    /// Starts or stops reading the store.
     pub(super) fn update_role(&mut self, catalog: &Catalog, now: Millis) {
         if let Some(since) = self.reading_since {
             let is_long = now.since(since) >= MIN_READING_TIME;
             if is_long && self.is_redundant(now) {
-                log::info!("readers: this instance stops reading, others do");
+                log::info!("readers: this instance stops reading the store, enough others read it");
                 self.reading_since = None;
                 self.last_answer = None;
             }
@@ -87,20 +87,21 @@
         };
         self.promotion = Some((count, due));
         if due <= now {
-            log::info!("readers: this instance reads the store, {count} others do");
+            log::info!("readers: this instance starts reading the store, {count} others read it");
             self.promotion = None;
-            // What was read for the start only may stop at once.
+            // A start without a snapshot counts as having read long enough, so that the instance
+            // can stop at once.
             self.reading_since = Some(if is_known { now } else { now - MIN_READING_TIME });
             self.propagated = catalog.revision();
         }
     }
 
-    /// Whether enough others read whose addresses are smaller.
+    /// Whether enough readers with smaller addresses exist.
     pub(super) fn is_redundant(&self, now: Millis) -> bool {
         self.readers(now).filter(|it| *it < self.address).count() >= READERS_PER_DOMAIN
     }
 
-    /// A random pause before this instance reads beside `count` others.
+    /// Random delay before this instance reads in addition to `count` others.
     fn promotion_delay(&mut self, count: usize) -> Millis {
         let max_delay = if count == 0 { MAX_FIRST_DELAY } else { MAX_SECOND_DELAY };
         Millis(self.random.draw() % (max_delay.0 + 1))
@@ -113,8 +114,8 @@
         if self.is_reading() {
             return now + DISCOVERY_INTERVAL;
         }
-        // The moment from which the first of its readers is too old.
-        let fresh = self.readers(now).filter_map(|it| self.peers[&it].fresh).min();
-        fresh.map_or(now, |at| at + READER_TIMEOUT + Millis(1))
+        // When the first of the readers becomes too old.
+        let oldest = self.readers(now).filter_map(|it| self.peers[&it].last_answer).min();
+        oldest.map_or(now, |at| at + READER_TIMEOUT + Millis(1))
     }
 }
--- a/marked/src/fleet/seats.rs
+++ b/marked/src/fleet/seats.rs
@@ -1,32 +1,34 @@
-//! Giving the instances of a failure domain seats, by which targets are
-//! [dealt](medlarspur_load::dealing) and slow ones [owned](medlarspur_load::warmup).
+//! Seats of the instances of a failure domain. A seat decides which targets are
+//! [assigned](medlarspur_load::dealing) to an instance and which targets in slow start it
+//! [owns](medlarspur_load::warmup).
 //!
-//! The first reader of a domain, by its address, knows all its instances and tells each its
-//! [`Seat`] with its heartbeats, and with its news, which takes their place.
+//! The reader of a domain with the smallest address knows all instances of the domain. It sends
+//! each its [`Seat`] with heartbeats, and with updates, which replace heartbeats.
 
 use super::{Fleet, readers::READER_TIMEOUT};
 use medlarspur_lib::time::Millis;
 use medlarspur_load::warmup::Seat;
 use std::net::SocketAddrV4;
 
-/// How long an instance must have run to give seats. One that has just started knows some of
-/// the others only, and would take itself for the owner of all slow targets.
+/// Minimum uptime of an instance that assigns seats. Shortly after its start an instance knows only
+/// some of the others, and would take itself for the owner of all targets in slow start.
 const MIN_UPTIME: Millis = Millis::secs(6);
-/// How long it must have read the store to give seats. When the readers of a domain die, many
-/// others begin to read, each knowing some of the rest, until all but two have stopped.
+/// Minimum time that an instance that assigns seats has read the store. When the readers of a
+/// domain fail, many instances begin to read, each of which knows only some of the others, until
+/// all but two have stopped.
 const MIN_TENURE: Millis = Millis::secs(8);
 
-/// A seat as it was told.
+/// A seat that a reader assigned to this instance.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AssignedSeat {
     seat: Seat,
-    /// By which reader.
+    /// The reader.
     reader: SocketAddrV4,
     received_at: Millis,
 }
 
 impl Fleet {
-    /// This instance's seat in its failure domain, if it is known now.
+    /// This instance's seat in its failure domain, if it is currently known.
     pub fn seat(&self, now: Millis) -> Option<Seat> {
         if self.assigns_seats(now) {
             return self.seat_of(self.address);
@@ -38,19 +40,19 @@
         self.assigned_seat.filter(is_valid).map(|assigned| assigned.seat)
     }
 
-    /// Takes in a seat that another instance tells.
+    /// Records a seat that another instance assigned, if that instance is the first reader.
     pub(super) fn accept_seat(&mut self, seat: Option<Seat>, reader: SocketAddrV4, now: Millis) {
         if let Some(seat) = seat.filter(|_| self.is_first_reader(reader, now)) {
             self.assigned_seat = Some(AssignedSeat { seat, reader, received_at: now });
         }
     }
 
-    /// The seat that a heartbeat to another instance tells.
+    /// The seat to send to another instance, if this instance assigns seats.
     pub(super) fn seat_for(&self, to: SocketAddrV4, now: Millis) -> Option<Seat> {
         self.assigns_seats(now).then(|| self.seat_of(to)).flatten()
     }
 
-    /// The position of an instance among all of its domain, in the order of their addresses.
+    /// Position of an instance among all instances of the domain, in the order of addresses.
     fn seat_of(&self, at: SocketAddrV4) -> Option<Seat> {
         let mut seated = self.domain_members();
         seated.push(self.address);
@@ -66,7 +68,7 @@
         is_settled && is_reading && self.is_first_reader(self.address, now)
     }
 
-    /// Whether no fresh reader with a smaller address is known, this instance included.
+    /// Whether no active reader with a smaller address is known, including this instance.
     fn is_first_reader(&self, at: SocketAddrV4, now: Millis) -> bool {
         let reads_before = self.is_reading() && self.last_answer.is_some() && self.address < at;
         !reads_before && self.readers(now).all(|it| it >= at)
--- a/marked/src/fleet/spread.rs
+++ b/marked/src/fleet/spread.rs
@@ -1,4 +1,4 @@
-//! Passing news on through a failure domain, as a tree.
+//! Propagation of updates through a failure domain, as a tree.
 
 use super::{Fleet, heartbeats::MAX_PEERS, pull::PROPAGATION_DELAY};
 use crate::{
@@ -9,20 +9,20 @@
 use medlarspur_load::warmup::Seat;
 use std::net::SocketAddrV4;
 
-/// To how many others an instance passes news on, unless [`MAX_BRANCH`] makes them more. Four
-/// levels reach a hundred instances of a domain twice over.
+/// Number of instances that an update is sent to, unless [`MAX_BRANCH`] requires more. Four levels
+/// could reach twice the hundred instances of a domain.
 const FANOUT: usize = 5;
-/// To how many others each of these passes news on at most. Their addresses stand in the
-/// datagram, and must leave room for the news.
+/// Maximum number of instances in a branch: the receiver and those that it forwards the update to.
+/// Their addresses are part of the datagram and must leave space for changes.
 const MAX_BRANCH: usize = 80;
-/// How many bytes of a datagram hold neither changes nor addresses.
+/// Bytes of a datagram that hold neither changes nor addresses.
 const HEADER_BYTES: usize = 60;
-/// How many bytes an address takes in a datagram at most.
+/// Maximum size of an encoded address in bytes.
 const ADDRESS_BYTES: usize = 7;
 
 impl Fleet {
-    /// Tells the domain what is new since the last time; answers whether anything
-    /// is.
+    /// Sends the changes since the last call to the domain. Returns whether there were any that
+    /// could be sent.
     pub(super) fn propagate(&mut self, catalog: &Catalog, now: Millis) -> bool {
         let revision = catalog.revision();
         if revision.era < self.propagated.era {
@@ -34,7 +34,7 @@
         let update = catalog.update_since(self.propagated, now);
         let is_first = self.propagated == Revision::default();
         self.propagated = revision;
-        // The first picture is whole; the others read it or ask for it.
+        // The first snapshot is too large to send. Other instances read it or pull it.
         if is_first {
             return false;
         }
@@ -42,7 +42,7 @@
         if !update.is_divisible()
             && message::update_size(&update) > change_capacity(branch_size(domain.len()))
         {
-            // Heartbeats tell the revision, and whoever lacks it asks.
+            // Heartbeats announce the revision, and instances that lack changes pull them.
             return false;
         }
         let seats = self.assigns_seats(now).then(|| domain.len() as u32 + 1);
@@ -51,8 +51,8 @@
         true
     }
 
-    /// Sends news to a few instances, each with a part of the others to pass it
-    /// on to. The first of all of them gets the seat `first`, the others follow.
+    /// Sends an update to a few instances, each with a branch of the others to forward it to. The
+    /// first of all instances gets the seat `first`, and the others get the seats that follow.
     fn spread(
         &mut self,
         reader: SocketAddrV4,
@@ -65,7 +65,7 @@
         let parts = split_update(update, change_capacity(branch_len));
         for (nth, branch) in others.chunks(branch_len).enumerate() {
             let seat = first.map(|seat| {
-                // The reader has a seat among them, and is not in the list.
+                // The reader has a seat in this order but is not in the list.
                 let is_behind = reader >= self.address && branch[0] > reader;
                 let before = (nth * branch_len) as u32 + u32::from(is_behind);
                 Seat { position: seat.position.saturating_add(before), ..seat }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Passes news of a reader on; answers it if this instance doesn't know it yet.
+    /// Forwards an update of a reader. Returns the update if it is new to this instance.
     pub(super) fn receive_update(
         &mut self,
         reader: SocketAddrV4,
@@ -88,7 +88,7 @@
         now: Millis,
     ) -> Option<Update> {
         self.accept_seat(seat, reader, now);
-        // Passed on also if it is known here already: the others may not know it.
+        // The update is forwarded even if it is already known here: the receivers may not know it.
         others.retain(|it| *it != self.address);
         others.truncate(MAX_PEERS);
         let next = seat.map(|seat| Seat { position: seat.position.saturating_add(1), ..seat });
@@ -98,13 +98,13 @@
             return None;
         }
         if catalog.has_gap_before(&update) {
-            // Whoever passed it on may lack the same, and what it knows was never
-            // told. The reader has it all. Without this question an instance stays
-            // behind for as long as news keeps coming, because a reader that has news to
-            // tell sends no heartbeats.
+            // The instance that forwarded the update may lack the same changes, and nothing is
+            // known about it. The reader has them all. Without this pull an instance would stay
+            // behind for as long as updates keep coming, because a reader with changes to send
+            // sends no heartbeats.
             self.schedule_pull(reader, update.revision, now + PROPAGATION_DELAY);
         }
-        // What came from another reader need not be told again by this one.
+        // Changes that came from another reader need not be sent again by this one.
         let is_propagated = match update.scope {
             Scope::Incremental(known) | Scope::WithDigest { since: known, .. } => {
                 known <= self.propagated
@@ -118,19 +118,20 @@
     }
 }
 
-/// To how many of `count` others each of the first ones passes news on, itself included.
+/// Number of instances in each branch of `count` receivers, including the one that the update is
+/// sent to.
 fn branch_size(count: usize) -> usize {
     count.div_ceil(FANOUT).clamp(1, MAX_BRANCH)
 }
 
-/// How many bytes a datagram has for changes beside a branch's addresses.
+/// Bytes of a datagram left for changes beside the addresses of a branch.
 fn change_capacity(branch: usize) -> usize {
     MAX_DATAGRAM - HEADER_BYTES - ADDRESS_BYTES * branch
 }
 
-/// Cuts news into parts that fit into `free` bytes of a datagram. In the order of revisions each
-/// part is complete from one revision to another, so a lost one is noticed like
-/// any lost news.
+/// Splits an update into parts whose changes take at most `capacity` bytes each. In the order of
+/// revisions, each part covers all changes from one revision to another, so a lost part is detected
+/// like any lost update.
 fn split_update(update: &Update, capacity: usize) -> Vec<Update> {
     let Scope::Incremental(mut known) = update.scope else { return vec![update.clone()] };
     let mut changes = update.changes.clone();
@@ -148,8 +149,7 @@
     parts
 }
 
-/// Groups changes, in their order, so that each group has `capacity` bytes at most, or
-/// one change.
+/// Groups changes, in their order, into groups of at most `capacity` bytes or of one change.
 fn group_changes(changes: Vec<Change>, capacity: usize) -> Vec<Vec<Change>> {
     let mut groups: Vec<Vec<Change>> = Vec::new();
     let mut free = 0;
--- a/marked/src/health.rs
+++ b/marked/src/health.rs
@@ -1,47 +1,44 @@
-//! Whether a target answers, from what passes by and from asking it.
+//! Health of a target, from passive and active checks.
 //!
-//! A target that dies without a word stays listed for several of its
-//! heartbeats, and whoever opens a flow to it meanwhile waits in vain. What an
-//! instance sees gives it away sooner: an opening without the end of the
-//! handshake, or a request that the caller has to send again. Neither is proof,
-//! since packets get lost, so the target is then asked directly; only if it
-//! does not answer that either is it [lost](Health::is_lost).
+//! A target that crashes stays listed for several of its heartbeats, and flows opened to it in the
+//! meantime hang. Traffic reveals the failure earlier: a handshake that does not complete, or a
+//! request that the caller retransmits. As packets also get lost, neither is proof, so the target
+//! is then probed. Only a failed probe makes it [lost](Health::is_lost).
 
 use medlarspur_lib::time::Millis;
 
-/// How long one doubt keeps further ones from asking again: longer than an
-/// answer takes to come or to stay out.
+/// Minimum time between two probes caused by suspicion, longer than a probe takes to be answered or
+/// to time out.
 const MIN_PROBE_INTERVAL: Millis = Millis(300);
-/// How long after a target was found lost it is asked again, at first. A cut
-/// lasts seconds, a restart brings a new incarnation.
+/// Time from a target's loss to the next probe. A network partition lasts seconds, and a restart
+/// has a new incarnation.
 const FIRST_LOST_INTERVAL: Millis = Millis(500);
-/// The longest pause between two questions to a lost target.
+/// Maximum time between two probes of a lost target.
 const MAX_LOST_INTERVAL: Millis = Millis(2_000);
 
-/// What asking a target brought.
+/// Result of probing a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// This incarnation answers; what it says of itself doesn't matter here.
+    /// This incarnation answers. The health that it reports is not considered.
     Answers,
-    /// It ends the connection without an answer: it is there, and has no room.
+    /// The target closes the connection without an answer: it is alive but has no free slot.
     Declines,
-    /// Its address refuses, or another incarnation answers there.
+    /// The address refuses connections, or another incarnation answers there.
     Gone,
-    /// Nothing answers.
+    /// There was no answer in time.
     Silent,
 }
 
 impl ProbeResult {
-    /// All of them, in the order of their values.
+    /// All results, in the order of their values.
     pub const ALL: [ProbeResult; 4] =
         [ProbeResult::Answers, ProbeResult::Declines, ProbeResult::Gone, ProbeResult::Silent];
 }
 
-/// What is believed of one target.
+/// Health of one target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
     last_alive: Millis,
-    /// When it took an opening last.
     last_accepted: Millis,
     last_probe: Option<Millis>,
     lost: Option<Lost>,
@@ -55,37 +52,37 @@
 }
 
 impl Health {
-    /// Of a target that was just heard of.
+    /// Creates the state of a target that has just become known.
     pub fn new(now: Millis) -> Health {
         Health { last_alive: now, last_accepted: now, last_probe: None, lost: None }
     }
 
-    /// Something was seen that only a living target can have caused. Answers
-    /// whether it had been lost.
+    /// Records a packet that only a living target can have caused. Returns whether the target had
+    /// been lost.
     pub fn record_alive(&mut self, now: Millis) -> bool {
         self.last_alive = now;
         self.lost.take().is_some()
     }
 
-    /// It took an opening.
+    /// Records that the target accepted an opening.
     pub fn record_accepted(&mut self, now: Millis) {
         self.last_accepted = now;
     }
 
-    /// When it took an opening last.
+    /// Time of the last accepted opening.
     pub fn last_accepted(&self) -> Millis {
         self.last_accepted
     }
 
-    /// An opening packet that was first sent at `sent` got no answer. Answers whether
-    /// to ask the target. Answers on flows that are open there say nothing of it: a
-    /// target that is full gives them and takes no opening.
+    /// Records that an opening packet first sent at `sent` got no answer. Returns whether to probe
+    /// the target. Only accepted openings count as evidence against the suspicion, since a full
+    /// target still answers on its open flows.
     pub fn suspect_opening(&mut self, sent: Millis, now: Millis) -> bool {
         self.suspect_since(self.last_accepted, sent, now)
     }
 
-    /// A packet in mid-flow that was first sent at `sent` got no answer. Answers whether
-    /// to ask the target.
+    /// Records that a packet in mid-flow first sent at `sent` got no answer. Returns whether to
+    /// probe the target.
     pub fn suspect(&mut self, sent: Millis, now: Millis) -> bool {
         self.suspect_since(self.last_alive, sent, now)
     }
@@ -100,11 +97,11 @@
         true
     }
 
-    /// Takes in what asking brought. Answers whether that changes the belief.
+    /// Records the result of a probe. Returns whether it made the target lost or brought it back.
     ///
-    /// It does not if the target has shown life since it was asked: then the
-    /// answer got lost, or this machine was too busy to hear it in time, and to
-    /// reset the target's flows would break them.
+    /// A failed probe has no effect if the target has shown life since the probe was sent. Then the
+    /// answer was lost, or this machine was too busy to read it in time, and resetting the target's
+    /// flows would break them.
     pub fn record_probe_result(&mut self, result: ProbeResult, now: Millis) -> bool {
         let probed_at = self.last_probe.replace(now);
         if matches!(result, ProbeResult::Answers | ProbeResult::Declines) {
@@ -121,35 +118,35 @@
         before.is_none()
     }
 
-    /// When it was asked last.
+    /// Time of the last probe.
     pub fn last_probe(&self) -> Option<Millis> {
         self.last_probe
     }
 
-    /// Whether the target does not answer.
+    /// Whether the target is lost, that is, does not answer.
     pub fn is_lost(&self) -> bool {
         self.lost.is_some()
     }
 
-    /// Since when the target does not answer.
+    /// When the target became lost.
     pub fn lost_since(&self) -> Option<Millis> {
         self.lost.map(|lost| lost.since)
     }
 
-    /// When a lost target should be asked again. A cut may refuse connections
-    /// in the place of a target that lives, so one that seems gone is too.
+    /// When to probe a lost target again. This includes targets that seem gone, because a network
+    /// partition may refuse connections on behalf of a live target.
     pub fn next_probe(&self) -> Option<Millis> {
         self.lost.map(|lost| lost.next_probe)
     }
 
-    /// Has a lost target asked again at a moment.
+    /// Postpones the next probe of a lost target to `until`.
     pub fn defer_probe(&mut self, until: Millis) {
         if let Some(lost) = &mut self.lost {
             lost.next_probe = until;
         }
     }
 
-    /// Notes that a lost target is asked again.
+    /// Records that a probe was sent, and schedules the next one of a lost target.
     pub fn record_probe(&mut self, now: Millis) {
         self.last_probe = Some(now);
         if let Some(lost) = &mut self.lost {
@@ -157,7 +154,7 @@
         }
     }
 
-    /// When the last sign of life came.
+    /// Time of the last sign of life.
     pub fn last_alive(&self) -> Millis {
         self.last_alive
     }
--- a/marked/src/lib.rs
+++ b/marked/src/lib.rs
@@ -1,13 +1,12 @@
-//! Forwarding where the fabric returns a mark.
+//! Forwarding for fabrics that echo marks.
 //!
-//! Both ends of a flow send back the last mark that they received, so a packet
-//! in mid-flow says by itself where it goes. Instances then need no agreement
-//! on flows at all: no keepers, no questions, no plans. What remains is to
-//! know the targets and the routes ([`Catalog`]), to pass on news of them
-//! ([`Fleet`]), to choose the target of a new flow, and to notice targets that
-//! no longer answer ([`Forwarder`]).
+//! Both ends of a flow send back the last mark that they received, so every packet in mid-flow
+//! names its own target. Instances therefore need no agreement about flows: no keepers, no
+//! questions to peers, no plans. They only have to know the targets and routes ([`Catalog`]),
+//! spread updates of them by gossip ([`Fleet`]), choose the target of a new flow, and detect
+//! targets that no longer answer (both in [`Forwarder`]).
 //!
-//! Nothing here does I/O or reads a clock. The reasons are in
+//! Nothing in this crate does I/O or reads a clock. The design is explained in
 //! `docs/design/programs.md` and `docs/design/marks.md`.
 
 mod catalog;
--- a/marked/src/message.rs
+++ b/marked/src/message.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other, as datagrams and as whole pictures.
+//! Messages between instances: datagrams, and updates of any size for streams.
 
 use crate::{Change, Revision, Update};
 use medlarspur_load::warmup::Seat;
@@ -6,90 +6,93 @@
 use snafu::{ResultExt, Snafu, ensure};
 use std::net::SocketAddrV4;
 
-/// The version of these messages; instances of different versions ignore each
-/// other and read the store themselves.
+/// Version of the messages. Instances of different versions ignore each other's messages and read
+/// the store themselves.
 const VERSION: u8 = 5;
-/// The most bytes of a datagram between instances, below an ordinary network's
-/// 1,500 with all headers.
+/// Maximum size of a datagram between instances, in bytes. With all headers it stays below the
+/// usual MTU of 1,500.
 pub const MAX_DATAGRAM: usize = 1_200;
 
-/// One of the two domain-wide roles of an instance.
+/// Role of an instance in its failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Role {
-    /// It reads the store and passes on what it reads.
+    /// Reads the store and propagates what it reads.
     Reader,
-    /// It hears from readers.
+    /// Receives updates from readers.
     Listener,
 }
 
-/// The name of a failure domain as messages carry it: a hash of 32 bits.
+/// Hash of a failure domain's name, which stands for the name in messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DomainId(pub u32);
 
-/// Says that an instance is there and what it knows.
+/// Announces that an instance is alive and what it knows.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Its failure domain.
+    /// The sender's failure domain.
     pub domain: DomainId,
-    /// Whether it reads the store.
+    /// Whether the sender reads the store.
     pub role: Role,
-    /// How long ago the store answered it last, in milliseconds; none if that
-    /// was too long ago to matter.
+    /// Milliseconds since the store last answered the sender; `None` if it has not answered, or too
+    /// long ago to matter.
     pub answer_age: Option<u16>,
-    /// Up to which revision it knows all changes.
+    /// Revision up to which the sender knows all changes.
     pub revision: Revision,
-    /// Whether an answer is wanted, to learn who else is there.
+    /// Whether the sender wants a heartbeat in reply, to learn of other instances.
     pub wants_reply: bool,
-    /// Control addresses of some others in the receiver's failure domain.
+    /// Control addresses of some other instances in the receiver's failure domain.
     pub contacts: Vec<SocketAddrV4>,
-    /// The receiver's seat, from the first reader of its failure domain.
+    /// The receiver's seat, if the sender assigns seats, which the first reader of a failure domain
+    /// does.
     pub seat: Option<Seat>,
 }
 
 /// A datagram between instances.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A sign of life.
+    /// Announces the sender.
     Heartbeat(Heartbeat),
-    /// News that the receiver passes on. It is told to whom: a listener knows
-    /// only some of its domain, and the reader that sends the news knows all.
+    /// Carries an update that the receiver forwards. The list of receivers is part of the message
+    /// because a listener knows only some instances of its domain, while the reader that sends the
+    /// update knows all.
     Update {
-        /// The reader that it comes from, which the store has just answered.
+        /// The reader that sent the update first. The store has just answered it.
         reader: SocketAddrV4,
-        /// The news.
+        /// The update.
         update: Update,
-        /// Control addresses of those to pass it on to.
+        /// Control addresses of the instances that the receiver forwards the update to.
         to: Vec<SocketAddrV4>,
-        /// The receiver's seat, if the reader gives any; the seats of those in `to` follow.
+        /// The receiver's seat, if the reader assigns seats. The instances in `to` have the seats
+        /// that follow.
         seat: Option<Seat>,
     },
 }
 
-/// Why a message is not taken.
+/// Why a message is rejected.
 #[derive(Debug, Snafu)]
 pub enum MessageError {
-    /// It is empty or of another version.
-    #[snafu(display("the message is of another version"))]
+    /// The message is empty or of another version.
+    #[snafu(display("the message is empty or not of version {VERSION}"))]
     Version,
-    /// It can't be decoded.
+    /// The message can't be decoded.
     #[snafu(display("the message can't be decoded"))]
     Decode {
-        /// What is wrong.
+        /// The cause.
         source: postcard::Error,
     },
-    /// It can't be encoded.
+    /// The message can't be encoded.
     #[snafu(display("the message can't be encoded"))]
     Encode {
-        /// What is wrong.
+        /// The cause.
         source: postcard::Error,
     },
-    /// It holds values that no instance sends.
-    #[snafu(display("the message holds values out of range"))]
+    /// The message contains values that no instance sends.
+    #[snafu(display("the message contains values out of range"))]
     Invalid,
-    /// It does not fit into a datagram.
-    #[snafu(display("the message has {size} bytes, {MAX_DATAGRAM} fit"))]
+    /// The message does not fit into a datagram.
+    #[snafu(display("the message has {size} bytes, at most {MAX_DATAGRAM} fit into a datagram"))]
     Oversize {
-        /// Its size.
+        /// Size of the message in bytes.
         size: usize,
     },
 }
@@ -98,7 +101,7 @@
 ///
 /// # Errors
 ///
-/// Fails if it is too large for one.
+/// Fails if the message is larger than [`MAX_DATAGRAM`].
 pub fn encode(message: &Message) -> Result<Vec<u8>, MessageError> {
     let bytes = postcard::to_extend(message, vec![VERSION]).context(EncodeSnafu)?;
     ensure!(bytes.len() <= MAX_DATAGRAM, OversizeSnafu { size: bytes.len() });
@@ -109,7 +112,7 @@
 ///
 /// # Errors
 ///
-/// Fails on anything that [`encode`] doesn't make.
+/// Fails on anything that [`encode`] does not produce.
 pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
     let message = postcard::from_bytes(body(bytes)?).context(DecodeSnafu)?;
     if let Message::Update { update, .. } = &message {
@@ -118,7 +121,7 @@
     Ok(message)
 }
 
-/// Encodes a picture for a stream, of any size.
+/// Encodes an update of any size, for a stream.
 ///
 /// # Errors
 ///
@@ -127,24 +130,24 @@
     postcard::to_extend(update, vec![VERSION]).context(EncodeSnafu)
 }
 
-/// Decodes a picture from a stream.
+/// Decodes an update from a stream.
 ///
 /// # Errors
 ///
-/// Fails on anything that [`encode_update`] doesn't make.
+/// Fails on anything that [`encode_update`] does not produce.
 pub fn decode_update(bytes: &[u8]) -> Result<Update, MessageError> {
     let update: Update = postcard::from_bytes(body(bytes)?).context(DecodeSnafu)?;
     ensure!(update.is_valid(), InvalidSnafu);
     Ok(update)
 }
 
-/// How many bytes a change takes in a message; more than any datagram has if it can't
-/// be encoded, and whoever sends it is told why.
+/// Encoded size of a change in bytes. A change that can't be encoded counts as larger than any
+/// datagram, so that sending it fails with the encoder's error.
 pub(crate) fn change_size(change: &Change) -> usize {
     postcard::to_stdvec(change).map_or(usize::MAX, |bytes| bytes.len())
 }
 
-/// The same of the changes of a piece of news.
+/// Encoded size of all changes of an update in bytes.
 pub(crate) fn update_size(update: &Update) -> usize {
     update.changes.iter().chain(&update.unconfirmed).map(change_size).fold(0, usize::saturating_add)
 }
--- a/marked/src/segment.rs
+++ b/marked/src/segment.rs
@@ -1,14 +1,14 @@
-//! What forwarding needs to know of a caller's packet.
+//! The parts of a caller's packet that forwarding looks at.
 
 use crate::Mark;
 use std::{fmt, net::SocketAddrV4};
 
-/// The addresses and ports of a flow: all that tells it from other flows.
+/// The addresses and ports that identify a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// The caller's end.
+    /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// The address and port that the caller asked for; a route of the config.
+    /// Address and port that the caller connects to, which a route of the config describes.
     pub service: SocketAddrV4,
 }
 
@@ -18,44 +18,44 @@
     }
 }
 
-/// What a packet means for its flow.
+/// Role of a packet in its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
-    /// Opens the flow.
+    /// Opens the flow, like a SYN.
     Open,
-    /// Belongs to a flow that was opened.
+    /// Belongs to a flow that was opened earlier.
     Middle,
-    /// The caller has sent all that it will send.
+    /// Ends the caller's data, like a FIN.
     Close,
-    /// The caller gives the flow up at once.
+    /// Aborts the flow, like an RST.
     Abort,
 }
 
 /// The header of a caller's packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Segment {
-    /// The flow that it belongs to.
+    /// The flow that the packet belongs to.
     pub key: FlowKey,
-    /// What it means.
+    /// Role of the packet in the flow.
     pub kind: Kind,
-    /// The number of its first byte of data. Numbers wrap around.
+    /// Sequence number of the first byte of data. Sequence numbers wrap around.
     pub seq: u32,
-    /// The number of the next byte that the caller expects from the target.
+    /// Sequence number of the next byte that the caller expects from the target.
     pub ack: u32,
-    /// How many bytes of data it carries.
+    /// Number of data bytes.
     pub len: u16,
-    /// The mark that the caller received last on this flow, if any.
+    /// The mark that the caller last received on this flow, if any.
     pub mark: Option<Mark>,
 }
 
 impl Segment {
-    /// The number behind its last byte of data.
+    /// Sequence number that follows the last byte of data.
     pub fn end(&self) -> u32 {
         self.seq.wrapping_add(u32::from(self.len))
     }
 }
 
-/// Whether number `a` comes after `b`, where numbers wrap around.
+/// Whether sequence number `a` comes after `b`. Sequence numbers wrap around.
 pub(crate) fn is_after(a: u32, b: u32) -> bool {
     a.wrapping_sub(b).cast_signed() > 0
 }
--- a/marked/src/update.rs
+++ b/marked/src/update.rs
@@ -1,5 +1,5 @@
-//! News of targets and routes: what instances read from the platform and tell
-//! each other.
+//! Updates of targets and routes, which instances read from the platform and exchange with each
+//! other.
 
 use crate::{Incarnation, Start, delta::Delta};
 use medlarspur_lib::{
@@ -10,30 +10,31 @@
 use serde::{Deserialize, Serialize};
 use std::{cmp::Ordering, fmt, net::SocketAddrV4};
 
-/// The most slots that a target may claim. Those of today have 2 or 3; a number
-/// beyond this is a mistake, and would draw all new flows to that target.
+/// Maximum number of slots that a target may claim. Today's targets have 2 or 3; a number above
+/// this limit is a mistake and would draw all new flows to the target.
 pub const MAX_SLOTS: u32 = 10_000;
 
-/// How many eras the source may be ahead of what is known. Each restore takes seconds at least;
-/// a larger step is a mistake or a lie, and would put what it names beyond the reach of the source.
+/// Maximum number of eras that an update may be ahead of what is known. Each restore takes seconds
+/// at least, so a larger step is a mistake or a lie, and the store could not outdate what it
+/// names.
 pub const MAX_ERA_LEAD: u32 = 64;
 
-/// The source's count of its changes, in the order in which it made them.
+/// Position in the store's sequence of changes.
 ///
-/// A source that comes back from a copy gives the same counts out again, in a later era
+/// A store that is restored from a copy assigns the same counts again, in a later era
 /// (`docs/design/eras.md`).
 #[derive(
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the source had come back from a copy; 0 if it doesn't say.
+    /// How often the store had been restored from a copy; 0 if it doesn't say.
     pub era: u32,
-    /// Its count of changes.
+    /// Number of changes that the store had made.
     pub count: u64,
 }
 
 impl Revision {
-    /// A count of an era.
+    /// Creates the revision `count` of `era`.
     pub fn new(era: u32, count: u64) -> Revision {
         Revision { era, count }
     }
@@ -48,190 +49,189 @@
     }
 }
 
-/// One target, as it describes itself.
+/// A target as it describes itself.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Target {
-    /// The name under which all of its starts are listed.
+    /// Name under which every start of the target is listed.
     pub name: TargetName,
-    /// When it started.
+    /// Start time of this process.
     pub start: Start,
-    /// This start of it: [`Incarnation::new`] of the two above.
+    /// Identity of this start: [`Incarnation::new`] of the name and the start time.
     pub incarnation: Incarnation,
-    /// The service that it serves.
+    /// The service that the target provides.
     pub service: ServiceName,
-    /// Where it takes packets (UDP) and questions about its health (TCP).
+    /// Address for packets (UDP) and health probes (TCP).
     pub address: SocketAddrV4,
-    /// Its failure domain.
+    /// The target's failure domain.
     pub domain: DomainName,
-    /// How many requests it works on at once; 1 to [`MAX_SLOTS`].
+    /// Number of requests that the target works on concurrently, from 1 to [`MAX_SLOTS`].
     pub slots: u32,
-    /// Whether it is about to go: its flows go on, new ones go elsewhere.
+    /// Whether the target is about to end. Its flows continue; it gets no new ones.
     pub leaving: bool,
-    /// How much longer it is slow after its start, counted from the moment
-    /// when the entry was written.
+    /// Remaining time of the slow start when the entry was written.
     pub cold: Millis,
-    /// How often it had written its entry since its start. Where the source has come back
-    /// from a copy, the larger one of two entries is the later.
+    /// Number of times that this start has written its entry. After a restore of the store, the
+    /// entry with the larger number is the later one.
     pub writes: u64,
 }
 
 impl Target {
-    /// Whether another entry says the same, but for when it was written.
+    /// Whether two entries are equal apart from the time at which they were written.
     pub(crate) fn has_same_content(&self, other: &Target) -> bool {
         let at = |it: &Target| Target { cold: Millis(0), writes: 0, ..it.clone() };
         at(self) == at(other)
     }
 }
 
-/// Where new flows to an address and port go.
+/// Assigns the new flows to an address and port to services.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
-    /// The address and port that callers ask for.
+    /// Address and port that callers connect to.
     pub address: SocketAddrV4,
-    /// The class of the requests inside.
+    /// Class of the requests in these flows.
     pub class: Class,
-    /// Within which time they should be answered, if operators say so.
+    /// Latency objective of the answers, if operators set one.
     pub objective: Option<Millis>,
-    /// The services that new flows are split over; never empty, and the sum
-    /// of the weights is positive.
+    /// Services that share the new flows. The list is not empty, and the sum of the weights is
+    /// positive.
     pub shares: Vec<Share>,
-    /// The regions in which its requests must stay; empty if they may go anywhere.
+    /// Regions that the requests must not leave; empty if there is no restriction.
     pub regions: Vec<RegionName>,
 }
 
-/// A service's part of a route.
+/// Share of a service in the new flows of a route.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Share {
     /// The service.
     pub service: ServiceName,
-    /// Its weight among the shares of the route.
+    /// Weight relative to the other shares of the route.
     pub weight: u32,
 }
 
-/// What operators have published, as one value.
+/// The config that operators published.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Config {
     /// Its version.
     pub version: Version,
-    /// All routes.
+    /// The routes.
     pub routes: Vec<Route>,
-    /// What is known of services besides their targets; no two have one name.
+    /// Properties of services. Names are unique.
     pub services: Vec<Service>,
-    /// How long a flow may be silent before it may be forgotten.
+    /// How long a flow may be idle before it may be dropped from memory.
     pub idle: Millis,
-    /// How many of the published routes can't be served and are not among these.
+    /// Number of published routes that can't be served and are therefore left out of `routes`.
     pub omitted: u32,
 }
 
-/// A service apart from its targets.
+/// Properties of a service, apart from its targets.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
     /// Its name.
     pub name: ServiceName,
-    /// The path of its health endpoint.
+    /// Path of the health endpoint.
     pub health: Box<str>,
-    /// What its targets bear after their start, if operators bound it.
+    /// Limit of the load on targets in slow start, if operators set one.
     pub warmup: Option<Warmup>,
 }
 
-/// What targets bear while they are slow after their start.
+/// Limit of the load on a target in slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Warmup {
-    /// How long it takes.
+    /// Duration of the slow start.
     pub span: Millis,
-    /// How many requests a second one of them bears meanwhile, from all instances
-    /// together; never 0.
+    /// Maximum number of requests a second that the target gets from all instances together; never
+    /// 0.
     pub rate: u32,
 }
 
-/// A target as it was listed last.
+/// A target that is no longer listed, as its last entry described it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FormerTarget {
     /// The target.
     pub target: Target,
-    /// For how long it has not been listed.
+    /// Time since the target ceased to be listed.
     pub age: Millis,
 }
 
-/// What has changed.
+/// What a change says.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
-    /// The config.
+    /// A new config.
     Config(Config),
-    /// What makes the config of an earlier one. Who has another one than that
-    /// lacks something and must ask.
+    /// The difference from an earlier config. A receiver that has a different config can't apply it
+    /// and has to request a snapshot.
     Delta(Delta),
-    /// A target, present.
+    /// A listed target.
     Target(Target),
-    /// The entry of that name was removed, whichever start of it was listed.
+    /// The entry of this name was removed, whichever start it described.
     Removed(TargetName),
-    /// The entry of that name is there and names no target that could be used:
-    /// another writer changed it. Flows at the target that it named go on.
+    /// The entry of this name no longer describes a usable target, because another writer changed
+    /// it. Flows to the target that it described continue.
     Unusable(TargetName),
-    /// A target that is not listed any more, or has started again since. Flows at it go on, and
-    /// whoever starts must know its mark.
+    /// A target that is no longer listed or has been replaced by a later start. Flows to it
+    /// continue, so an instance that starts must know its mark.
     FormerTarget(FormerTarget),
-    /// Operators want the targets of a failure domain to get no new flows.
+    /// Operators evacuated a failure domain: its targets get no new flows.
     Evacuated(DomainName),
-    /// They don't any more.
+    /// Operators ended the evacuation of a failure domain.
     EvacuationEnded(DomainName),
 }
 
-/// One item at its revision.
+/// A change of one item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// When the source changed it last.
+    /// The store's revision of the change.
     pub revision: Revision,
-    /// What it is now.
+    /// The item after the change.
     pub content: Content,
 }
 
-/// How much of the source a piece of news covers.
+/// Which changes an update covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// All changes since a revision.
     Incremental(Revision),
-    /// All changes since a revision, but for what ended before the teller read all anew.
-    /// Whoever lists something else by then has to ask for all.
+    /// All changes since a revision, except for items that ended before the sender's last full
+    /// read. A receiver whose listing then has another digest has to request a snapshot.
     WithDigest {
-        /// What the receiver must know.
+        /// Revision up to which the receiver must know all changes.
         since: Revision,
-        /// A digest of the targets, the evacuated failure domains and the version of the config
-        /// that the teller lists.
+        /// Digest of the sender's listing: targets, evacuated failure domains and the version of
+        /// the config.
         digest: u64,
     },
-    /// All targets and evacuated failure domains: one that is not there is not any more.
+    /// All targets and evacuated failure domains. Items that are not part of it no longer exist.
     Snapshot,
 }
 
-/// News from a source.
+/// Changes from the store, either read there or received from another instance.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Update {
-    /// The source's count when it told this.
+    /// Revision of the sender up to which the update is complete.
     pub revision: Revision,
-    /// What it covers.
+    /// Which changes the update covers.
     pub scope: Scope,
-    /// The items.
+    /// The changes.
     pub changes: Vec<Change>,
-    /// What the copy from which the source came back says against what was known. It holds once
-    /// there was time to write again what the copy lacks.
+    /// Changes by which the copy that the store was restored from contradicts what was known. They
+    /// take effect after a delay that lets writers repeat what the copy lacks.
     pub unconfirmed: Vec<Change>,
 }
 
 impl Update {
-    /// News of which nothing is unconfirmed.
+    /// Creates an update without unconfirmed changes.
     pub fn new(revision: Revision, scope: Scope, changes: Vec<Change>) -> Update {
         Update { revision, scope, changes, unconfirmed: Vec::new() }
     }
 
-    /// Whether parts of it say by themselves what they cover.
+    /// Whether the update can be split into parts that each state what they cover.
     pub(crate) fn is_divisible(&self) -> bool {
         matches!(self.scope, Scope::Incremental(_))
     }
 
-    /// Whether all values are in their ranges. What comes from the platform is;
-    /// a message between instances may be damaged, and one target with no slots or
-    /// one route without a service would end the thread that forwards packets.
+    /// Whether all values are within their ranges. Values from the platform always are, but a
+    /// message between instances may be damaged. A target without slots or a route without a
+    /// service would panic the thread that forwards packets.
     pub fn is_valid(&self) -> bool {
         let is_subject = |change: &Change| Subject::of(&change.content).is_some();
         let all = self.changes.iter().chain(&self.unconfirmed);
@@ -256,17 +256,17 @@
     }
 }
 
-/// What a change is about, apart from configs.
+/// The item that a change is about, unless it is a config.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum Subject {
-    /// The entries under a name.
+    /// The entry of a target's name.
     Target(TargetName),
     /// The evacuation of a failure domain.
     Domain(DomainName),
 }
 
 impl Subject {
-    /// What may be unconfirmed; none for the rest.
+    /// Returns the subject of changes that can be unconfirmed, and `None` for others.
     pub(crate) fn of(content: &Content) -> Option<Subject> {
         match content {
             Content::Target(target) => Some(Subject::Target(target.name.clone())),
@@ -297,7 +297,8 @@
         self.shares.iter().any(|share| share.weight > 0)
     }
 
-    /// The shares in a fixed order, whose cumulative weights split new flows.
+    /// Returns the service that gets the flow with the random number `draw`. Each service gets a
+    /// part of all numbers in proportion to its weight.
     pub fn pick_service(&self, draw: u64) -> &ServiceName {
         let total: u64 = self.shares.iter().map(|share| u64::from(share.weight)).sum();
         let mut rest = draw % total.max(1);
