--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! What the decisions where marks are used cost, by size: time and memory.
+//! Costs of forwarding by marks depending on size, in time and memory.
 //!
-//! Prints one row a measure; `docs/measures/marks.md` has a run and says what
-//! follows from it for the size aimed for.
+//! Prints one row for each measure. `docs/measures/marks.md` shows the output of a run and its
+//! consequences for the intended scale.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -14,12 +14,12 @@
 };
 use std::{fs, hint::black_box, net::SocketAddrV4, time::Instant};
 
-/// How many packets or openings a time is the mean of.
+/// Number of packets or openings that a mean time is taken over.
 const ROUNDS: u32 = 200_000;
 
-struct Nowhere;
+struct NoOutput;
 
-impl Output for Nowhere {
+impl Output for NoOutput {
     fn forward(&mut self, target: &Target, mark: Mark, packet: &[u8]) {
         black_box((target.address, mark, packet));
     }
@@ -79,8 +79,8 @@
     }
 }
 
-/// A site with that many targets and 0.6 routes a target, as at the size aimed
-/// for; `services` share them.
+/// A snapshot of a site with `targets` targets, which `services` services share, and 0.6 routes a
+/// target, as at the intended scale.
 fn site(targets: usize, services: usize) -> Update {
     let routes = (targets * 6 / 10).max(1);
     let route = |number: usize| Route {
@@ -109,7 +109,7 @@
     Update::new(Revision::new(0, targets as u64 + 2), Scope::Snapshot, changes)
 }
 
-/// The resident memory of this process in bytes.
+/// Resident memory of this process in bytes.
 fn resident() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = text.split(' ').nth(1).and_then(|it| it.parse().ok()).unwrap_or_default();
@@ -151,7 +151,7 @@
 fn forwarder(targets: usize, services: usize) -> Forwarder {
     let tuning = Tuning { domain: DomainName::new("north"), regions: Default::default(), seed: 1 };
     let mut forwarder = Forwarder::new(tuning);
-    forwarder.learn(site(targets, services), Millis(0), &mut Nowhere);
+    forwarder.learn(site(targets, services), Millis(0), &mut NoOutput);
     forwarder
 }
 
@@ -174,7 +174,7 @@
     };
     let all: Vec<Segment> = (0..flows).map(|nth| segment(nth, 0)).collect();
     for segment in &all {
-        forwarder.packet(segment, &[0; 134], Millis(1), &mut Nowhere);
+        forwarder.packet(segment, &[0; 134], Millis(1), &mut NoOutput);
     }
     let held = (resident() - base) / flows as f64;
     row("a flow, resident (upper bound)", flows, held, "B");
@@ -184,7 +184,7 @@
         let known = all[nth % flows];
         let seq = known.seq + (nth / flows) as u32 * 100 + 100;
         let segment = Segment { seq, ..known };
-        forwarder.packet(&segment, &[0; 134], Millis(2), &mut Nowhere);
+        forwarder.packet(&segment, &[0; 134], Millis(2), &mut NoOutput);
     }
     let nanos = start.elapsed().as_nanos() as f64 / rounds.max(flows) as f64;
     row("a packet in mid-flow, 5,600 targets", flows, nanos, "ns");
@@ -198,7 +198,7 @@
     for nth in 0..count {
         let key = flow(nth, 1);
         let open = Segment { key, kind: Kind::Open, seq: 1, ack: 0, len: 0, mark: None };
-        forwarder.packet(&open, &[0; 34], Millis(nth as u64 / 50), &mut Nowhere);
+        forwarder.packet(&open, &[0; 34], Millis(nth as u64 / 50), &mut NoOutput);
     }
     let nanos = start.elapsed().as_nanos() as f64 / count as f64;
     row("an opening, targets of its service", targets, nanos, "ns");
--- a/marked/src/fleet/spread.rs
+++ b/marked/src/fleet/spread.rs
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 
 /// Number of instances that an update is sent to, unless [`MAX_BRANCH`] requires more. Four levels
-/// could reach twice the hundred instances of a domain.
+/// are enough for twice the hundred instances of a domain.
 const FANOUT: usize = 5;
 /// Maximum number of instances in a branch: the receiver and those that it forwards the update to.
 /// Their addresses are part of the datagram and must leave space for changes.
@@ -21,8 +21,7 @@
 const ADDRESS_BYTES: usize = 7;
 
 impl Fleet {
-    /// Sends the changes since the last call to the domain. Returns whether there were any that
-    /// could be sent.
+    /// Sends the changes since the last call to the domain. Returns whether an update was sent.
     pub(super) fn propagate(&mut self, catalog: &Catalog, now: Millis) -> bool {
         let revision = catalog.revision();
         if revision.era < self.propagated.era {
--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Targets, routes, packets and a place that keeps what was decided.
+//! Targets, routes and packets for tests, and an output that records all decisions.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -12,28 +12,28 @@
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Where feeds of `desk` are asked for.
+/// Service address for feeds to `desk`.
 pub const FEED: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 8443);
-/// Where requests of `desk` are asked for.
+/// Service address for requests to `desk`.
 pub const REQUEST: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 8080);
-/// Where uploads of `ingest` are asked for.
+/// Service address for uploads to `ingest`.
 pub const UPLOAD: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 2), 8443);
 
 pub fn millis(millis: u64) -> Millis {
     Millis(millis)
 }
 
-/// The name of target `number`.
+/// Name of target `number`.
 pub fn name(number: u64) -> TargetName {
     TargetName::new(&format!("i-{:08x}", 0x7000_0000 + number))
 }
 
-/// Target `number` of a service, at an address of its own.
+/// Target `number` of a service, at its own address.
 pub fn target(number: u64, service: &str) -> Target {
     started(number, service, 1_700_000_000_000)
 }
 
-/// The same, started at a moment of its own clock.
+/// Target `number`, started at the given time of its own clock.
 pub fn started(number: u64, service: &str, start: u64) -> Target {
     let (name, start) = (name(number), Start(start));
     Target {
@@ -55,7 +55,7 @@
     Route { address, class, objective: None, shares: vec![share], regions: Vec::new() }
 }
 
-/// What a config says of a service.
+/// Properties of a service in a config.
 pub fn service(name: &str) -> Service {
     Service { name: ServiceName::new(name), health: "/health".into(), warmup: None }
 }
@@ -82,7 +82,7 @@
     Update::new(Revision::new(0, revision), scope, changes)
 }
 
-/// All there is: the config at revision 1, the targets from 2 on.
+/// A snapshot with the config at revision 1 and the targets from revision 2 on.
 pub fn snapshot(targets: &[Target]) -> Update {
     let mut changes = vec![change(1, Content::Config(config(1)))];
     let targets = targets.iter().cloned().zip(2..);
@@ -90,7 +90,7 @@
     update(100, Scope::Snapshot, changes)
 }
 
-/// Change of one item.
+/// An update of one item, which follows the revision before.
 pub fn incremental(revision: u64, content: Content) -> Update {
     update(
         revision,
@@ -99,7 +99,7 @@
     )
 }
 
-/// The flow of caller `number` to a service's address.
+/// The flow of caller `number` to a service address.
 pub fn flow(number: u16, service: SocketAddrV4) -> FlowKey {
     FlowKey { caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), number), service }
 }
@@ -108,18 +108,18 @@
     Segment { key, kind, seq: 1000, ack: 0, len: 0, mark: None }
 }
 
-/// What was decided.
+/// Records the output of a forwarder.
 #[derive(Debug, Default)]
 pub struct Decisions {
-    /// Packets that were sent on.
+    /// Packets that were forwarded.
     pub sent: Vec<(Incarnation, Mark, Vec<u8>)>,
     /// Flows that were reset.
     pub resets: Vec<(FlowKey, u32, Refusal)>,
-    /// Targets that were asked.
+    /// Targets that were probed.
     pub probed: Vec<Incarnation>,
-    /// What was written down.
+    /// Notes of decisions.
     pub notes: Vec<Note>,
-    /// What was measured.
+    /// Measured times.
     pub spans: Vec<(ServiceName, Class, Span)>,
     reset: Option<(FlowKey, u32)>,
 }
@@ -138,7 +138,7 @@
     }
 
     fn note(&mut self, note: Note) {
-        // The reason of a reset is in the note that follows it.
+        // The note that follows a reset contains its reason.
         if let Note::Reset { flow, refusal, .. } = &note {
             let (reset, seq) = self.reset.take().expect("the reset comes first");
             assert_eq!(reset, *flow);
@@ -152,7 +152,7 @@
     }
 }
 
-/// An instance with what it decided.
+/// A forwarder with its recorded output.
 pub struct Instance {
     pub forwarder: Forwarder,
     pub out: Decisions,
@@ -163,17 +163,17 @@
         Instance::with_seed(targets, 7)
     }
 
-    /// The same with a seed for what is drawn.
+    /// Creates an instance with a seed for random choices.
     pub fn with_seed(targets: &[Target], seed: u64) -> Instance {
-        Instance::placed("north", targets, seed)
+        Instance::create("north", targets, seed)
     }
 
-    /// The same in a failure domain.
+    /// Creates an instance in a failure domain.
     pub fn in_domain(domain: &str, targets: &[Target]) -> Instance {
-        Instance::placed(domain, targets, 7)
+        Instance::create(domain, targets, 7)
     }
 
-    fn placed(domain: &str, targets: &[Target], seed: u64) -> Instance {
+    fn create(domain: &str, targets: &[Target], seed: u64) -> Instance {
         let places = [("north", "here"), ("centre", "here"), ("south", "there")];
         let regions =
             places.map(|(domain, region)| (DomainName::new(domain), RegionName::new(region)));
@@ -194,21 +194,21 @@
         self.forwarder.packet(&segment, b"packet", millis(now), &mut self.out);
     }
 
-    /// Sends the opening packet of a flow; answers where it went.
+    /// Sends the opening packet of a flow. Returns the target that it went to.
     pub fn open(&mut self, key: FlowKey, now: u64) -> Incarnation {
         self.packet(segment(key, Kind::Open), now);
         self.last_target()
     }
 
-    /// Opens a flow and has the target answer; answers the target.
+    /// Opens a flow and lets its target answer. Returns the target.
     pub fn establish(&mut self, key: FlowKey, now: u64) -> Incarnation {
         let target = self.open(key, now);
         self.packet(middle(key, target, 1001, 500, 0), now + 5);
         target
     }
 
-    /// Has so many requests answered after `span`, one after the other in no time, so that
-    /// it is known how long answers take.
+    /// Lets `count` requests be answered after `span` each, so that the usual time of answers is
+    /// known.
     pub fn record_answers(&mut self, service: SocketAddrV4, count: u16, span: u64) {
         for number in 0..count {
             let key = flow(60_000 + number, service);
@@ -226,20 +226,20 @@
         self.forwarder.tick(millis(now), &mut self.out);
     }
 
-    /// Whether a target takes a flow that is opened now, and if not, why.
+    /// Whether a target can take a flow that is opened now, and if not, the reason.
     pub fn usage(&self, key: FlowKey, at: Incarnation, now: u64) -> TargetUse {
         let explained = self.forwarder.explain(&key, None, millis(now));
         let name = &self.forwarder.catalog().entry(at).expect("known").target.name;
         explained.candidates.iter().find(|it| it.name == *name).expect("a candidate").usage
     }
 
-    /// Where the last packet went.
+    /// Target of the last forwarded packet.
     pub fn last_target(&self) -> Incarnation {
         self.out.sent.last().expect("a packet was sent on").0
     }
 }
 
-/// A packet in mid-flow of a flow at `target`.
+/// A packet in mid-flow, with the mark of `target`.
 pub fn middle(key: FlowKey, target: Incarnation, seq: u32, ack: u32, len: u16) -> Segment {
     let mark = Some(Mark::new(target, &key));
     Segment { key, kind: Kind::Middle, seq, ack, len, mark }
--- a/marked/tests/test_catalog.rs
+++ b/marked/tests/test_catalog.rs
@@ -1,4 +1,4 @@
-//! News in any order makes one picture.
+//! Merging updates: any order results in the same catalog.
 
 use super::fixtures::{FEED, change, config, incremental, millis, name, started, target, update};
 use medlarspur_lib::ids::ServiceName;
@@ -34,10 +34,10 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn order_and_repetition_of_news_do_not_matter(
+    fn order_and_repetition_of_updates_do_not_matter(
         history in histories(), order in any::<prop::sample::Index>(), seed in any::<u64>()
     ) {
-        let mut straight = Catalog::default();
+        let mut ordered = Catalog::default();
         let mut shuffled = Catalog::default();
         let mut mixed = history.clone();
         let again = order.index(history.len());
@@ -48,7 +48,7 @@
         }
 
         for update in history {
-            straight.merge(update, millis(1));
+            ordered.merge(update, millis(1));
         }
         for update in mixed {
             shuffled.merge(update, millis(1));
@@ -58,21 +58,21 @@
             let entries = listed(catalog).into_iter().filter(|(.., listed)| *listed);
             entries.collect::<Vec<_>>()
         };
-        prop_assert_eq!(present(&straight), present(&shuffled));
-        prop_assert_eq!(straight.config(), shuffled.config());
-        // With news missing in between it doesn't claim to know all; asking for
+        prop_assert_eq!(present(&ordered), present(&shuffled));
+        prop_assert_eq!(ordered.config(), shuffled.config());
+        // While updates are missing in between, the catalog does not claim to be complete. Pulling
         // what it lacks closes the gap.
-        prop_assert!(shuffled.revision() <= straight.revision());
-        shuffled.merge(straight.update_since(shuffled.revision(), millis(2)), millis(2));
-        prop_assert_eq!(present(&straight), present(&shuffled));
-        prop_assert_eq!(straight.revision(), shuffled.revision());
+        prop_assert!(shuffled.revision() <= ordered.revision());
+        shuffled.merge(ordered.update_since(shuffled.revision(), millis(2)), millis(2));
+        prop_assert_eq!(present(&ordered), present(&shuffled));
+        prop_assert_eq!(ordered.revision(), shuffled.revision());
     }
 }
 
-/// A slow source tells an older config after a newer one is in force. Taking
+/// Guards against a slow store that lists an older config while a newer one is in force. Applying
 /// it would bring back routes that operators have removed.
 #[test]
-fn an_older_config_never_comes_back() {
+fn an_older_config_is_ignored() {
     let mut catalog = Catalog::default();
     catalog.merge(incremental(20, Content::Config(config(7))), millis(0));
 
@@ -81,10 +81,10 @@
     assert_eq!(catalog.config().expect("a config").version.0, 7);
 }
 
-/// The news of a removal overtakes that of the entry. Without a memory of the
-/// removal, the late entry would bring a dead target into use.
+/// Guards against a removal that overtakes the update of its entry. Without a tombstone, the late
+/// entry would bring a dead target back into use.
 #[test]
-fn a_removal_that_came_first_keeps_the_entry_out() {
+fn a_removal_that_arrives_first_outdates_the_entry() {
     let mut catalog = Catalog::default();
     let gone = target(1, "desk");
     catalog.merge(incremental(9, Content::Removed(gone.name.clone())), millis(0));
@@ -94,10 +94,10 @@
     assert_eq!(catalog.entries().count(), 0);
 }
 
-/// The store forgets its history, and an instance reads all again. What it does
-/// not find any more was removed meanwhile.
+/// Guards against keeping removed items after the store has compacted its history and an instance
+/// makes a full read.
 #[test]
-fn reading_all_removes_what_is_not_there() {
+fn a_snapshot_removes_items_that_it_does_not_list() {
     let mut catalog = Catalog::default();
     catalog.merge(incremental(1, Content::Target(target(1, "desk"))), millis(0));
     catalog.merge(incremental(2, Content::Target(target(2, "desk"))), millis(0));
@@ -111,10 +111,10 @@
     assert_eq!(presence(2), Presence::Listed);
 }
 
-/// Reading all takes several calls. A target that was listed by a newer change
-/// while it was under way must not be taken for removed.
+/// Guards against removing a target that was listed by a newer change during a full read, which
+/// takes several calls.
 #[test]
-fn reading_all_does_not_remove_what_is_newer() {
+fn a_snapshot_does_not_remove_newer_items() {
     let mut catalog = Catalog::default();
     catalog.merge(incremental(40, Content::Target(target(1, "desk"))), millis(0));
 
@@ -124,7 +124,8 @@
     assert_eq!(entry.presence, Presence::Listed);
 }
 
-/// An entry lapses while the store is away and is back when it returns.
+/// Guards against ignoring an entry that lapsed during an outage of the store and is written again
+/// afterwards.
 #[test]
 fn an_entry_that_is_written_again_is_listed_again() {
     let mut catalog = Catalog::default();
@@ -138,8 +139,8 @@
     assert_eq!(catalog.targets(&ServiceName::new("desk")).count(), 1);
 }
 
-/// Flows to a removed target go on for a minute; its memory must not grow with
-/// every target that ever was.
+/// Guards against memory that grows with every target that ever existed, and against forgetting a
+/// removed target while its flows, which take up to a minute, continue.
 #[test]
 fn a_removed_target_is_forgotten_after_its_flows_have_ended() {
     let mut catalog = Catalog::default();
@@ -166,10 +167,10 @@
     assert_eq!(desk, 90);
 }
 
-/// Two removals of one target that was never listed here come out of order. The
-/// later one must be remembered, or an entry from between brings it back.
+/// Guards against remembering the earlier of two removals of an unknown target that arrive out of
+/// order. An entry from between them would then be listed.
 #[test]
-fn the_latest_of_two_removals_counts() {
+fn the_later_of_two_removals_wins() {
     let mut catalog = Catalog::default();
     let gone = target(1, "desk");
     catalog.merge(incremental(9, Content::Removed(gone.name.clone())), millis(0));
@@ -180,32 +181,31 @@
     assert_eq!(catalog.entries().count(), 0);
 }
 
-/// An instance was away for minutes. Removals from that time are no longer
-/// remembered by the one that it asks, so it must be told all, or it would
-/// send flows to targets that are gone.
+/// Guards against an incremental update for an instance that was away for minutes. The sender no
+/// longer retains the removals of that time, so the instance would send flows to targets that are
+/// gone.
 #[test]
-fn who_was_away_for_long_is_told_all() {
+fn an_instance_that_was_away_for_long_gets_a_snapshot() {
     let (kept, gone) = (target(1, "desk"), target(2, "desk"));
-    let mut asked = Catalog::default();
-    asked.merge(incremental(1, Content::Target(kept.clone())), millis(0));
-    asked.merge(incremental(2, Content::Target(gone.clone())), millis(0));
+    let mut source = Catalog::default();
+    source.merge(incremental(1, Content::Target(kept.clone())), millis(0));
+    source.merge(incremental(2, Content::Target(gone.clone())), millis(0));
     let mut away = Catalog::default();
-    away.merge(asked.update_since(Revision::new(0, 0), millis(0)), millis(0));
-    asked.merge(incremental(3, Content::Removed(gone.name.clone())), millis(10));
-    asked.merge(incremental(4, Content::Config(config(1))), millis(100_000));
+    away.merge(source.update_since(Revision::new(0, 0), millis(0)), millis(0));
+    source.merge(incremental(3, Content::Removed(gone.name.clone())), millis(10));
+    source.merge(incremental(4, Content::Config(config(1))), millis(100_000));
 
-    let told = asked.update_since(away.revision(), millis(100_000));
-    away.merge(told, millis(100_000));
+    let update = source.update_since(away.revision(), millis(100_000));
+    away.merge(update, millis(100_000));
 
     let entry = away.entry(gone.incarnation).expect("known for a while");
     assert_eq!(entry.presence, Presence::Removed(millis(100_000)));
-    assert_eq!(away.revision(), asked.revision());
+    assert_eq!(away.revision(), source.revision());
 }
 
-/// News between two that came was lost on the way. The instance must know that
-/// it lacks something, or a removal in between would never be noticed.
+/// Guards against missing a removal because an update between two received ones was lost.
 #[test]
-fn lost_news_is_noticed() {
+fn a_lost_update_is_detected() {
     let mut catalog = Catalog::default();
     catalog.merge(update(10, Scope::Snapshot, vec![]), millis(0));
     let later = update(14, Scope::Incremental(Revision::new(0, 12)), vec![]);
@@ -216,9 +216,10 @@
     assert_eq!(catalog.revision(), Revision::new(0, 10));
 }
 
-/// Guards against listing a target for good that went before the reader read all.
+/// Guards against a target that stays listed for good because it was removed before the reader's
+/// full read.
 #[test]
-fn a_reader_that_read_all_does_not_hide_earlier_removals() {
+fn a_reader_after_a_full_read_does_not_hide_earlier_removals() {
     let gone = target(1, "desk");
     let mut listener = Catalog::default();
     listener.merge(incremental(1, Content::Target(gone.clone())), millis(0));
--- a/marked/tests/test_convergence.rs
+++ b/marked/tests/test_convergence.rs
@@ -1,5 +1,5 @@
-//! Instances that read a source, hear of it from each other and miss some of it, while it comes
-//! back from copies.
+//! Instances that read a store, receive updates from each other and miss some, while the store is
+//! restored from copies.
 
 use super::fixtures::{config, millis, name, started};
 use medlarspur_lib::{ids::DomainName, time::Millis};
@@ -7,18 +7,19 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// The time by which all is written again, and with it what the copy says holds.
-const REWRITTEN: Millis = Millis(3_000);
+/// Time after which everything is written again and what the copy says takes effect.
+const REWRITE_TIME: Millis = Millis(3_000);
 
 fn at(era: u32, count: u64, content: Content) -> Change {
     Change { revision: Revision::new(era, count), content }
 }
 
-fn whole(era: u32, count: u64, changes: Vec<Change>) -> Update {
+fn snapshot(era: u32, count: u64, changes: Vec<Change>) -> Update {
     Update::new(Revision::new(era, count), Scope::Snapshot, changes)
 }
 
-/// What the source holds: targets by number, the version of the config, evacuated domains.
+/// Contents of the store: targets by number, evacuated domains, and the version of the config, each
+/// with its revision.
 #[derive(Debug, Default, Clone)]
 struct Items {
     targets: BTreeMap<u64, (u64, Target)>,
@@ -27,7 +28,7 @@
     count: u64,
 }
 
-/// A source with the writers that know what it should hold.
+/// A store, with what its writers want it to contain.
 #[derive(Debug, Default)]
 struct Source {
     items: Items,
@@ -47,8 +48,8 @@
         self.items.count
     }
 
-    /// A target starts, or writes its entry again, which changes if it says something else.
-    /// One that leaves doesn't stay after all.
+    /// A target starts or writes its entry, which only changes if it says something else. A leaving
+    /// target stays leaving.
     fn write(&mut self, number: u64, leaving: bool) {
         let target = match self.wanted.targets.get(&number) {
             Some((_, it)) => {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// A target goes.
+    /// A target ends.
     fn remove(&mut self, number: u64) {
         self.wanted.targets.remove(&number);
         self.lapse(number);
     }
 
-    /// An entry goes, maybe while its target lives.
+    /// An entry lapses, even if its target lives.
     fn lapse(&mut self, number: u64) {
         if self.items.targets.remove(&number).is_some() {
             self.push(Content::Removed(name(number)));
@@ -110,7 +111,7 @@
         self.history.clear();
     }
 
-    /// All writers write again what the copy lacks, and what has gone lapses.
+    /// All writers repeat what the copy lacks, and entries of ended targets lapse.
     fn rewrite(&mut self) {
         for number in self.items.targets.keys().copied().collect::<Vec<_>>() {
             if !self.wanted.targets.contains_key(&number) {
@@ -126,7 +127,7 @@
         self.publish(self.wanted.config.1);
     }
 
-    fn whole(&self) -> Update {
+    fn snapshot(&self) -> Update {
         let targets = self.items.targets.values();
         let targets = targets.map(|(count, it)| at(self.era, *count, Content::Target(it.clone())));
         let domains = self.items.domains.iter();
@@ -134,13 +135,13 @@
             .map(|(name, count)| at(self.era, *count, Content::Evacuated(DomainName::new(name))));
         let (count, version) = self.items.config;
         let config = at(self.era, count, Content::Config(config(version)));
-        whole(self.era, self.items.count, targets.chain(domains).chain([config]).collect())
+        snapshot(self.era, self.items.count, targets.chain(domains).chain([config]).collect())
     }
 
-    /// What a reader is told that has read up to there.
+    /// The update for a reader that has read up to a revision.
     fn read(&self, known: Revision) -> Update {
         if known.era != self.era || known.count < self.saved.count {
-            return self.whole();
+            return self.snapshot();
         }
         let changes = self.history.iter().filter(|it| it.revision > known).cloned().collect();
         Update {
@@ -152,7 +153,7 @@
     }
 }
 
-/// One step of what happens.
+/// An event.
 #[derive(Debug, Clone)]
 enum Step {
     Write { number: u64, leaving: bool },
@@ -185,8 +186,8 @@
     proptest::collection::vec(step, 1..80)
 }
 
-/// What an instance would act on.
-fn picture(catalog: &Catalog) -> (Vec<(u64, bool)>, Vec<bool>, u64) {
+/// The part of the catalog that decides about flows.
+fn view(catalog: &Catalog) -> (Vec<(u64, bool)>, Vec<bool>, u64) {
     let listed = |number| catalog.latest(&name(number)).filter(|it| it.is_listed());
     let targets = (1..5).filter_map(|it| Some((it, listed(it)?.target.leaving))).collect();
     let domains = DOMAINS.iter().map(|it| catalog.is_evacuated(&DomainName::new(it))).collect();
@@ -196,9 +197,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 20_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against instances that go on with different pictures after restores.
+    /// Guards against instances that keep different catalogs after restores.
     #[test]
-    fn all_end_with_the_picture_of_the_source(steps in steps()) {
+    fn all_catalogs_converge_on_the_content_of_the_store(steps in steps()) {
         let mut source = Source::default();
         let mut instances: [(Catalog, Revision); 4] = Default::default();
         let (mut now, mut version) = (millis(1), 1);
@@ -245,15 +246,15 @@
                 instances[nth].0.merge(update, now);
             }
         }
-        now = now + REWRITTEN;
-        let wanted = picture(&{
+        now = now + REWRITE_TIME;
+        let wanted = view(&{
             let mut fresh = Catalog::default();
-            fresh.merge(source.whole(), now);
+            fresh.merge(source.snapshot(), now);
             fresh
         });
         for (nth, (catalog, _)) in instances.iter_mut().enumerate() {
             catalog.confirm(now);
-            prop_assert_eq!(&picture(catalog), &wanted, "instance {}", nth);
+            prop_assert_eq!(&view(catalog), &wanted, "instance {}", nth);
             prop_assert_eq!(catalog.revision(), Revision::new(source.era, source.items.count));
         }
     }
--- a/marked/tests/test_delta.rs
+++ b/marked/tests/test_delta.rs
@@ -1,12 +1,13 @@
-//! Differences of configs say the same as the configs.
+//! Config deltas: applying them gives the same result as the whole config.
 
 use super::fixtures::{change, config, incremental, millis, route, update};
 use medlarspur_lib::{bundle::Class, ids::ServiceName};
 use medlarspur_marked::{Catalog, Config, Content, Delta, Revision, Route, Scope, Service, Warmup};
 use proptest::{collection::vec, prelude::*};
 
-/// A config whose routes are drawn: (number of the address, service).
-fn drawn(version: u64, routes: &[(u8, u8)]) -> Config {
+/// A config with the given routes, each as the last number of its address and the number of its
+/// service.
+fn random_config(version: u64, routes: &[(u8, u8)]) -> Config {
     let mut it = config(version);
     it.routes = Vec::new();
     for (number, service) in routes {
@@ -35,29 +36,30 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn the_difference_makes_the_new_of_the_old(
+    fn a_delta_turns_the_old_config_into_the_new_one(
         old in vec((0..12u8, 0..3u8), 0..12), new in vec((0..12u8, 0..3u8), 0..12)
     ) {
-        let (old, new) = (drawn(1, &old), drawn(2, &new));
+        let (old, new) = (random_config(1, &old), random_config(2, &new));
 
         let delta = Delta::between(&old, &new);
 
         prop_assert_eq!(sorted(delta.apply(&old)), sorted(new));
     }
 
-    /// A listener hears of some versions only, and asks for the rest.
+    /// Guards against wrong configs at a listener that receives only some versions and pulls the
+    /// rest.
     #[test]
-    fn a_listener_that_misses_news_ends_with_the_same_config(
-        versions in vec(vec((0..12u8, 0..3u8), 0..12), 1..40), heard in any::<u64>()
+    fn a_listener_that_misses_updates_ends_with_the_same_config(
+        versions in vec(vec((0..12u8, 0..3u8), 0..12), 1..40), received in any::<u64>()
     ) {
         let mut reader = Catalog::default();
         let mut listener = Catalog::default();
         for (routes, nth) in versions.iter().zip(1u64..) {
-            reader.merge(incremental(nth, Content::Config(drawn(nth, routes))), millis(0));
-            if heard >> (nth % 64) & 1 == 1 {
+            reader.merge(incremental(nth, Content::Config(random_config(nth, routes))), millis(0));
+            if received >> (nth % 64) & 1 == 1 {
                 let before = listener.revision();
-                let told = reader.update_since(before, millis(0));
-                listener.merge(told, millis(0));
+                let update = reader.update_since(before, millis(0));
+                listener.merge(update, millis(0));
                 prop_assert_eq!(listener.revision(), reader.revision());
             }
         }
@@ -68,10 +70,10 @@
     }
 }
 
-/// A listener has another config than the one that changed, because news of one
-/// in between was lost. It must not claim to know all.
+/// Guards against an instance that claims to know all changes although it lost an update, and has
+/// another config than the delta is based on.
 #[test]
-fn a_difference_from_an_unknown_config_is_not_taken() {
+fn a_delta_of_an_unknown_config_is_rejected() {
     let mut catalog = Catalog::default();
     catalog.merge(incremental(1, Content::Config(config(1))), millis(0));
     let delta = Delta::between(&config(5), &config(6));
@@ -83,10 +85,9 @@
     assert_eq!(catalog.revision(), Revision::new(0, 1));
 }
 
-/// One route of thousands changes. What goes from instance to instance must not
-/// grow with the others.
+/// Guards against updates of one route whose size grows with the other thousands of routes.
 #[test]
-fn news_of_one_route_does_not_grow_with_the_config() {
+fn the_update_of_one_route_does_not_grow_with_the_config() {
     let size = |count: u16| {
         let mut old = config(1);
         old.routes = (0..count)
@@ -100,8 +101,8 @@
         let mut catalog = Catalog::default();
         catalog.merge(incremental(1, Content::Config(old)), millis(0));
         catalog.merge(incremental(2, Content::Config(new)), millis(0));
-        let told = catalog.update_since(Revision::new(0, 1), millis(0));
-        medlarspur_marked::message::encode_update(&told).expect("sound").len()
+        let update = catalog.update_since(Revision::new(0, 1), millis(0));
+        medlarspur_marked::message::encode_update(&update).expect("the update is valid").len()
     };
 
     assert!(size(3_400) < 100);
--- a/marked/tests/test_fleet.rs
+++ b/marked/tests/test_fleet.rs
@@ -1,4 +1,4 @@
-//! Who reads the store, and who hears of its news how soon.
+//! Choice of readers, and the delay of updates until all instances have them.
 
 use super::net::{Net, address};
 use medlarspur_lib::ids::DomainName;
@@ -8,20 +8,20 @@
 };
 use proptest::{collection::vec, prelude::*};
 
-/// How long news may take to be in force, from the users' bound of 3 s with
-/// half a second for what the model leaves out.
-const BOUND: u64 = 2_500;
-/// How soon an evacuation should be in force everywhere; the users' bound is 5 s.
-const EVACUATION_AIM: u64 = 1_500;
+/// Limit in milliseconds until an update is in force: the required 3 s without half a second for
+/// what the simulation leaves out.
+const UPDATE_BOUND: u64 = 2_500;
+/// Limit in milliseconds until an evacuation is in force everywhere. The requirement is 5 s.
+const EVACUATION_LIMIT: u64 = 1_500;
 
-fn settled(domains: u8, count: u8) -> Net {
+fn settled_net(domains: u8, count: u8) -> Net {
     let mut net = Net::new(domains, count);
     net.run(8_000);
     net
 }
 
 #[test]
-fn all_know_all_soon_after_they_start() {
+fn all_instances_know_all_changes_soon_after_the_start() {
     let mut net = Net::new(4, 17);
 
     net.run(300);
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn two_of_each_domain_read_the_store() {
-    let net = settled(4, 17);
+fn two_instances_of_each_domain_read_the_store() {
+    let net = settled_net(4, 17);
 
     for domain in 1..=4 {
         assert_eq!(net.readers(domain), [address(domain, 1), address(domain, 2)]);
@@ -39,23 +39,23 @@
 }
 
 #[test]
-fn news_reaches_all_within_the_bound() {
-    let mut net = settled(4, 17);
+fn updates_reach_all_instances_within_the_bound() {
+    let mut net = settled_net(4, 17);
 
     for number in 10..30 {
-        net.list(number);
+        net.list_target(number);
         net.run(130);
     }
-    net.run(BOUND);
+    net.run(UPDATE_BOUND);
 
     assert_eq!(net.behind(), []);
 }
 
-/// Operators empty a failure domain and want nothing new there soon after.
+/// Guards against new flows in a domain long after operators have evacuated it.
 #[test]
 fn an_evacuation_is_in_force_everywhere_soon() {
     for count in [18, 75] {
-        let mut net = settled(4, count);
+        let mut net = settled_net(4, count);
         for _ in 0..5 {
             net.publish(Content::Evacuated(DomainName::new("domain-2")));
             net.run(2_350);
@@ -63,39 +63,39 @@
             net.run(2_750);
         }
 
-        assert!(net.lag <= EVACUATION_AIM, "{} ms with {count} a domain", net.lag);
+        assert!(net.lag <= EVACUATION_LIMIT, "{} ms with {count} a domain", net.lag);
         assert_eq!(net.behind(), []);
     }
 }
 
-/// A domain is cut off, the store included. All its instances find that out soon, and that it
-/// is over as soon.
+/// Guards against instances of a domain without a connection to other domains and the store that
+/// don't detect the beginning or the end of that state soon.
 #[test]
-fn a_domain_that_is_cut_off_knows_it() {
-    let mut net = settled(3, 12);
+fn instances_of_a_cut_off_domain_detect_it() {
+    let mut net = settled_net(3, 12);
     let cut_off = |net: &Net, domain| net.cut_off(domain);
     assert_eq!((cut_off(&net, 1), cut_off(&net, 2)), (0, 0));
 
-    net.cut.insert(2);
-    net.serve(2, false);
+    net.partitioned.insert(2);
+    net.set_store_reachable(2, false);
     net.run(3_500);
     assert_eq!((cut_off(&net, 1), cut_off(&net, 2)), (0, 12));
 
-    net.cut.clear();
-    net.serve(2, true);
+    net.partitioned.clear();
+    net.set_store_reachable(2, true);
     net.run(1_500);
     assert_eq!((cut_off(&net, 1), cut_off(&net, 2)), (0, 0));
 }
 
-/// Readers are killed, again and again. The others take their places before they take
-/// themselves for cut off for longer than a moment.
+/// Guards against instances that assume to be cut off from the store while new readers replace
+/// killed ones.
 #[test]
 fn a_domain_whose_readers_die_is_not_cut_off_for_long() {
-    let mut net = settled(2, 12);
+    let mut net = settled_net(2, 12);
     let mut longest = 0;
     for _ in 0..4 {
         for reader in net.readers(2) {
-            net.instances.get_mut(&reader).expect("it is there").up = false;
+            net.instances.get_mut(&reader).expect("the instance exists").up = false;
         }
         let mut span = 0;
         for _ in 0..400 {
@@ -108,48 +108,45 @@
     assert!(longest <= 400, "{longest} ms");
 }
 
-/// Two datagrams of a hundred get lost between instances. News must not be
-/// lost with them.
+/// Guards against updates that get lost along with 2 % of the datagrams.
 #[test]
-fn lost_datagrams_delay_news_but_do_not_lose_it() {
-    let mut net = settled(4, 17);
+fn lost_datagrams_delay_updates_but_lose_none() {
+    let mut net = settled_net(4, 17);
     net.loss = 20;
 
     for number in 10..40 {
-        net.list(number);
+        net.list_target(number);
         net.run(200);
     }
-    net.run(BOUND);
+    net.run(UPDATE_BOUND);
 
     assert_eq!(net.behind(), []);
 }
 
-/// News comes every half second and some datagrams get lost. The next news says
-/// that something is lacking, and it comes by way of a listener that is not known
-/// here. Unless the reader is asked then, the instance goes on with an old
-/// picture as long as news keeps coming, since a reader with news sends no
-/// heartbeats: callers are sent to targets that leave, and to routes that are gone.
+/// Guards against a catalog that stays outdated while updates keep coming. Updates are sent every
+/// half second, and one gets lost. The next one shows the gap, but arrives through an unknown
+/// listener, and the reader sends no heartbeats while it has updates. Without a pull from the
+/// reader, callers would be sent to leaving targets and removed routes.
 #[test]
-fn news_that_keeps_coming_does_not_hide_what_was_lost() {
-    let mut net = settled(2, 17);
+fn frequent_updates_do_not_hide_a_lost_one() {
+    let mut net = settled_net(2, 17);
     net.loss = 20;
 
     for number in 10..70 {
-        net.list(number);
+        net.list_target(number);
         net.run(500);
     }
 
-    assert!(net.lag < BOUND, "an instance was {} ms behind", net.lag);
+    assert!(net.lag < UPDATE_BOUND, "an instance was {} ms behind", net.lag);
 }
 
-/// An instance that lacks something hears that from a listener which it does not
-/// know. What that one knows was never told, so it must not be taken for
-/// nothing: the reader that the news comes from has it all.
+/// Guards against ignoring a gap because the update arrived through an unknown listener, about
+/// whose revision nothing is known. The reader that the update comes from has all changes.
 #[test]
-fn the_reader_is_asked_for_what_an_unknown_listener_shows_to_be_lacking() {
-    let mut net = settled(1, 5);
+fn changes_missing_before_a_forwarded_update_are_pulled_from_its_reader() {
+    let mut net = settled_net(1, 5);
     let (reader, listener, unknown) = (address(1, 1), address(1, 5), address(1, 77));
-    let it = net.instances.get_mut(&listener).expect("it is there");
+    let it = net.instances.get_mut(&listener).expect("the instance exists");
     let known = it.catalog.revision();
     let update = medlarspur_marked::Update {
         revision: medlarspur_marked::Revision::new(0, known.count + 2),
@@ -170,12 +167,11 @@
     assert_eq!(it.fleet.take_pull(known, later), Some(reader));
 }
 
-/// Instances that only listen hear each other at the start and not again: they tell their
-/// readers that they are there. An instance that forgot the others took its part of the targets
-/// for far larger than it is.
+/// Guards against listeners that forget each other, as they exchange heartbeats at the start only
+/// and later send them to readers. Each would then overestimate its share of the targets.
 #[test]
-fn listeners_go_on_knowing_each_other() {
-    let mut net = settled(2, 12);
+fn listeners_do_not_forget_each_other() {
+    let mut net = settled_net(2, 12);
 
     for _ in 0..20 {
         net.run(1_000);
@@ -184,15 +180,15 @@
     }
 }
 
-/// The readers of a domain die while it is cut off from the seeds. Whoever has forgotten the
-/// others takes itself for the only one and reads for as long as the cut lasts.
+/// Guards against an instance that remains the only reader because it forgot the others. The
+/// readers die while a partition separates the domain from the seeds.
 #[test]
-fn two_read_again_when_the_readers_die_during_a_cut() {
-    let mut net = settled(2, 12);
+fn two_readers_follow_when_the_readers_die_during_a_partition() {
+    let mut net = settled_net(2, 12);
     net.run(6_000);
-    net.cut.insert(1);
+    net.partitioned.insert(1);
     for reader in net.readers(2) {
-        net.instances.get_mut(&reader).expect("it is there").up = false;
+        net.instances.get_mut(&reader).expect("the instance exists").up = false;
     }
 
     net.run(8_000);
@@ -200,104 +196,107 @@
     assert_eq!(net.readers(2).len(), 2);
 }
 
-/// Both readers of a domain are killed. The others hear nothing any more and
-/// must not go on with an old picture.
+/// Guards against outdated catalogs after both readers of a domain were killed and no updates
+/// arrive any more.
 #[test]
-fn others_read_when_the_readers_are_gone() {
-    let mut net = settled(3, 8);
+fn new_readers_follow_when_the_readers_are_gone() {
+    let mut net = settled_net(3, 8);
     for reader in net.readers(1) {
-        net.instances.get_mut(&reader).expect("it is there").up = false;
+        net.instances.get_mut(&reader).expect("the instance exists").up = false;
     }
 
-    net.list(10);
-    net.run(BOUND + 500);
+    net.list_target(10);
+    net.run(UPDATE_BOUND + 500);
 
     assert_eq!(net.behind(), []);
     net.run(8_000);
     assert_eq!(net.readers(1).len(), 2);
 }
 
-/// The store turns some instances away and serves the others, among the former
-/// both readers of a domain. They say so, and others take over.
+/// Guards against outdated catalogs when the store refuses some instances, including both readers
+/// of a domain, and answers others.
 #[test]
-fn others_read_when_the_store_turns_the_readers_away() {
-    let mut net = settled(3, 8);
+fn new_readers_follow_when_the_store_refuses_the_readers() {
+    let mut net = settled_net(3, 8);
     for reader in net.readers(2) {
-        net.instances.get_mut(&reader).expect("it is there").served = false;
+        net.instances.get_mut(&reader).expect("the instance exists").store_reachable = false;
     }
     net.run(1_600);
 
-    net.list(10);
-    net.run(BOUND);
+    net.list_target(10);
+    net.run(UPDATE_BOUND);
 
     assert_eq!(net.behind(), []);
 }
 
-/// A whole domain is turned away by the store. It hears of news from other
-/// domains, through the seeds.
+/// Guards against outdated catalogs in a domain whose instances are all refused by the store.
+/// Updates reach it from other domains through the seeds.
 #[test]
-fn a_domain_without_the_store_hears_from_others() {
-    let mut net = settled(3, 4);
+fn a_domain_without_the_store_learns_from_other_domains() {
+    let mut net = settled_net(3, 4);
     for number in 1..=4 {
-        net.instances.get_mut(&address(3, number)).expect("it is there").served = false;
+        net.instances.get_mut(&address(3, number)).expect("the instance exists").store_reachable =
+            false;
     }
     net.run(3_000);
 
-    net.list(10);
+    net.list_target(10);
     net.run(3_500);
 
     assert_eq!(net.behind(), []);
 }
 
-/// A domain is cut off from the others and from the store. When the cut heals,
-/// it must catch up without a restart.
+/// Guards against a domain that needs a restart to catch up after it was partitioned from the
+/// others and from the store.
 #[test]
 fn a_domain_that_was_cut_off_catches_up() {
-    let mut net = settled(3, 4);
-    net.cut.insert(3);
+    let mut net = settled_net(3, 4);
+    net.partitioned.insert(3);
     for number in 1..=4 {
-        net.instances.get_mut(&address(3, number)).expect("it is there").served = false;
+        net.instances.get_mut(&address(3, number)).expect("the instance exists").store_reachable =
+            false;
     }
     net.run(2_000);
-    net.list(10);
+    net.list_target(10);
     net.run(4_000);
     assert_eq!(net.behind().len(), 4);
 
-    net.cut.clear();
+    net.partitioned.clear();
     for number in 1..=4 {
-        net.instances.get_mut(&address(3, number)).expect("it is there").served = true;
+        net.instances.get_mut(&address(3, number)).expect("the instance exists").store_reachable =
+            true;
     }
-    net.run(BOUND);
+    net.run(UPDATE_BOUND);
 
     assert_eq!(net.behind(), []);
 }
 
-/// An instance starts while the store is away for all. It needs the picture
-/// that the others still have.
+/// Guards against an instance without a catalog that starts while nobody can reach the store. The
+/// others still have snapshots.
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_others() {
-    let mut net = settled(3, 4);
+    let mut net = settled_net(3, 4);
     for instance in net.instances.values_mut() {
-        instance.served = false;
+        instance.store_reachable = false;
     }
     net.run(3_000);
 
     net.start(address(3, 9));
-    net.instances.get_mut(&address(3, 9)).expect("it is there").served = false;
+    net.instances.get_mut(&address(3, 9)).expect("the instance exists").store_reachable = false;
     net.run(100);
 
     assert_eq!(net.behind(), []);
 }
 
-/// Messages between all pairs would grow with the square of the fleet. At the
-/// size aimed for, an instance would do little else.
+/// Guards against heartbeats between all pairs, which would grow with the square of the fleet and
+/// take up most of an instance's time at the intended scale.
 #[test]
 fn messages_of_an_instance_do_not_grow_with_the_fleet() {
     let per_instance = |count: u8| {
-        let mut net = settled(3, count);
+        let mut net = settled_net(3, count);
         net.datagrams = 0;
         for number in 10..20 {
-            net.list(number);
+            net.list_target(number);
             net.run(1_000);
         }
         net.datagrams as f64 / f64::from(count) / 3.0
@@ -308,51 +307,50 @@
     assert!(large < small * 1.5, "{small} datagrams, then {large}");
 }
 
-/// Whoever lacks something asks for it by a connection. If most of a large domain
-/// had to ask after each change, its two readers would do little else.
+/// Guards against pulls after every change, which need a connection each. In a large domain, the
+/// two readers would do little else.
 #[test]
-fn nobody_has_to_ask_while_no_datagram_is_lost() {
-    let mut net = settled(2, 100);
-    net.asked = 0;
+fn no_pull_is_needed_while_no_datagram_is_lost() {
+    let mut net = settled_net(2, 100);
+    net.pull_count = 0;
 
     for number in 10..30 {
-        net.list(number);
+        net.list_target(number);
         net.run(700);
     }
-    net.run(BOUND);
+    net.run(UPDATE_BOUND);
 
-    assert_eq!((net.behind(), net.asked), (vec![], 0));
+    assert_eq!((net.behind(), net.pull_count), (vec![], 0));
 }
 
-/// What an instance sends must fit into what a node may spend for control at the
-/// size aimed for, 8 KB a second.
+/// Guards against more control traffic than a node may use at the intended scale, 8 KB a second.
 #[test]
-fn no_instance_of_a_large_domain_exceeds_its_traffic() {
+fn no_instance_of_a_large_domain_exceeds_its_traffic_limit() {
     for pause in [1_000, 5_000] {
-        let mut net = settled(1, 100);
+        let mut net = settled_net(1, 100);
         net.sent.clear();
 
         for number in 10..30 {
-            net.list(number);
+            net.list_target(number);
             net.run(pause);
         }
 
-        let most = net.sent.values().max().expect("somebody sends") * 1000 / (20 * pause);
-        assert!(most < 8_000, "{most} bytes a second with news every {pause} ms");
+        let most = net.sent.values().max().expect("some were sent") * 1000 / (20 * pause);
+        assert!(most < 8_000, "{most} bytes a second with an update every {pause} ms");
     }
 }
 
-/// Whoever has just asked for news hears of more and must wait before it asks
-/// again. If its next step lay in the past until then, the main thread would
-/// spin, on a twentieth of a core, instead of passing packets on.
+/// Guards against a next step in the past while an instance that has just pulled learns of more
+/// changes and must wait before the next pull. The main thread would spin, which costs a twentieth
+/// of a core, instead of forwarding packets.
 #[test]
-fn an_instance_that_waits_to_ask_again_does_not_spin() {
-    let mut net = settled(1, 5);
+fn an_instance_that_waits_for_its_next_pull_does_not_spin() {
+    let mut net = settled_net(1, 5);
     let listener = address(1, 5);
     let reader = address(1, 1);
     let revision = medlarspur_marked::Revision::new(0, 1_000);
-    let it = net.instances.get_mut(&listener).expect("it is there");
-    let beat = medlarspur_marked::message::Heartbeat {
+    let it = net.instances.get_mut(&listener).expect("the instance exists");
+    let heartbeat = medlarspur_marked::message::Heartbeat {
         domain: it.fleet.domain(),
         role: medlarspur_marked::message::Role::Reader,
         answer_age: Some(0),
@@ -361,7 +359,7 @@
         contacts: Vec::new(),
         seat: None,
     };
-    let message = medlarspur_marked::message::Message::Heartbeat(beat);
+    let message = medlarspur_marked::message::Message::Heartbeat(heartbeat);
     let now = super::fixtures::millis(2_000_000);
     it.fleet.receive(reader, message, &it.catalog, now);
     it.fleet.catch_up();
@@ -373,28 +371,32 @@
     assert!(it.fleet.deadline(now) > now);
 }
 
-/// Guards against a few instances that tell all who return together while the store is silent.
+/// Guards against a few instances that serve snapshots to all others, which return together while
+/// the store is unavailable.
 #[test]
-fn pictures_are_told_by_all_who_have_them() {
+fn snapshots_are_served_by_all_instances_that_have_one() {
     let returned = |count: u8| {
-        let mut net = settled(6, count);
-        net.telling = (120, 4);
-        (1..=6).for_each(|domain| net.serve(domain, false));
+        let mut net = settled_net(6, count);
+        net.transfer_limits = (120, 4);
+        (1..=6).for_each(|domain| net.set_store_reachable(domain, false));
         let lost = (1..=6).flat_map(|domain| (1..=count / 2 + 1).map(move |nth| (domain, nth)));
         for (domain, nth) in lost.clone() {
-            net.instances.get_mut(&address(domain, nth)).expect("it is there").up = false;
+            net.instances.get_mut(&address(domain, nth)).expect("the instance exists").up = false;
         }
         net.run(2_000);
         for (domain, nth) in lost {
             net.start(address(domain, nth));
-            net.instances.get_mut(&address(domain, nth)).expect("it is there").served = false;
+            net.instances
+                .get_mut(&address(domain, nth))
+                .expect("the instance exists")
+                .store_reachable = false;
         }
-        net.told.clear();
+        net.snapshots_sent.clear();
         let start = net.now;
         while !net.behind().is_empty() && net.now < start + 10_000 {
             net.run(50);
         }
-        (net.now - start, net.told.values().copied().max().expect("somebody tells"))
+        (net.now - start, net.snapshots_sent.values().copied().max().expect("some were sent"))
     };
 
     let (small, large) = (returned(10), returned(80));
@@ -402,29 +404,30 @@
     assert!(large.0 <= 2 * small.0 && large.1 <= 2 * small.1, "{small:?}, then {large:?}");
 }
 
-/// Guards against news that a large domain's addresses leave no room for in a datagram.
+/// Guards against updates that don't fit into a datagram beside the addresses of a large domain.
 #[test]
-fn news_fits_into_datagrams_whatever_the_size_of_the_domain() {
+fn updates_fit_into_datagrams_in_domains_of_any_size() {
     for count in [100, 250] {
-        let mut net = settled(1, count);
+        let mut net = settled_net(1, count);
         net.run(4_000);
-        net.asked = 0;
+        net.pull_count = 0;
 
         for number in (10..130).step_by(30) {
-            (number..number + 30).for_each(|number| drop(net.list(number)));
+            (number..number + 30).for_each(|number| drop(net.list_target(number)));
             net.run(1_200);
         }
 
-        assert_eq!((net.behind(), net.asked), (vec![], 0), "{count} in a domain");
+        assert_eq!((net.behind(), net.pull_count), (vec![], 0), "{count} in a domain");
     }
 }
 
-/// Guards against turning away whoever starts in a fleet of more instances than are remembered.
+/// Guards against a seed that leaves a starting instance without a reply because the fleet is
+/// larger than its peer table.
 #[test]
-fn a_seed_answers_whoever_asks_however_many_it_knows() {
-    let mut net = settled(2, 12);
+fn a_seed_with_a_full_peer_table_still_replies() {
+    let mut net = settled_net(2, 12);
     let now = super::fixtures::millis(2_000_000);
-    let stranger = |nth: u16, domain| {
+    let heartbeat_from = |nth: u16, domain| {
         let [high, low] = nth.to_be_bytes();
         let at = std::net::SocketAddrV4::new([10, 9, high, low].into(), 8166);
         let heartbeat = medlarspur_marked::message::Heartbeat {
@@ -438,13 +441,13 @@
         };
         (at, medlarspur_marked::message::Message::Heartbeat(heartbeat))
     };
-    let seed = net.instances.get_mut(&address(1, 1)).expect("it is there");
+    let seed = net.instances.get_mut(&address(1, 1)).expect("the instance exists");
     let (own, other) = (seed.fleet.domain(), medlarspur_marked::message::DomainId(7));
 
     for (count, domain) in [(1_200, other), (1_300, own)] {
-        let (at, message) = stranger(count, domain);
+        let (at, message) = heartbeat_from(count, domain);
         (0..count).for_each(|nth| {
-            let (at, message) = stranger(nth, other);
+            let (at, message) = heartbeat_from(nth, other);
             seed.fleet.receive(at, message, &seed.catalog, now);
         });
         seed.fleet.take_outgoing();
@@ -453,18 +456,18 @@
         seed.fleet.receive(at, message, &seed.catalog, now);
 
         let answered = seed.fleet.take_outgoing().iter().any(|it| it.to == at);
-        assert!(answered, "{count} others");
+        assert!(answered, "with {count} other instances");
         assert_eq!(seed.fleet.domain_size() - known, usize::from(domain == own));
     }
 }
 
-/// Each call is priced. With a watch on every instance, calls would grow with
-/// the fleet.
+/// Guards against calls to the store, which cost money, that grow with the fleet, as with a watch
+/// in every instance.
 #[test]
 fn calls_do_not_grow_with_the_fleet() {
     let calls = |count: u8| {
-        let mut net = settled(3, count);
-        // Some that heard of one reader only read for a few seconds more.
+        let mut net = settled_net(3, count);
+        // Instances that knew only one reader may continue reading for a few seconds.
         net.run(4_000);
         net.calls = 0;
         net.run(30_000);
@@ -474,47 +477,49 @@
     assert_eq!(calls(60), calls(6));
 }
 
-/// A domain and more of targets, of which the last ones came in the seconds that get lost.
+/// Lists `count` targets, the last of which a restore will lose.
 fn with_targets(net: &mut Net, count: u64) {
-    (100..100 + count).for_each(|number| drop(net.list(number)));
+    (100..100 + count).for_each(|number| drop(net.list_target(number)));
     net.run(4_000);
 }
 
-/// Guards against news that is lost or late since its revision was given out before.
+/// Guards against updates that are lost or late because their counts were already used in an
+/// earlier era.
 #[test]
-fn news_after_a_restore_reaches_all_within_the_bound() {
-    let mut net = settled(4, 17);
+fn updates_after_a_restore_reach_all_instances_within_the_bound() {
+    let mut net = settled_net(4, 17);
     with_targets(&mut net, 10);
 
     for _ in 0..3 {
         let lost = net.restore(4);
         lost.into_iter().for_each(|it| net.publish(it));
-        net.run(BOUND);
+        net.run(UPDATE_BOUND);
         assert_eq!(net.behind(), []);
-        net.list(300 + u64::from(net.era));
-        net.run(BOUND);
+        net.list_target(300 + u64::from(net.era));
+        net.run(UPDATE_BOUND);
         assert_eq!(net.behind(), []);
     }
 }
 
-/// Guards against instances of a domain that is cut off while the store comes back twice.
+/// Guards against outdated catalogs in a domain that was partitioned while the store was restored
+/// twice.
 #[test]
 fn a_domain_that_was_cut_off_during_two_restores_catches_up() {
-    let mut net = settled(3, 6);
+    let mut net = settled_net(3, 6);
     with_targets(&mut net, 10);
-    net.cut.insert(3);
-    net.serve(3, false);
+    net.partitioned.insert(3);
+    net.set_store_reachable(3, false);
     net.run(2_000);
 
     for _ in 0..2 {
         net.restore(2);
-        net.list(300 + u64::from(net.era));
+        net.list_target(300 + u64::from(net.era));
         net.run(1_500);
     }
     assert_eq!(net.behind().len(), 6);
-    net.cut.clear();
-    net.serve(3, true);
-    net.run(BOUND + 500);
+    net.partitioned.clear();
+    net.set_store_reachable(3, true);
+    net.run(UPDATE_BOUND + 500);
 
     assert_eq!(net.behind(), []);
     let known = |net: &Net| {
@@ -528,13 +533,14 @@
     assert_eq!(known(&net).len(), 1);
 }
 
-/// Guards against a restore for which each instance of a domain reads or asks for all.
+/// Guards against a restore after which every instance of a domain makes a full read or pulls a
+/// snapshot.
 #[test]
-fn a_restore_costs_a_whole_reading_for_each_reader_only() {
+fn after_a_restore_only_readers_make_a_full_read() {
     let cost = |count: u8, targets: u64| {
-        let mut net = settled(3, count);
+        let mut net = settled_net(3, count);
         with_targets(&mut net, targets);
-        (net.readings, net.calls, net.told_bytes) = (0, 0, 0);
+        (net.full_reads, net.calls, net.pulled_bytes) = (0, 0, 0);
         net.sent.clear();
 
         let lost = net.restore(3);
@@ -543,26 +549,29 @@
 
         assert_eq!(net.behind(), []);
         let sent: u64 = net.sent.values().sum();
-        (net.readings, net.calls, net.told_bytes / u64::from(count), sent / u64::from(count))
+        (net.full_reads, net.calls, net.pulled_bytes / u64::from(count), sent / u64::from(count))
     };
 
     let (small, large) = (cost(10, 60), cost(80, 240));
-    eprintln!("readings, calls, bytes told and sent an instance: {small:?}, then {large:?}");
+    eprintln!(
+        "full reads, calls, and bytes pulled and sent per instance: {small:?}, then {large:?}"
+    );
 
     assert_eq!((small.0, large.0), (6, 6));
     assert!(large.1 <= small.1 + 6, "calls {} and {}", small.1, large.1);
-    assert!(large.2 <= small.2 + 200, "{} and {} bytes told", small.2, large.2);
+    assert!(large.2 <= small.2 + 200, "{} and {} bytes pulled", small.2, large.2);
     assert!(large.3 < small.3 * 2, "{} and {} bytes sent", small.3, large.3);
 }
 
-/// Guards against a message of a far era that puts an instance beyond the reach of honest news.
+/// Guards against a message with a false, far later era, after which an instance would ignore all
+/// true updates.
 #[test]
-fn a_liar_about_the_era_is_outlived() {
+fn a_false_era_does_not_last() {
     for era in [1, 2, 50, 4_000_000_000] {
-        let mut net = settled(2, 6);
-        let (liar, listener) = (address(1, 77), address(1, 6));
+        let mut net = settled_net(2, 6);
+        let (forger, listener) = (address(1, 77), address(1, 6));
         let now = net.time();
-        let it = net.instances.get_mut(&listener).expect("it is there");
+        let it = net.instances.get_mut(&listener).expect("the instance exists");
         let known = it.catalog.revision();
         let update = medlarspur_marked::Update {
             revision: medlarspur_marked::Revision::new(era, 1_000_000),
@@ -571,18 +580,18 @@
             unconfirmed: Vec::new(),
         };
         let message = medlarspur_marked::message::Message::Update {
-            reader: liar,
+            reader: forger,
             update,
             to: vec![],
             seat: None,
         };
-        if let Some(update) = it.fleet.receive(liar, message, &it.catalog, now) {
+        if let Some(update) = it.fleet.receive(forger, message, &it.catalog, now) {
             it.catalog.merge(update, now);
         }
 
         net.run(30_000);
-        net.list(300);
-        net.run(BOUND);
+        net.list_target(300);
+        net.run(UPDATE_BOUND);
 
         let revision = net.instances[&listener].catalog.revision();
         assert_eq!(net.behind(), [], "era {era}");
@@ -593,9 +602,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Anybody may send anything to the address for messages.
+    /// Guards against panics, as anything may be sent to the control address.
     #[test]
-    fn any_bytes_are_a_message_or_a_typed_error(bytes in vec(any::<u8>(), 0..300)) {
+    fn any_bytes_decode_to_a_message_or_an_error(bytes in vec(any::<u8>(), 0..300)) {
         if let Ok(message) = decode(&bytes) {
             prop_assert!(encode(&message).is_ok());
         }
@@ -603,7 +612,7 @@
 }
 
 #[test]
-fn a_message_of_another_version_is_not_taken() {
+fn a_message_of_another_version_is_rejected() {
     assert!(matches!(decode(&[99, 0, 0]), Err(MessageError::Version)));
     assert!(matches!(decode(&[]), Err(MessageError::Version)));
 }
--- a/marked/tests/test_health.rs
+++ b/marked/tests/test_health.rs
@@ -1,10 +1,10 @@
-//! When a target is asked and when it counts as lost.
+//! When a target is probed, and when it is lost.
 
 use super::fixtures::millis;
 use medlarspur_marked::{Health, ProbeResult};
 
 #[test]
-fn a_packet_without_answer_asks_once() {
+fn an_unanswered_packet_causes_one_probe() {
     let mut health = Health::new(millis(0));
 
     assert!(health.suspect(millis(100), millis(130)));
@@ -12,10 +12,10 @@
     assert!(!health.is_lost());
 }
 
-/// One packet of many is lost on a link. Its target answers others all the
-/// while, and asking it would only cost it a slot.
+/// Guards against probes after the loss of a single packet. The target answers others in the
+/// meantime, and a probe would only take one of its slots.
 #[test]
-fn a_target_that_answers_others_is_not_asked() {
+fn a_target_that_answers_other_packets_is_not_probed() {
     let mut health = Health::new(millis(0));
     health.record_alive(millis(120));
 
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_target_that_answers_is_not_lost() {
+fn a_target_that_answers_a_probe_is_not_lost() {
     let mut health = Health::new(millis(0));
     health.suspect(millis(100), millis(130));
 
@@ -32,10 +32,10 @@
     assert!(!health.is_lost());
 }
 
-/// A cut between failure domains heals by itself. A target that was lost to it
-/// must come back into use, and asking must not cost more the longer it lasts.
+/// Guards against targets that stay lost after a network partition has healed, and against probes
+/// that become more expensive the longer it lasts.
 #[test]
-fn a_lost_target_is_asked_again_ever_more_seldom_until_it_answers() {
+fn a_lost_target_is_probed_with_backoff_until_it_answers() {
     let mut health = Health::new(millis(0));
     let mut now = millis(100);
     let mut pauses = Vec::new();
--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -1,15 +1,15 @@
-//! What holds whatever comes.
+//! Properties of forwarding that hold for any sequence of events.
 
 use super::fixtures::{FEED, Instance, REQUEST, UPLOAD, flow, incremental, target};
 use medlarspur_lib::collections::Map;
 use medlarspur_marked::{Content, FlowKey, Incarnation, Kind, Mark, ProbeResult, Segment};
 use proptest::{collection::vec, prelude::*};
 
-/// How far the numbers of two packets of a flow are from each other at most: both ends have
-/// sixteen packets of 1,200 bytes under way.
+/// Maximum distance between the sequence numbers of two packets of a flow: each end has up to
+/// sixteen packets of 1,200 bytes in flight.
 const REACH: u32 = 2 * 16 * 1_200;
 
-/// One step of a day.
+/// An event.
 #[derive(Debug, Clone)]
 enum Step {
     Packet { caller: u16, port: u8, kind: u8, seq: u32, ack: u32, len: u16, echo: u32 },
@@ -52,7 +52,7 @@
     [FEED, REQUEST, UPLOAD][usize::from(port)]
 }
 
-/// Targets up to 4 serve `desk`, the others `ingest`.
+/// Target `number`. Targets up to 4 serve `desk`, the others `ingest`.
 fn of(number: u64) -> medlarspur_marked::Target {
     target(number, if number <= 4 { "desk" } else { "ingest" })
 }
@@ -87,7 +87,8 @@
                     let mark = Some(Mark::new(at, &key));
                     let segment = Segment { key, kind: Kind::Middle, seq, ack: 1, len, mark };
                     instance.packet(segment, now);
-                    // A flow whose numbers go on may be known to be open at another target.
+                    // A flow whose sequence numbers continue may be known to be open at another
+                    // target.
                     let goes_on = |to| last.get(&key).is_some_and(|(before, end)| {
                         *before == to && seq.wrapping_sub(*end).cast_signed().unsigned_abs() <= REACH
                     });
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the name that they had.
+//! Targets that restart under the same name.
 
 use super::fixtures::{
     FEED, Instance, flow, incremental, middle, millis, name, segment, started, target,
@@ -20,15 +20,14 @@
 }
 
 /// An instance that knows the first start of target 1, and target 2.
-fn two() -> Instance {
+fn two_targets() -> Instance {
     Instance::new(&[started(1, "desk", FIRST), target(2, "desk")])
 }
 
-/// The store is away while a target starts again, so instances open flows by its earlier
-/// entry. Those are at the new process, which has the same address; to reset them once
-/// its entry is known would break them.
+/// Guards against resetting flows that were opened by the entry of the earlier start while the
+/// store was unavailable. They are at the later process, which has the same address.
 #[test]
-fn flows_that_were_opened_by_the_earlier_entry_go_on() {
+fn flows_opened_by_the_earlier_entry_continue() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
     let key = flow(1, FEED);
     let at = instance.establish(key, 100);
@@ -41,12 +40,12 @@
     assert_eq!(instance.open(flow(2, FEED), 2_200), incarnation(SECOND));
 }
 
-/// An entry that the earlier process had under way is written after the first one of the
-/// later process. Taken, it would make the target lead back to what is gone: its slow
-/// start, that it leaves, an old address.
+/// Guards against a write of the earlier process that reaches the store after the first entry of
+/// the later one. Applied, it would bring back the state of the earlier process: its slow start,
+/// its leaving, its address.
 #[test]
 fn a_late_entry_of_the_earlier_start_changes_nothing() {
-    let mut instance = two();
+    let mut instance = two_targets();
     instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
     let mut late = started(1, "desk", FIRST);
     late.leaving = true;
@@ -58,7 +57,8 @@
     assert!(opened.collect::<Vec<_>>().contains(&incarnation(SECOND)));
 }
 
-/// It crashes, its entry lapses, and it comes back under its id.
+/// Guards against ignoring a target that crashed, whose entry lapsed, and that restarts under the
+/// same name.
 #[test]
 fn a_target_that_comes_back_after_its_entry_lapsed_is_used() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
@@ -72,11 +72,11 @@
     assert!(matches!(presence(instance.forwarder.catalog(), FIRST), Presence::Replaced(_)));
 }
 
-/// It fails again just after its start. Of the two entries in one heartbeat, the first
-/// may be heard of last, from another instance.
+/// Guards against applying two quick restarts in the wrong order: the update of the earlier start
+/// may arrive last, from another instance.
 #[test]
-fn of_two_starts_within_a_heartbeat_the_later_one_counts() {
-    let mut instance = two();
+fn of_two_starts_within_a_heartbeat_the_later_one_wins() {
+    let mut instance = two_targets();
     instance.learn(incremental(202, Content::Target(started(1, "desk", THIRD))), 1_000);
 
     instance.learn(incremental(201, Content::Target(started(1, "desk", SECOND))), 1_010);
@@ -85,7 +85,7 @@
     assert!(instance.forwarder.catalog().entry(incarnation(SECOND)).is_none());
 }
 
-/// It was leaving, and is started again instead of ending for good.
+/// Guards against treating a target as leaving that was leaving and restarted instead of ending.
 #[test]
 fn a_target_that_left_and_started_again_takes_new_flows() {
     let mut leaving = started(1, "desk", FIRST);
@@ -97,10 +97,9 @@
     assert_eq!(instance.open(flow(1, FEED), 1_100), incarnation(SECOND));
 }
 
-/// Nothing answered at the target, so its flows were reset and new ones went elsewhere.
-/// The process that starts in its place has done nothing wrong.
+/// Guards against avoiding the new process because the old one was lost.
 #[test]
-fn what_was_believed_of_the_earlier_start_is_not_held_against_the_later_one() {
+fn the_loss_of_the_earlier_start_does_not_affect_the_later_one() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
     instance.forwarder.answer(
         incarnation(FIRST),
@@ -114,10 +113,10 @@
     assert_eq!(instance.open(flow(1, FEED), 1_010), incarnation(SECOND));
 }
 
-/// The target was asked just before it ended, and the finding comes after the entry of
-/// its next start.
+/// Guards against a result of a probe that was sent just before the target ended and arrives after
+/// the entry of its next start.
 #[test]
-fn what_asking_the_earlier_start_brought_says_nothing_of_the_later_one() {
+fn a_probe_result_of_the_earlier_start_does_not_affect_the_later_one() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
     instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
     let key = flow(1, FEED);
@@ -135,10 +134,10 @@
     assert_eq!(instance.open(flow(2, FEED), 1_300), incarnation(SECOND));
 }
 
-/// It starts again at another address, and a target of another service has taken over
-/// the earlier one. Its old flows must not wait there for ever.
+/// Guards against flows that hang because the target restarted at another address, and a target of
+/// another service took over the earlier one.
 #[test]
-fn at_another_address_the_earlier_start_is_asked() {
+fn the_earlier_start_is_probed_if_it_had_another_address() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
     let key = flow(1, FEED);
     let at = instance.establish(key, 100);
@@ -157,10 +156,10 @@
     assert!(instance.out.sent.iter().all(|(to, ..)| *to != other.incarnation));
 }
 
-/// One instance knows the later start and another one doesn't yet. Packets of a flow may
-/// reach either.
+/// Guards against wrong targets while some instances know the later start and others do not:
+/// packets of a flow may reach any of them.
 #[test]
-fn instances_with_different_pictures_send_a_flow_to_the_same_process() {
+fn instances_with_different_catalogs_send_a_flow_to_the_same_process() {
     let mut ahead = Instance::new(&[started(1, "desk", FIRST)]);
     let mut behind = Instance::new(&[started(1, "desk", FIRST)]);
     ahead.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
@@ -174,7 +173,7 @@
     behind.packet(middle(by_new, new, 1001, 500, 100), 1_200);
 
     assert_eq!(ahead.last_target(), at);
-    assert!(behind.out.sent.is_empty(), "a mark that is not known yet leads nowhere");
+    assert!(behind.out.sent.is_empty(), "a packet with an unknown mark is dropped");
     assert!(behind.out.resets.is_empty());
     behind.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_300);
     behind.packet(middle(by_new, new, 1001, 500, 100), 1_400);
@@ -182,25 +181,25 @@
 }
 
 #[test]
-fn a_start_again_is_told_with_its_name_and_both_starts() {
-    let mut instance = two();
+fn a_restart_is_noted_with_the_name_and_both_starts() {
+    let mut instance = two_targets();
 
     instance.learn(incremental(200, Content::Target(started(1, "desk", SECOND))), 1_000);
 
-    let told = instance.out.notes.iter().filter_map(|note| match note {
+    let noted = instance.out.notes.iter().filter_map(|note| match note {
         Note::Entry { name: it, start, state, .. } if *it == name(1) => Some((start.0, *state)),
         _ => None,
     });
-    let told = told.collect::<Vec<_>>();
-    assert!(told.contains(&(FIRST, EntryState::Replaced)), "{told:?}");
-    assert!(told.contains(&(SECOND, EntryState::Listed)), "{told:?}");
+    let noted = noted.collect::<Vec<_>>();
+    assert!(noted.contains(&(FIRST, EntryState::Replaced)), "{noted:?}");
+    assert!(noted.contains(&(SECOND, EntryState::Listed)), "{noted:?}");
 }
 
-/// Two targets whose numbers are the same by chance: packets in mid-flow of one would
-/// reach the other, which resets them.
+/// Guards against two targets that have the same incarnation by chance. Packets in mid-flow of one
+/// would reach the other, which would reset the flow.
 #[test]
-fn a_target_whose_number_is_in_use_is_not_taken() {
-    let mut instance = two();
+fn a_target_with_a_colliding_incarnation_is_rejected() {
+    let mut instance = two_targets();
     let mut clash = target(9, "desk");
     clash.incarnation = incarnation(FIRST);
 
@@ -210,10 +209,10 @@
     assert_eq!(presence(instance.forwarder.catalog(), FIRST), Presence::Listed);
 }
 
-/// Another program writes an entry under the id of a target, with all fields but the
-/// moment of its start, which targets here always give.
+/// Guards against an entry by another program that has a target's name and all fields except the
+/// start time. Targets here always give it.
 #[test]
-fn an_entry_without_a_start_names_no_target_where_starts_are_known() {
+fn an_entry_without_a_start_is_unusable_where_starts_are_known() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
 
     instance.learn(incremental(200, Content::Target(started(1, "desk", 0))), 1_000);
@@ -225,38 +224,40 @@
     assert_eq!(instance.open(flow(2, FEED), 2_100), incarnation(FIRST));
 }
 
-/// The picture of an instance that knew target 1 until its entry went, as it was `later`.
-fn picture_without_one(later: u64) -> medlarspur_marked::Update {
+/// The snapshot of an instance that knew target 1 until its entry was removed, `later` milliseconds
+/// after the removal.
+fn snapshot_without_one(later: u64) -> medlarspur_marked::Update {
     let mut old = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     old.learn(incremental(200, Content::Removed(name(1))), 1_000);
     old.forwarder.catalog().update_since(Revision::new(0, 0), millis(1_000 + later))
 }
 
-/// Guards against feeds that hang since an instance that started later doesn't know their mark.
+/// Guards against feeds that hang because an instance that started later does not know their mark.
 #[test]
-fn an_instance_that_starts_frees_the_flows_of_targets_that_went_before() {
+fn a_starting_instance_resets_flows_of_targets_removed_before() {
     let mut started = Instance::new(&[]);
     let gone = target(1, "desk").incarnation;
     let key = flow(1, FEED);
 
-    started.learn(picture_without_one(500), 0);
+    started.learn(snapshot_without_one(500), 0);
     started.packet(middle(key, gone, 1001, 500, 100), 100);
     assert_eq!((started.last_target(), &started.out.probed[..]), (gone, &[gone][..]));
     started.forwarder.answer(gone, ProbeResult::Gone, millis(110), &mut started.out);
     started.packet(middle(key, gone, 1001, 500, 100), 300);
 
-    // At once, and again for what the caller still sends.
+    // Once at the probe's result, and once for the packet that the caller still sends.
     assert_eq!(started.out.resets, [(key, 500, Refusal::TargetLost); 2]);
     assert_eq!(started.forwarder.counts().unknown, 0);
 }
 
-/// Guards against new flows to a target that is known for its old ones, and for how long.
+/// Guards against new flows to a target that is only known for its old flows, and against retaining
+/// it for too long.
 #[test]
-fn a_target_that_went_before_gets_no_new_flow_and_is_forgotten() {
+fn a_target_removed_before_gets_no_new_flow_and_is_dropped() {
     let mut started = Instance::new(&[]);
     let (gone, other) = (target(1, "desk").incarnation, target(2, "desk").incarnation);
 
-    started.learn(picture_without_one(80_000), 1_000_000);
+    started.learn(snapshot_without_one(80_000), 1_000_000);
     for number in 0..10 {
         assert_eq!(started.open(flow(number, FEED), 1_000_010), other);
     }
@@ -266,17 +267,17 @@
     assert!(started.forwarder.catalog().entry(gone).is_none());
 }
 
-/// Guards against new flows to a target that nobody has heard since it went.
+/// Guards against new flows to a target that has shown no life since its removal.
 #[test]
-fn a_target_that_went_just_before_gets_no_new_flow_either() {
+fn a_target_removed_just_before_gets_no_new_flow() {
     let mut started = Instance::new(&[]);
-    let mut picture = picture_without_one(500);
+    let mut snapshot = snapshot_without_one(500);
     let other = target(2, "desk").incarnation;
-    picture
+    snapshot
         .changes
         .retain(|it| !matches!(&it.content, Content::Target(it) if it.incarnation == other));
 
-    started.learn(picture, 1_000_000);
+    started.learn(snapshot, 1_000_000);
     started.packet(segment(flow(1, FEED), Kind::Open), 1_000_010);
 
     assert!(started.out.sent.is_empty());
--- a/marked/tests/test_seats.rs
+++ b/marked/tests/test_seats.rs
@@ -1,4 +1,4 @@
-//! Who owns slow targets, whatever instances believe of each other.
+//! Owners of targets in slow start, whatever the instances know about each other.
 
 use super::{
     fixtures::config,
@@ -10,13 +10,13 @@
 use proptest::prelude::*;
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
-/// How many targets of each domain are looked at.
+/// Number of observed targets in each domain.
 const TARGETS: u64 = 24;
-/// Within which time owners count together, and some more.
+/// Time in milliseconds within which owners count together, with a margin.
 const WINDOW: u64 = 1_100;
 
-/// A fleet in which a service bounds what its slow targets get.
-fn fleet(domains: u8, count: u8) -> Net {
+/// A net in which a service limits the load on its targets in slow start.
+fn net_with_slow_start(domains: u8, count: u8) -> Net {
     let mut net = Net::new(domains, count);
     let mut bounded = config(2);
     let warmup = Some(Warmup { span: Millis(2_000), rate: 4 });
@@ -26,17 +26,17 @@
     net
 }
 
-/// When each instance owned a target of its domain last.
+/// When each instance last owned a target of its domain.
 #[derive(Default)]
 struct Owners {
     last: BTreeMap<(u8, u64), BTreeMap<SocketAddrV4, u64>>,
     most: usize,
-    /// The owners at this moment, of all targets.
+    /// Current number of owners of all targets together.
     now: usize,
 }
 
 impl Owners {
-    /// Lets time pass and notes who owns what.
+    /// Advances the time and records the owners.
     fn watch(&mut self, net: &mut Net, span: u64) {
         for _ in 0..span / 10 {
             net.run(10);
@@ -62,7 +62,7 @@
 
 #[test]
 fn each_slow_target_has_one_owner_soon_after_the_start() {
-    let mut net = fleet(4, 18);
+    let mut net = net_with_slow_start(4, 18);
     let mut owners = Owners::default();
 
     owners.watch(&mut net, 12_000);
@@ -71,67 +71,67 @@
     assert!(owners.most <= OWNERS as usize, "{} owners of one target", owners.most);
 }
 
-/// News keeps coming, as while a whole service is replaced, which is when targets are slow.
-/// Heartbeats stay out meanwhile, and with them seats would.
+/// Guards against losing seats while updates keep coming, as when a whole service is replaced,
+/// which is when targets are in slow start. Updates then replace the heartbeats that carry seats.
 #[test]
-fn seats_are_told_while_news_keeps_coming() {
-    let mut net = fleet(1, 18);
+fn seats_are_assigned_while_updates_keep_coming() {
+    let mut net = net_with_slow_start(1, 18);
     net.run(10_000);
     let mut owners = Owners::default();
     for number in 10..30 {
-        net.list(number);
+        net.list_target(number);
         owners.watch(&mut net, 300);
     }
 
     assert_eq!(owners.now, TARGETS as usize);
 }
 
-/// What may happen to a fleet.
+/// A change of the net.
 #[derive(Debug, Clone, Copy)]
 enum Event {
-    Cut(u8),
-    Join,
-    /// The first readers of a domain are killed.
+    Partition(u8),
+    Heal,
+    /// The current readers of a domain are killed.
     KillReaders(u8),
-    /// Some of a domain are killed, and start again.
+    /// Some instances of a domain are killed and start again.
     Restart(u8, u8),
     Loss(u64),
     Update(u64),
-    Unserved(u8),
+    StoreUnreachable(u8),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     let domain = 1..=2u8;
     prop_oneof![
-        domain.clone().prop_map(Event::Cut),
-        Just(Event::Join),
+        domain.clone().prop_map(Event::Partition),
+        Just(Event::Heal),
         domain.clone().prop_map(Event::KillReaders),
         (domain.clone(), 1..10u8).prop_map(|(domain, count)| Event::Restart(domain, count)),
         (0..150u64).prop_map(Event::Loss),
         (10..40u64).prop_map(Event::Update),
-        domain.prop_map(Event::Unserved),
+        domain.prop_map(Event::StoreUnreachable),
     ]
 }
 
 fn apply(net: &mut Net, event: Event) {
     match event {
-        Event::Cut(domain) => drop(net.cut.insert(domain)),
-        Event::Join => {
-            net.cut.clear();
-            net.serve(1, true);
-            net.serve(2, true);
+        Event::Partition(domain) => drop(net.partitioned.insert(domain)),
+        Event::Heal => {
+            net.partitioned.clear();
+            net.set_store_reachable(1, true);
+            net.set_store_reachable(2, true);
         }
         Event::KillReaders(domain) => {
             for reader in net.readers(domain) {
-                net.instances.get_mut(&reader).expect("it is there").up = false;
+                net.instances.get_mut(&reader).expect("the instance exists").up = false;
             }
         }
         Event::Restart(domain, count) => {
             (1..=count).for_each(|nth| net.start(address(domain, nth)))
         }
         Event::Loss(loss) => net.loss = loss,
-        Event::Update(number) => drop(net.list(number)),
-        Event::Unserved(domain) => net.serve(domain, false),
+        Event::Update(number) => drop(net.list_target(number)),
+        Event::StoreUnreachable(domain) => net.set_store_reachable(domain, false),
     }
 }
 
@@ -140,14 +140,14 @@
         failure_persistence: None, cases: 24, ..ProptestConfig::default()
     })]
 
-    /// Domains are cut off, readers die, instances start in herds, messages get lost and news
-    /// comes late. Whatever instances believe of each other meanwhile, no slow target has more
-    /// owners within a second than its bound bears.
+    /// Guards against too many owners of a target in slow start, and so against more load than its
+    /// limit, when domains are partitioned, readers die, many instances start at once, datagrams
+    /// get lost and updates are late.
     #[test]
     fn no_slow_target_has_too_many_owners(
         events in proptest::collection::vec((event(), 1..30u64), 1..14)
     ) {
-        let mut net = fleet(2, 12);
+        let mut net = net_with_slow_start(2, 12);
         let mut owners = Owners::default();
         owners.watch(&mut net, 8_000);
         for (event, pause) in events {
