--- a/marked/src/evacuation.rs
+++ b/marked/src/evacuation.rs
@@ -74,7 +74,7 @@
         self.domains.iter().map(|(domain, it)| {
             let content = match it.ended {
                 None => Content::Evacuated(domain.clone()),
-                Some(_) => Content::Restored(domain.clone()),
+                Some(_) => Content::EvacuationEnded(domain.clone()),
             };
             Change { revision: it.revision, content }
         })
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -1,140 +1,141 @@
-//! Who reads the store, and how news reaches the others.
+//! Gossip between instances: who reads the store, and how updates reach the others.
 //!
-//! Each call to the store is priced and its rate is limited, so two instances in
-//! each failure domain read it and pass on what they read. Nobody appoints them:
+//! Calls to the store cost money and are rate-limited, so two instances in each failure domain read
+//! it and propagate what they read. The readers are not appointed:
 //!
-//! - A reader tells its domain after each answer of the store, so silence says
-//!   that the reader or its way to the store is gone.
-//! - Who hears of fewer than two such readers becomes one itself, at once if
-//!   there is none, after a random pause if there is one. Too many readers cost
-//!   calls; too few would cost callers.
-//! - A reader that hears of two others with smaller addresses stops.
+//! - A reader sends its domain a heartbeat after each answer of the store. Silence means that the
+//!   reader or its connection to the store has failed.
+//! - An instance that knows fewer than two such readers becomes one itself: at once if there is
+//!   none, after a random delay if there is one. Too many readers cost calls to the store; too few
+//!   cost callers.
+//! - A reader that knows two others with smaller addresses stops reading.
 //!
-//! News goes through a domain as a tree: the reader sends it to a few, each of
-//! which passes it on to a part of the others, so no instance sends more than
-//! [`FANOUT`] copies. It says up to which revision the receiver must know all;
-//! who lacks something asks for it.
+//! Updates spread through a domain as a tree. The reader sends an update to a few instances, each
+//! of which forwards it to a part of the others, so that no instance sends more than [`FANOUT`]
+//! copies. An update names the revision that the receiver must already know; an instance that lacks
+//! changes pulls them.
 //!
-//! All beliefs are local. Two parts of a domain that are cut off from each other
-//! each have their own readers, and what they know merges by revision.
+//! All knowledge is local. After a network partition within a domain, each part has its own
+//! readers, and later the parts merge their catalogs by revision.
 
-mod lack;
-mod presence;
+mod heartbeats;
+mod pull;
 mod readers;
 mod seats;
 mod spread;
 
 use crate::{
-    Catalog, News, Revision,
+    Catalog, Revision, Update,
     message::{DomainId, Message, Role, encode},
 };
-use lack::Lacking;
+use heartbeats::Purpose;
 use medlarspur_lib::{collections::Map, ids::DomainName, time::Millis};
 use medlarspur_load::random::Random;
-use presence::Purpose;
-use readers::START_PAUSE;
-use seats::ToldSeat;
+use pull::PendingPull;
+use readers::START_DELAY;
+use seats::AssignedSeat;
 use std::{hash::Hasher, net::SocketAddrV4};
 
-/// How often an instance that does not read tells its readers that it is there.
-const HEARTBEAT_PAUSE: Millis = Millis::secs(4);
-/// How long after its last message an instance is taken for gone: two heartbeats, with room.
+/// How often a listener sends its readers a heartbeat.
+const HEARTBEAT_INTERVAL: Millis = Millis::secs(4);
+/// Time after the last message at which an instance is taken for gone: two heartbeat intervals and
+/// a margin.
 const PEER_TIMEOUT: Millis = Millis::secs(10);
-/// How long after others told of it an instance that was never heard is
-/// forgotten. Listeners are heard by readers only; when those go, whoever takes
-/// over should know the domain.
-const HEARSAY_TIMEOUT: Millis = Millis::secs(60);
-/// How long an instance without readers waits between two questions to seeds.
-const SEEK_PAUSE: Millis = Millis(1_000);
-/// How often a reader tells the seeds that it is one, so that they can tell
-/// whoever starts.
-const SEED_PAUSE: Millis = Millis::secs(4);
+/// Time after which an instance is forgotten that is known only as a contact in heartbeats of
+/// others. Only readers receive heartbeats of listeners; when the readers are gone, their
+/// successors should know the domain.
+const INDIRECT_TIMEOUT: Millis = Millis::secs(60);
+/// How often an instance that knows no readers asks the seeds for contacts.
+const DISCOVERY_INTERVAL: Millis = Millis(1_000);
+/// How often a reader announces itself to the seeds, so that they can name it to starting
+/// instances.
+const SEED_INTERVAL: Millis = Millis::secs(4);
 
-/// What is believed of another instance.
+/// State of another instance.
 #[derive(Debug, Clone, Copy)]
 struct Peer {
     domain: DomainId,
     role: Role,
-    /// When the store answered it last, by this instance's clock.
-    fresh: Option<Millis>,
+    /// When the store last answered it, by the local clock.
+    last_answer: Option<Millis>,
     revision: Revision,
-    /// When it was heard, or heard of.
-    heard: Millis,
-    /// Whether others have told of it and it was never heard itself.
+    /// When a message of it or about it last arrived.
+    last_seen: Millis,
+    /// Whether the instance is known only as a contact in heartbeats of others.
     indirect: bool,
 }
 
 /// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Who gets it.
+    /// Address of the receiver.
     pub to: SocketAddrV4,
-    /// Its bytes.
+    /// Content of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// The other instances as one of them sees them.
+/// Membership and gossip of one instance.
 #[derive(Debug)]
 pub struct Fleet {
-    me: SocketAddrV4,
+    address: SocketAddrV4,
     domain: DomainId,
     seeds: Vec<SocketAddrV4>,
     peers: Map<SocketAddrV4, Peer>,
-    /// Since when this instance reads the store.
-    reading: Option<Millis>,
-    /// When it becomes a reader, and how many others there were when that was
+    /// When this instance began to read the store, if it does.
+    reading_since: Option<Millis>,
+    /// When this instance becomes a reader, and the number of other readers for which that time was
     /// drawn.
-    due: Option<(usize, Millis)>,
-    /// When the store answered this instance last.
-    fresh: Option<Millis>,
-    /// Up to which revision it has passed news on.
-    told: Revision,
-    /// The era of what this instance knows, and since when.
+    promotion: Option<(usize, Millis)>,
+    /// When the store last answered this instance.
+    last_answer: Option<Millis>,
+    /// Revision up to which this instance has propagated updates.
+    propagated: Revision,
+    /// Era of the catalog, and when it was first seen.
     era: (u32, Millis),
-    heartbeat_at: Option<Millis>,
-    sought: Option<Millis>,
-    /// When it has told the seeds that it reads.
-    seeded: Option<Millis>,
-    pulled: Option<Millis>,
-    /// Who knows more, if it is known that anybody does.
-    lacking: Option<Lacking>,
-    /// While this instance knows nothing, who may have the picture.
+    last_heartbeat: Option<Millis>,
+    last_discovery: Option<Millis>,
+    /// When this instance last announced itself to the seeds as a reader.
+    last_seed_heartbeat: Option<Millis>,
+    last_pull: Option<Millis>,
+    /// The next pull, if another instance is known to have later changes.
+    pending_pull: Option<PendingPull>,
+    /// Instances that may have a snapshot, while this instance knows nothing.
     sources: Vec<SocketAddrV4>,
     started: Millis,
-    /// This instance's seat, as the first reader has told it last.
-    seat: Option<ToldSeat>,
+    /// The seat that the first reader last assigned to this instance.
+    assigned_seat: Option<AssignedSeat>,
     random: Random,
     outgoing: Vec<Outgoing>,
 }
 
 impl Fleet {
-    /// One that knows the seeds only, and reads the store soon if nobody has the
-    /// picture.
+    /// Creates the state of an instance that knows only the seeds. It soon reads the store itself,
+    /// unless another instance has a snapshot.
     pub fn new(
-        me: SocketAddrV4,
+        address: SocketAddrV4,
         domain: &DomainName,
         seeds: &[SocketAddrV4],
         seed: u64,
         now: Millis,
     ) -> Fleet {
         Fleet {
-            me,
+            address,
             domain: domain_id(domain),
-            seeds: seeds.iter().copied().filter(|it| *it != me).collect(),
+            seeds: seeds.iter().copied().filter(|it| *it != address).collect(),
             peers: Map::default(),
-            reading: None,
-            due: Some((0, now + START_PAUSE)),
-            fresh: None,
-            told: Revision::default(),
+            reading_since: None,
+            promotion: Some((0, now + START_DELAY)),
+            last_answer: None,
+            propagated: Revision::default(),
             era: (0, now),
-            heartbeat_at: None,
-            sought: None,
-            seeded: None,
-            pulled: None,
-            lacking: None,
+            last_heartbeat: None,
+            last_discovery: None,
+            last_seed_heartbeat: None,
+            last_pull: None,
+            pending_pull: None,
             sources: Vec::new(),
             started: now,
-            seat: None,
+            assigned_seat: None,
             random: Random::new(seed),
             outgoing: Vec::new(),
         }
@@ -142,129 +143,132 @@
 
     /// Whether this instance reads the store.
     pub fn is_reading(&self) -> bool {
-        self.reading.is_some()
+        self.reading_since.is_some()
     }
 
-    /// Its failure domain, as messages carry it.
+    /// Hash of the own failure domain's name.
     pub fn domain(&self) -> DomainId {
         self.domain
     }
 
-    /// How many others are known.
+    /// Number of other instances that are known.
     pub fn len(&self) -> usize {
         self.peers.len()
     }
 
-    /// How many instances of its failure domain are known, this one included.
-    pub fn near(&self) -> usize {
+    /// Number of known instances in the own failure domain, including this one.
+    pub fn domain_size(&self) -> usize {
         1 + self.peers.values().filter(|peer| peer.domain == self.domain).count()
     }
 
-    /// Whether no other is known.
+    /// Whether no other instance is known.
     pub fn is_empty(&self) -> bool {
         self.peers.is_empty()
     }
 
     /// Replaces the seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddrV4]) {
-        self.seeds = seeds.iter().copied().filter(|it| *it != self.me).collect();
+        self.seeds = seeds.iter().copied().filter(|it| *it != self.address).collect();
     }
 
     /// When the store last answered this instance or a reader of its domain.
     pub fn confirmed(&self) -> Option<Millis> {
         let peers = self.peers.values().filter(|peer| peer.domain == self.domain);
-        peers.map(|peer| peer.fresh).chain([self.fresh]).max().flatten()
+        peers.map(|peer| peer.last_answer).chain([self.last_answer]).max().flatten()
     }
 
-    /// What to send.
+    /// Returns the datagrams to send.
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
         std::mem::take(&mut self.outgoing)
     }
 
-    /// The store has answered; `catalog` has what it said.
+    /// Handles an answer of the store, which is already merged into `catalog`.
     pub fn store_answered(&mut self, catalog: &Catalog, now: Millis) {
-        self.fresh = Some(now);
-        // News says as well that the store has answered.
-        if !self.pass_on(catalog, now) {
-            self.tell_domain(catalog.revision(), now);
+        self.last_answer = Some(now);
+        // An update also announces that the store has answered.
+        if !self.propagate(catalog, now) {
+            self.broadcast_heartbeat(catalog.revision(), now);
         }
     }
 
-    /// The store can't be reached: the others must not rely on this instance.
+    /// Handles a failed call to the store. Others must no longer rely on this instance as a reader.
     pub fn store_failed(&mut self, catalog: &Catalog, now: Millis) {
-        if self.fresh.take().is_some() {
-            self.tell_domain(catalog.revision(), now);
+        if self.last_answer.take().is_some() {
+            self.broadcast_heartbeat(catalog.revision(), now);
         }
     }
 
-    /// Takes in a message; answers the news in it, to be merged.
+    /// Handles a message. Returns the update in it if the update is to be merged.
     pub fn receive(
         &mut self,
         from: SocketAddrV4,
         message: Message,
         catalog: &Catalog,
         now: Millis,
-    ) -> Option<News> {
+    ) -> Option<Update> {
         match message {
             Message::Heartbeat(heartbeat) => {
                 self.receive_heartbeat(from, &heartbeat, catalog.revision(), now);
                 None
             }
-            Message::News { reader, news, to, seat } => {
-                self.confirm(reader, news.revision, now);
-                self.receive_news(reader, news, to, seat, catalog, now)
+            Message::Update { reader, update, to, seat } => {
+                self.refresh_reader(reader, update.revision, now);
+                self.receive_update(reader, update, to, seat, catalog, now)
             }
         }
     }
 
-    /// Does what is due by now.
+    /// Does everything that is due.
     pub fn tick(&mut self, catalog: &Catalog, now: Millis) {
-        self.note_era(catalog.revision().era, now);
-        self.forget(now);
-        self.decide(catalog, now);
+        self.track_era(catalog.revision().era, now);
+        self.forget_silent(now);
+        self.update_role(catalog, now);
         let is_due = |at: Option<Millis>, pause| at.is_none_or(|at| now.since(at) >= pause);
         let revision = catalog.revision();
-        if self.readers(now).next().is_none() && is_due(self.sought, SEEK_PAUSE) {
-            self.sought = Some(now);
-            self.seek(revision, now);
+        if self.readers(now).next().is_none() && is_due(self.last_discovery, DISCOVERY_INTERVAL) {
+            self.last_discovery = Some(now);
+            self.discover(revision, now);
         }
-        if self.is_reading() && self.fresh.is_some() && is_due(self.seeded, SEED_PAUSE) {
-            self.seeded = Some(now);
+        if self.is_reading()
+            && self.last_answer.is_some()
+            && is_due(self.last_seed_heartbeat, SEED_INTERVAL)
+        {
+            self.last_seed_heartbeat = Some(now);
             for seed in self.seeds.clone() {
-                self.heartbeat(seed, Purpose::Tell, revision, now);
+                self.heartbeat(seed, Purpose::Announce, revision, now);
             }
         }
-        if !self.is_reading() && is_due(self.heartbeat_at, HEARTBEAT_PAUSE) {
-            self.heartbeat_at = Some(now);
+        if !self.is_reading() && is_due(self.last_heartbeat, HEARTBEAT_INTERVAL) {
+            self.last_heartbeat = Some(now);
             let readers: Vec<_> = self.readers(now).collect();
             for reader in readers {
-                self.heartbeat(reader, Purpose::Tell, revision, now);
+                self.heartbeat(reader, Purpose::Announce, revision, now);
             }
         }
     }
 
     /// When [`tick`](Self::tick) has something to do next.
     pub fn deadline(&self, now: Millis) -> Millis {
-        self.next_question(now).into_iter().chain([self.next_step(now)]).min().unwrap_or(now)
+        self.next_pull(now).into_iter().chain([self.next_decision(now)]).min().unwrap_or(now)
     }
 
-    /// Forgets instances that were not heard of for long. One that listens hears no other
-    /// listener after the start, so it knows of them by its readers only.
-    fn forget(&mut self, now: Millis) {
-        let listens = !self.is_reading();
+    /// Forgets instances that were not seen for long. Listeners exchange heartbeats at the start
+    /// only, so a listener knows others only as contacts that its readers name.
+    fn forget_silent(&mut self, now: Millis) {
+        let is_listener = !self.is_reading();
         for peer in self.peers.values_mut() {
-            peer.indirect |= listens && now.since(peer.heard) >= PEER_TIMEOUT;
+            peer.indirect |= is_listener && now.since(peer.last_seen) >= PEER_TIMEOUT;
         }
-        let limit = |peer: &Peer| if peer.indirect { HEARSAY_TIMEOUT } else { PEER_TIMEOUT };
-        self.peers.retain(|_, peer| now.since(peer.heard) < limit(peer));
+        let limit = |peer: &Peer| if peer.indirect { INDIRECT_TIMEOUT } else { PEER_TIMEOUT };
+        self.peers.retain(|_, peer| now.since(peer.last_seen) < limit(peer));
     }
 
     fn send(&mut self, to: SocketAddrV4, message: &Message) {
         match encode(message) {
             Ok(bytes) => self.outgoing.push(Outgoing { to, bytes }),
-            // One item may be too large for a datagram. The next heartbeat tells the
-            // revision, and whoever lacks it asks for it.
-            Err(error) => log::debug!("peers: a message is not sent: {error}"),
+            // A single change may be too large for a datagram. The next heartbeat announces the
+            // revision, and instances that lack the change pull it.
+            Err(error) => log::debug!("peers: a message to {to} was not sent: {error}"),
         }
     }
 
--- a/marked/src/forwarder/counts.rs
+++ b/marked/src/forwarder/counts.rs
@@ -1,6 +1,6 @@
 //! Counters of the forwarder.
 
-use crate::{Finding, Refusal};
+use crate::{ProbeResult, Refusal};
 
 /// Counters since the start of the process.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// Probes sent to targets.
     pub probes: u64,
     /// Probe results, by kind.
-    pub probe_results: [u64; Finding::ALL.len()],
+    pub probe_results: [u64; ProbeResult::ALL.len()],
 }
 
 impl Counts {
--- a/marked/src/forwarder/exclusion.rs
+++ b/marked/src/forwarder/exclusion.rs
@@ -83,8 +83,8 @@
         // Targets that got no flows while their domain was evacuated may have become cold. They
         // announce that only some time after the evacuation has ended; until then they would
         // get all new flows, since they are idle.
-        let restored = self.catalog.restored(&entry.target.domain);
-        now < entry.cold || restored.is_some_and(|at| now < at + warmup.span)
+        let restored = self.catalog.evacuation_ended(&entry.target.domain);
+        now < entry.cold_until || restored.is_some_and(|at| now < at + warmup.span)
     }
 
     /// Whether this instance owns a target in slow start and may open a flow there now.
@@ -128,7 +128,7 @@
 
     /// Creates the note of a domain that was evacuated or whose evacuation ended.
     pub(super) fn evacuation_note(&self, domain: DomainName) -> Note {
-        let revision = self.catalog.evacuation(&domain).unwrap_or_default();
+        let revision = self.catalog.evacuation_revision(&domain).unwrap_or_default();
         let targets = self.catalog.entries();
         let targets = targets.filter(|it| it.is_listed() && it.target.domain == domain).count();
         match self.catalog.is_evacuated(&domain) {
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -10,7 +10,7 @@
 //! the next target. The design alternatives are in `docs/design/full.md`.
 
 use super::{Forwarder, Output, TargetState};
-use crate::{Entry, Finding, Incarnation, Note};
+use crate::{Entry, Incarnation, Note, ProbeResult};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
@@ -51,7 +51,7 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.health.see_taken(now);
+        state.health.record_accepted(now);
         state.unanswered = 0;
         state.late_unanswered = false;
         if state.vacancy.take(class) {
@@ -109,10 +109,13 @@
     ) -> bool {
         let Some(state) = self.states.get(&target) else { return false };
         let health = &state.health;
-        let is_overtaken = self.estimates.has_answered_since(since) && health.taken() < since;
+        let is_overtaken =
+            self.estimates.has_answered_since(since) && health.last_accepted() < since;
         let is_full = match state.vacancy.is_full() {
             true => is_overtaken || now.since(since) >= MAX_FULL_WAIT,
-            false => is_overtaken && state.unanswered >= MIN_UNANSWERED && health.life() > since,
+            false => {
+                is_overtaken && state.unanswered >= MIN_UNANSWERED && health.last_alive() > since
+            }
         };
         if is_full {
             if let Some(state) = self.states.get_mut(&target) {
@@ -150,17 +153,18 @@
         let Some(entry) = self.catalog.entry(target) else { return };
         let Some(state) = self.states.get(&target) else { return };
         let health = state.health;
-        let has_shown_life = health.asked().is_some_and(|asked| health.life() > asked);
-        let has_taken_opening = health.asked().is_some_and(|asked| health.taken() > asked);
-        if health.is_lost() || !has_shown_life && !entry.is_listed() {
+        let has_been_alive = health.last_probe().is_some_and(|probe| health.last_alive() > probe);
+        let has_taken_opening =
+            health.last_probe().is_some_and(|probe| health.last_accepted() > probe);
+        if health.is_lost() || !has_been_alive && !entry.is_listed() {
             // The entry is gone as well, which does not happen to full targets.
-            return self.mark_lost(target, Finding::Silent, now, out);
+            return self.mark_lost(target, ProbeResult::Silent, now, out);
         }
-        if has_taken_opening || has_shown_life && !state.has_unanswered() {
+        if has_taken_opening || has_been_alive && !state.has_unanswered() {
             return;
         }
         if let Some(state) = self.states.get_mut(&target) {
-            state.silent = !has_shown_life;
+            state.silent = !has_been_alive;
         }
         self.mark_full(target, now, out);
         self.check_silent(target, now, out);
@@ -175,7 +179,8 @@
             self.full.push(target);
             self.counts.filled += 1;
             let flows = self.flows.values().filter(|flow| flow.target == target).count();
-            let (taken, silent) = (now.since(health.taken()), now.since(health.life()));
+            let (taken, silent) =
+                (now.since(health.last_accepted()), now.since(health.last_alive()));
             out.note(Note::Full { target, taken, silent, flows });
         }
         self.move_all_openings(target, now, out);
@@ -191,7 +196,7 @@
     ) {
         let Some(limit) = self.silence_limit(target) else { return };
         let Some(state) = self.states.get_mut(&target).filter(|state| state.silent) else { return };
-        let due = now.max(sent.max(state.health.life()) + limit);
+        let due = now.max(sent.max(state.health.last_alive()) + limit);
         state.check_at = Some(state.check_at.map_or(due, |check| check.min(due)));
     }
 
@@ -214,13 +219,14 @@
             return;
         }
         let flows = self.flows.values().filter(|flow| flow.target == target);
-        let life = state.health.life();
-        let Some(since) = flows.filter_map(|flow| Some(flow.unanswered_since()?.max(life))).min()
+        let last_alive = state.health.last_alive();
+        let Some(since) =
+            flows.filter_map(|flow| Some(flow.unanswered_since()?.max(last_alive))).min()
         else {
             return;
         };
         if now.since(since) >= limit {
-            return self.mark_lost(target, Finding::Silent, now, out);
+            return self.mark_lost(target, ProbeResult::Silent, now, out);
         }
         state.check_at = Some(since + limit);
     }
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -202,7 +202,7 @@
     /// Returns the target of a packet in mid-flow: that of its mark, unless the flow is known
     /// to be open at another target, and none without a valid mark.
     fn resolve_target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
-        let marked = segment.mark.and_then(|mark| self.catalog.marked(mark, &segment.key));
+        let marked = segment.mark.and_then(|mark| self.catalog.entry_by_mark(mark, &segment.key));
         if let Some(entry) = marked {
             return Some(self.acknowledged_target(segment).unwrap_or(entry.target.incarnation));
         }
@@ -358,7 +358,7 @@
         }
         let opening = self.openings.front().map(|(due, _)| *due);
         let states = &self.states;
-        let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.retry());
+        let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.next_probe());
         let full = self.full.iter().filter_map(|it| states.get(it));
         let full = full.flat_map(|state| state.check_at.into_iter().chain(state.vacancy.retry()));
         let others = retries.chain(full).chain(self.held_deadline()).chain(self.catalog.deadline());
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -81,7 +81,7 @@
             key: segment.key,
             seq: segment.seq,
             class: route.class,
-            service: route.share(self.random.draw()).clone(),
+            service: route.pick_service(self.random.draw()).clone(),
             packet: bytes.into(),
             waited: Millis(0),
         };
@@ -227,7 +227,7 @@
             let target = targets.swap_remove(position);
             // Another target may have the same mark for this flow, and would get its packets in
             // mid-flow.
-            let marked = self.catalog.marked(Mark::new(target, key), key);
+            let marked = self.catalog.entry_by_mark(Mark::new(target, key), key);
             if marked.is_some_and(|entry| entry.target.incarnation == target) {
                 self.counts.evacuated_avoided += u64::from(evacuated);
                 self.counts.warming_spared += u64::from(warming);
@@ -277,7 +277,7 @@
         let is_suspected = is_suspected || self.stranded && !near;
         let tier = match entry.presence {
             Presence::Removed(since)
-                if state.health.life() <= since || now.since(since) > LAPSE_LIMIT =>
+                if state.health.last_alive() <= since || now.since(since) > LAPSE_LIMIT =>
             {
                 return None;
             }
@@ -292,7 +292,7 @@
             working: state.working,
             opening: state.opening,
             feeds: state.feeds,
-            cold: now < entry.cold,
+            cold: now < entry.cold_until,
             near,
             kept: false,
             shared: false,
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -1,7 +1,7 @@
 //! Detection of targets that do not answer.
 
 use super::{Forwarder, Output, TargetState};
-use crate::{Entry, EntryState, Finding, FlowKey, Health, Incarnation, Note, Presence, Target};
+use crate::{Entry, EntryState, FlowKey, Health, Incarnation, Note, Presence, ProbeResult, Target};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 
 /// Maximum time for which silence of targets is ignored while no target at all is known to be
@@ -104,7 +104,7 @@
         let pause = Millis(self.random.draw() % MAX_RELISTED_DELAY.0);
         let Some(state) = self.states.get_mut(&target) else { return };
         if state.health.is_lost() && !self.lost.contains(&target) {
-            state.health.defer(now + pause);
+            state.health.defer_probe(now + pause);
             self.lost.push(target);
         }
     }
@@ -136,7 +136,7 @@
         self.isolated_since = None;
         state.suspected_at = None;
         state.silent = false;
-        if state.health.see_life(now) {
+        if state.health.record_alive(now) {
             self.lost.retain(|it| *it != target);
             out.note(Note::Regained { target });
         }
@@ -152,7 +152,7 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        if state.health.doubt(sent, now) {
+        if state.health.suspect(sent, now) {
             self.probe_suspect(target, flow, sent, now, out);
         }
     }
@@ -169,7 +169,7 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         state.count_unanswered(sent, now);
-        if state.health.doubt_opening(sent, now) {
+        if state.health.suspect_opening(sent, now) {
             self.probe_suspect(target, flow, sent, now, out);
         }
     }
@@ -186,7 +186,7 @@
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         state.late_unanswered = true;
-        if state.health.doubt_opening(sent, now) {
+        if state.health.suspect_opening(sent, now) {
             out.note(Note::Doubted { target, flow, silent: now.since(sent) });
             self.probe(target, now, out);
         }
@@ -214,7 +214,7 @@
         self.counts.probes += 1;
         let instances = self.instance_count();
         if let Some(state) = self.states.get_mut(&incarnation) {
-            state.health.ask_again(now);
+            state.health.record_probe(now);
             state.vacancy.ask(now, instances);
         }
     }
@@ -223,21 +223,23 @@
     pub fn handle_probe_result(
         &mut self,
         target: Incarnation,
-        finding: Finding,
+        result: ProbeResult,
         now: Millis,
         out: &mut impl Output,
     ) {
-        self.counts.probe_results[finding as usize] += 1;
-        match finding {
-            Finding::Answers => self.handle_answered_probe(target, now, out),
-            Finding::Declines => self.handle_declined_probe(target, now, out),
-            Finding::Silent if self.is_isolated(target, now) => {
+        self.counts.probe_results[result as usize] += 1;
+        match result {
+            ProbeResult::Answers => self.handle_answered_probe(target, now, out),
+            ProbeResult::Declines => self.handle_declined_probe(target, now, out),
+            ProbeResult::Silent if self.is_isolated(target, now) => {
                 self.probe_with_another(target, now, out)
             }
-            Finding::Silent => self.handle_silent_probe(target, now, out),
+            ProbeResult::Silent => self.handle_silent_probe(target, now, out),
             // A leaving target stops listening before its last flows end.
-            Finding::Gone if self.is_leaving(target) => self.handle_silent_probe(target, now, out),
-            Finding::Gone => self.mark_lost(target, finding, now, out),
+            ProbeResult::Gone if self.is_leaving(target) => {
+                self.handle_silent_probe(target, now, out)
+            }
+            ProbeResult::Gone => self.mark_lost(target, result, now, out),
         }
     }
 
@@ -251,8 +253,9 @@
     /// stays saturated for a second doesn't carry flows any more.
     fn is_isolated(&mut self, target: Incarnation, now: Millis) -> bool {
         let state = self.states.get(&target);
-        let asked = state.filter(|it| !it.health.is_lost()).and_then(|it| it.health.asked());
-        let is_silent_everywhere = asked.is_some_and(|asked| self.last_alive <= asked);
+        let last_probe =
+            state.filter(|it| !it.health.is_lost()).and_then(|it| it.health.last_probe());
+        let is_silent_everywhere = last_probe.is_some_and(|probe| self.last_alive <= probe);
         is_silent_everywhere && now.since(*self.isolated_since.get_or_insert(now)) < ISOLATION_LIMIT
     }
 
@@ -264,17 +267,17 @@
             let it = &entry.target;
             let state = self.states.get(&it.incarnation);
             let is_probed = |state: &TargetState| {
-                state.health.asked().is_some_and(|at| now.since(at) < SUSPECT_TIME)
+                state.health.last_probe().is_some_and(|at| now.since(at) < SUSPECT_TIME)
             };
             let is_unsuitable =
                 state.is_none_or(|state| state.health.is_lost() || is_probed(state));
             it.incarnation != target && entry.is_listed() && !is_unsuitable
         };
         let others = self.catalog.entries().filter(is_suitable);
-        let another = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold));
+        let another = others.min_by_key(|entry| (entry.target.domain != *domain, entry.cold_until));
         let another = another.map(|entry| entry.target.incarnation);
-        for asked in another.into_iter().chain([target]) {
-            self.probe(asked, now, out);
+        for probed in another.into_iter().chain([target]) {
+            self.probe(probed, now, out);
         }
     }
 
@@ -285,7 +288,7 @@
             |it: &Incarnation| catalog.entry(*it).is_some_and(|entry| entry.is_listed());
         self.lost.retain(|it| is_listed(it) && states.contains_key(it));
         let is_due =
-            |it: &&Incarnation| self.states[*it].health.retry().is_some_and(|at| at <= now);
+            |it: &&Incarnation| self.states[*it].health.next_probe().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.lost.iter().filter(is_due).copied().collect();
         for target in due {
             self.probe(target, now, out);
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -74,7 +74,7 @@
 
     /// Counts an opening that arrived at `sent` as unanswered.
     pub(super) fn count_unanswered(&mut self, sent: Millis, now: Millis) {
-        if self.health.taken() > sent {
+        if self.health.last_accepted() > sent {
             return;
         }
         let is_recent = now.since(self.unanswered_at) < UNANSWERED_WINDOW;
--- a/marked/src/forwarder/stranded.rs
+++ b/marked/src/forwarder/stranded.rs
@@ -52,8 +52,8 @@
         }
         let is_elsewhere = |entry: &&Entry| !self.catalog.is_evacuated(&entry.target.domain);
         let entries = self.catalog.entries().filter(is_elsewhere);
-        let life = entries.filter_map(|it| self.states.get(&it.target.incarnation));
-        life.map(|state| now.since(state.health.life())).min()
+        let states = entries.filter_map(|it| self.states.get(&it.target.incarnation));
+        states.map(|state| now.since(state.health.last_alive())).min()
     }
 
     /// Moves unanswered openings from other domains to this one. Their callers are still
--- a/marked/src/forwarder/update.rs
+++ b/marked/src/forwarder/update.rs
@@ -1,15 +1,15 @@
 //! Updates of targets and routes.
 
 use super::{Forwarder, Output, TargetState};
-use crate::{Changed, Health, News, Note};
+use crate::{Health, MergeOutcome, Note, Update};
 use medlarspur_lib::{ids::Version, time::Millis};
 
 impl Forwarder {
     /// Merges an update of targets and routes and acts on the changes.
-    pub fn apply_update(&mut self, news: News, now: Millis, out: &mut impl Output) {
+    pub fn apply_update(&mut self, update: Update, now: Millis, out: &mut impl Output) {
         let version = self.version();
-        let changed = self.catalog.merge(news, now);
-        self.apply_changes(changed, version, now, out);
+        let outcome = self.catalog.merge(update, now);
+        self.apply_changes(outcome, version, now, out);
     }
 
     fn version(&self) -> Option<Version> {
@@ -19,30 +19,30 @@
     /// Acts on changes of the catalog; `version` is the version of the previous config.
     fn apply_changes(
         &mut self,
-        changed: Changed,
+        outcome: MergeOutcome,
         version: Option<Version>,
         now: Millis,
         out: &mut impl Output,
     ) {
-        if let Some(restored) = changed.restore {
+        if let Some(restored) = outcome.restore {
             self.counts.restores += 1;
             out.note(Note::StoreRestored(restored));
         }
-        for domain in changed.domains {
+        for domain in outcome.domains {
             let note = self.evacuation_note(domain);
             out.note(note);
         }
-        if !changed.targets.is_empty() {
+        if !outcome.targets.is_empty() {
             self.clear_subsets();
         }
-        for incarnation in changed.formers {
+        for incarnation in outcome.former_targets {
             // This instance has never heard from it, so it gets new flows only once it has
             // answered.
             let health = Health::new(Millis(0));
             let state = TargetState { unprobed: true, health, ..TargetState::new(now) };
             self.states.entry(incarnation).or_insert(state);
         }
-        for incarnation in changed.targets {
+        for incarnation in outcome.targets {
             self.states.entry(incarnation).or_insert_with(|| TargetState::new(now));
             self.apply_entry(incarnation, now, out);
         }
@@ -60,14 +60,14 @@
 
     /// Accepts an earlier era of the store than was known.
     pub fn fall_back(&mut self) {
-        self.catalog.fall_back();
+        self.catalog.reset_revisions();
     }
 
     /// Takes over the state of a store that came back from a copy, once that is due.
     pub(super) fn confirm_restore(&mut self, now: Millis, out: &mut impl Output) {
         if self.catalog.deadline().is_some_and(|due| due <= now) {
-            let changed = self.catalog.confirm(now);
-            self.apply_changes(changed, self.version(), now, out);
+            let outcome = self.catalog.confirm(now);
+            self.apply_changes(outcome, self.version(), now, out);
         }
     }
 }
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -184,14 +184,14 @@
         }
     }
 
-    /// Opens a flow that was held since `asked`, by the config now in force.
-    fn place_held(&mut self, mut it: NewFlow, asked: Millis, now: Millis, out: &mut impl Output) {
-        it.waited = now.since(asked);
+    /// Opens a flow that was held since `since`, by the config now in force.
+    fn place_held(&mut self, mut it: NewFlow, since: Millis, now: Millis, out: &mut impl Output) {
+        it.waited = now.since(since);
         let Some(route) = self.catalog.route(it.key.service) else {
             return self.refuse(&it.key, Refusal::NoRoute, out);
         };
         if !route.shares.iter().any(|share| share.service == it.service) {
-            it.service = route.share(self.random.draw()).clone();
+            it.service = route.pick_service(self.random.draw()).clone();
         }
         self.place(it, now, out);
     }
@@ -233,7 +233,7 @@
 /// Uploads are not held: most of their time is spent on transferring their bytes, which says
 /// nothing about the targets.
 pub(super) fn objective(route: &Route) -> Option<Millis> {
-    route.goal.filter(|_| route.class != Class::Upload)
+    route.objective.filter(|_| route.class != Class::Upload)
 }
 
 /// Admission states by service.
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -1,6 +1,8 @@
 //! Decisions and changes of state that are written to the log.
 
-use crate::{Finding, FlowKey, Incarnation, Mark, Refusal, Restored, Revision, Start, Unroutable};
+use crate::{
+    FlowKey, Incarnation, Mark, ProbeResult, Refusal, Restored, Revision, Start, Unroutable,
+};
 use medlarspur_lib::{
     bundle::Class,
     ids::{DomainName, TargetName, Version},
@@ -81,7 +83,7 @@
         /// The lost target.
         target: Incarnation,
         /// Result of the probe.
-        finding: Finding,
+        result: ProbeResult,
         /// Time since the target was last known to be alive.
         silent: Millis,
         /// Number of its flows here.
@@ -308,9 +310,9 @@
                 ("silent_ms", silent.to_string()),
                 ("flow", flow.to_string()),
             ],
-            Note::Lost { target, finding, silent, flows } => vec![
+            Note::Lost { target, result, silent, flows } => vec![
                 ("target", name(*target)),
-                ("finding", lower(finding)),
+                ("finding", lower(result)),
                 ("silent_ms", silent.to_string()),
                 ("flows", flows.to_string()),
             ],
--- a/marked/tests/test_contested.rs
+++ b/marked/tests/test_contested.rs
@@ -1,7 +1,7 @@
 //! Openings that two targets answer.
 
 use super::fixtures::{FEED, Instance, REQUEST, flow, middle, millis, target};
-use medlarspur_marked::{Finding, FlowKey, Incarnation, Kind};
+use medlarspur_marked::{FlowKey, Incarnation, Kind, ProbeResult};
 
 /// A flow whose opening was sent twice to the first of two targets and then to the second, as
 /// the first seemed full.
@@ -19,11 +19,11 @@
     instance.tick(1_030);
     instance.forwarder.handle_probe_result(
         first,
-        Finding::Declines,
+        ProbeResult::Declines,
         millis(1_031),
         &mut instance.out,
     );
-    let second = instance.last();
+    let second = instance.last_target();
     assert_ne!(second, first);
     Moved { instance, key, first, second }
 }
@@ -51,7 +51,7 @@
     instance.packet(middle(key, first, 1001, 500, 0), 1_033);
     instance.packet(middle(key, second, 1001, 500, 900), 1_034);
 
-    assert_eq!(instance.last(), first);
+    assert_eq!(instance.last_target(), first);
 }
 
 /// Guards against data sent to the first target although the caller acknowledged the second:
@@ -63,7 +63,7 @@
     instance.packet(middle(key, second, 1001, 500, 0), 1_033);
     instance.packet(middle(key, first, 1001, 500, 900), 1_034);
 
-    assert_eq!(instance.last(), second);
+    assert_eq!(instance.last_target(), second);
 }
 
 /// Guards against a target that never learns that its flow has ended.
@@ -77,7 +77,7 @@
         end.kind = kind;
         instance.packet(end, 1_200);
 
-        assert_eq!(instance.last(), first);
+        assert_eq!(instance.last_target(), first);
     }
 }
 
@@ -93,7 +93,7 @@
     instance.packet(middle(key, other, 1001, 500, 0), 1_010);
     instance.packet(middle(key, here, 1001, 500, 900), 1_011);
 
-    assert_eq!(instance.last(), other);
+    assert_eq!(instance.last_target(), other);
 }
 
 /// Guards against copies of an opening that follow a mark to a target of another service.
@@ -116,7 +116,7 @@
 
     instance.packet(middle(key, first, 700_001, 900_000, 100), 3_000);
 
-    assert_eq!(instance.last(), first);
+    assert_eq!(instance.last_target(), first);
 }
 
 /// Guards against openings that count forever as work of a target that they are not at.
@@ -136,7 +136,7 @@
 fn a_replaced_record_is_no_longer_counted_as_work() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, REQUEST);
-    let here = instance.opened(key, 1_000);
+    let here = instance.establish(key, 1_000);
     instance.packet(middle(key, here, 1001, 500, 900), 1_010);
     let other = other_than(&instance, here);
     assert_eq!(work_at(&instance, here), 1);
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -1,7 +1,8 @@
 //! Evacuated failure domains: they get no new flows, and open flows go on.
 
 use super::fixtures::{
-    FEED, Instance, REQUEST, all, change, config, flow, middle, millis, news, one, segment, target,
+    FEED, Instance, REQUEST, change, config, flow, incremental, middle, millis, segment, snapshot,
+    target, update,
 };
 use medlarspur_lib::{
     ids::{DomainName, ServiceName},
@@ -9,8 +10,8 @@
 };
 use medlarspur_load::warmup::Seat;
 use medlarspur_marked::{
-    Content, Finding, FlowKey, Incarnation, Kind, News, Note, Refusal, Scope, Service, Target,
-    Warmup,
+    Content, FlowKey, Incarnation, Kind, Note, ProbeResult, Refusal, Scope, Service, Target,
+    Update, Warmup,
 };
 use proptest::prelude::*;
 
@@ -23,12 +24,12 @@
     Target { domain: south(), ..target(number, "desk") }
 }
 
-fn evacuated(revision: u64) -> News {
-    one(revision, Content::Evacuated(south()))
+fn evacuated(revision: u64) -> Update {
+    incremental(revision, Content::Evacuated(south()))
 }
 
-fn evacuation_ended(revision: u64) -> News {
-    one(revision, Content::Restored(south()))
+fn evacuation_ended(revision: u64) -> Update {
+    incremental(revision, Content::EvacuationEnded(south()))
 }
 
 /// An instance with one target in the north and one in the south.
@@ -75,7 +76,7 @@
     instance.packet(middle(key, south, 1001, 500, 100), 2_000);
     instance.tick(3_000);
 
-    assert_eq!(instance.last(), south);
+    assert_eq!(instance.last_target(), south);
     assert!(instance.out.resets.is_empty());
 }
 
@@ -89,7 +90,7 @@
     instance.learn(evacuated(101), 10);
     instance.packet(segment(key, Kind::Open), 200);
 
-    assert_eq!(instance.last(), north);
+    assert_eq!(instance.last_target(), north);
 }
 
 /// Guards against a second target for a flow whose opening the first one has answered, if a
@@ -104,7 +105,7 @@
     instance.learn(evacuated(101), 10);
     instance.packet(segment(key, Kind::Open), 200);
 
-    assert_eq!(instance.last(), south);
+    assert_eq!(instance.last_target(), south);
 }
 
 /// Guards against an instance that sends an unanswered opening into an evacuated domain once
@@ -136,7 +137,7 @@
 
     instance.forwarder.handle_probe_result(
         one.incarnation,
-        Finding::Gone,
+        ProbeResult::Gone,
         millis(40),
         &mut instance.out,
     );
@@ -150,11 +151,11 @@
 #[test]
 fn a_slot_that_becomes_free_in_an_evacuated_domain_stays_empty() {
     let (mut instance, north, south) = two_domains();
-    instance.hear_answers(FEED, 20, 40);
+    instance.record_answers(FEED, 20, 40);
     let feed = (100..200).map(|number| flow(number, FEED));
     let feed = feed
         .into_iter()
-        .find(|key| instance.opened(*key, 50) == south)
+        .find(|key| instance.establish(*key, 50) == south)
         .expect("a feed is opened there");
     open_at(&mut instance, south, 1_000);
     instance.tick(1_030);
@@ -162,14 +163,14 @@
     instance.packet(middle(feed, south, 1101, 700, 0), 1_090);
     instance.forwarder.handle_probe_result(
         south,
-        Finding::Silent,
+        ProbeResult::Silent,
         millis(1_330),
         &mut instance.out,
     );
     assert_eq!(usage(&instance, south, 1_340), TargetUse::Full);
 
     instance.learn(evacuated(101), 1_400);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
     let mut end = middle(feed, south, 1101, 700, 0);
     end.kind = Kind::Abort;
     instance.packet(end, 1_500);
@@ -178,7 +179,7 @@
     }
 
     assert_eq!(instance.open(flow(300, FEED), 9_000), north);
-    assert!(!instance.out.asked.contains(&south));
+    assert!(!instance.out.probed.contains(&south));
 }
 
 /// Guards against flows for a target that starts in an evacuated domain. Its entry is newer
@@ -188,7 +189,7 @@
     let (mut instance, north, _) = two_domains();
     instance.learn(evacuated(101), 10);
 
-    instance.learn(one(102, Content::Target(southern(5))), 20);
+    instance.learn(incremental(102, Content::Target(southern(5))), 20);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 30), north);
@@ -244,8 +245,8 @@
     let (mut instance, _, south) = two_domains();
     instance.learn(evacuated(101), 10);
 
-    let picture = all(&[target(1, "desk"), southern(2)]);
-    instance.learn(News { revision: medlarspur_marked::Revision::new(0, 150), ..picture }, 20);
+    let snapshot = snapshot(&[target(1, "desk"), southern(2)]);
+    instance.learn(Update { revision: medlarspur_marked::Revision::new(0, 150), ..snapshot }, 20);
 
     open_at(&mut instance, south, 30);
 }
@@ -256,7 +257,7 @@
     let (mut instance, north, _) = two_domains();
     instance.learn(evacuated(120), 10);
 
-    instance.learn(all(&[target(1, "desk"), southern(2)]), 20);
+    instance.learn(snapshot(&[target(1, "desk"), southern(2)]), 20);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 30), north);
@@ -270,7 +271,7 @@
 fn a_snapshot_for_a_starting_instance_contains_evacuations() {
     let (mut instance, ..) = two_domains();
     instance.learn(evacuated(101), 10);
-    let snapshot = instance.forwarder.catalog().since(Default::default(), millis(20));
+    let snapshot = instance.forwarder.catalog().update_since(Default::default(), millis(20));
 
     let mut fresh = Instance::new(&[]);
     fresh.learn(snapshot, 0);
@@ -286,8 +287,10 @@
     let changes =
         vec![change(90, Content::Config(config(1))), change(91, Content::Target(southern(2)))];
 
-    catalog
-        .merge(news(91, Scope::Since(medlarspur_marked::Revision::new(0, 89)), changes), millis(0));
+    catalog.merge(
+        update(91, Scope::Incremental(medlarspur_marked::Revision::new(0, 89)), changes),
+        millis(0),
+    );
 
     assert!(!catalog.is_usable());
 }
@@ -299,7 +302,7 @@
     let warmup = Some(Warmup { span: millis(2_000), rate: 4 });
     config.services =
         vec![Service { name: ServiceName::new("desk"), health: "/health".into(), warmup }];
-    instance.learn(one(101, Content::Config(config)), 0);
+    instance.learn(incremental(101, Content::Config(config)), 0);
 }
 
 #[test]
@@ -324,7 +327,7 @@
     limit_slow_start_rate(&mut instance);
 
     let slow = Target { cold: millis(3_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow)), 100);
+    instance.learn(incremental(102, Content::Target(slow)), 100);
 
     for number in 0..40 {
         assert_eq!(instance.open(flow(number, REQUEST), 3_000), north);
@@ -339,7 +342,7 @@
     let mut instance = Instance::new(&[]);
     limit_slow_start_rate(&mut instance);
     let slow = Target { cold: millis(2_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow)), 100);
+    instance.learn(incremental(102, Content::Target(slow)), 100);
 
     instance.packet(segment(flow(1, REQUEST), Kind::Open), 200);
 
@@ -399,7 +402,7 @@
 /// and its targets are healthy.
 fn partitioned_home() -> (Instance, Incarnation, Incarnation) {
     let (mut instance, own, other) = evacuated_home();
-    assert_eq!(instance.opened(flow(1, REQUEST), 1_000), other);
+    assert_eq!(instance.establish(flow(1, REQUEST), 1_000), other);
     instance.forwarder.set_cut_off(true);
     instance.tick(3_000);
     (instance, own, other)
@@ -436,7 +439,7 @@
 #[test]
 fn an_evacuated_domain_stays_unused_while_only_the_store_is_unreachable() {
     let (mut instance, _, other) = evacuated_home();
-    instance.opened(flow(1, REQUEST), 2_900);
+    instance.establish(flow(1, REQUEST), 2_900);
     instance.forwarder.set_cut_off(true);
     instance.tick(3_000);
 
@@ -448,7 +451,7 @@
 #[test]
 fn an_evacuated_domain_stays_unused_while_only_other_targets_are_silent() {
     let (mut instance, own, _) = evacuated_home();
-    instance.opened(flow(1, REQUEST), 1_000);
+    instance.establish(flow(1, REQUEST), 1_000);
     instance.tick(3_000);
 
     assert_ne!(instance.open(flow(100, REQUEST), 3_010), own);
@@ -474,7 +477,7 @@
 #[test]
 fn unanswered_openings_move_home_when_the_domain_is_partitioned() {
     let (mut instance, own, other) = evacuated_home();
-    instance.opened(flow(1, REQUEST), 1_000);
+    instance.establish(flow(1, REQUEST), 1_000);
     assert_eq!(instance.open(flow(50, REQUEST), 2_900), other);
     instance.out.sent.clear();
 
@@ -482,7 +485,7 @@
     instance.tick(3_000);
 
     assert_eq!(instance.out.sent.len(), 1);
-    assert_eq!(instance.last(), own);
+    assert_eq!(instance.last_target(), own);
 }
 
 /// Guards against targets in slow start that get more than their owner may open, while all
@@ -492,7 +495,7 @@
     let mut instance = Instance::in_domain("south", &[]);
     limit_slow_start_rate(&mut instance);
     let slow = Target { cold: millis(5_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow.clone())), 0);
+    instance.learn(incremental(102, Content::Target(slow.clone())), 0);
     instance.forwarder.set_seat(Some(Seat { position: 0, count: 1 }));
 
     for (number, now) in (0..).zip((100..3_100).step_by(100)) {
@@ -512,7 +515,7 @@
     let mut instance = Instance::new(&[]);
     limit_slow_start_rate(&mut instance);
     let slow = Target { cold: millis(5_000), ..southern(2) };
-    instance.learn(one(102, Content::Target(slow)), 0);
+    instance.learn(incremental(102, Content::Target(slow)), 0);
     instance.forwarder.set_seat(Some(Seat { position: 0, count: 1 }));
 
     instance.packet(segment(flow(1, REQUEST), Kind::Open), 100);
--- a/marked/tests/test_flow.rs
+++ b/marked/tests/test_flow.rs
@@ -55,12 +55,12 @@
 fn progress_of_an_upload_shows_that_the_target_is_alive() {
     let (mut it, packet) = opened(Class::Upload);
 
-    let lives: Vec<bool> = (0..40)
+    let alive: Vec<bool> = (0..40)
         .map(|nth| it.observe(&packet(1001 + nth * 1200, 500, 1200), millis(u64::from(nth))).alive)
         .collect();
 
-    assert!(lives[..16].iter().all(|life| !life));
-    assert_eq!(lives.iter().filter(|life| **life).count(), 2);
+    assert!(alive[..16].iter().all(|is_alive| !is_alive));
+    assert_eq!(alive.iter().filter(|is_alive| **is_alive).count(), 2);
 }
 
 #[test]
--- a/marked/tests/test_full.rs
+++ b/marked/tests/test_full.rs
@@ -1,20 +1,22 @@
 //! Targets without capacity for another flow, and how they are distinguished from dead ones.
 
-use super::fixtures::{FEED, Instance, REQUEST, flow, middle, millis, one, segment, target};
+use super::fixtures::{
+    FEED, Instance, REQUEST, flow, incremental, middle, millis, segment, target,
+};
 use medlarspur_lib::status::TargetUse;
-use medlarspur_marked::{Content, Finding, FlowKey, Incarnation, Kind, Note, Refusal};
+use medlarspur_marked::{Content, FlowKey, Incarnation, Kind, Note, ProbeResult, Refusal};
 
 /// Two targets whose answers take 40 ms; the first has an open feed.
 fn two_targets() -> (Instance, FlowKey, Incarnation) {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
-    instance.hear_answers(FEED, 20, 40);
+    instance.record_answers(FEED, 20, 40);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 100);
+    let at = instance.establish(key, 100);
     (instance, key, at)
 }
 
 fn report_silent(instance: &mut Instance, at: Incarnation, now: u64) {
-    instance.forwarder.handle_probe_result(at, Finding::Silent, millis(now), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, ProbeResult::Silent, millis(now), &mut instance.out);
 }
 
 /// Opens flows until one goes to `at`.
@@ -62,13 +64,13 @@
     report_silent(&mut instance, at, 1_330);
 
     assert!(instance.out.resets.is_empty());
-    assert_ne!(instance.last(), at, "the opening moved to the other target");
+    assert_ne!(instance.last_target(), at, "the opening moved to the other target");
     assert_eq!(usage(&instance, at, 1_340), TargetUse::Full);
     for number in 40..60 {
         assert_ne!(instance.open(flow(number, FEED), 1_340), at);
     }
     instance.packet(middle(feed, at, 1101, 700, 100), 1_400);
-    assert_eq!(instance.last(), at);
+    assert_eq!(instance.last_target(), at);
     let is_expected = |note: &Note| matches!(note, Note::Full { target, .. } if *target == at);
     assert_eq!(instance.out.notes.iter().filter(|note| is_expected(note)).count(), 1);
     assert!(instance.forwarder.explain(&opening, None, millis(1_400)).target.is_some());
@@ -80,7 +82,7 @@
     let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.opened(flow(90, REQUEST), 1_100);
+    instance.establish(flow(90, REQUEST), 1_100);
 
     report_silent(&mut instance, at, 1_330);
     for now in (1_340..9_000).step_by(20) {
@@ -98,7 +100,7 @@
     open_at(&mut instance, at, 10..30, 1_010);
     instance.tick(1_040);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
-    instance.opened(flow(90, REQUEST), 1_250);
+    instance.establish(flow(90, REQUEST), 1_250);
 
     report_silent(&mut instance, at, 1_340);
 
@@ -118,7 +120,7 @@
     instance.packet(middle(other, at, 1101, 700, 0), 260);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.opened(flow(90, REQUEST), 1_100);
+    instance.establish(flow(90, REQUEST), 1_100);
     report_silent(&mut instance, at, 1_330);
     assert!(instance.out.resets.is_empty());
 
@@ -138,10 +140,10 @@
 fn a_silent_target_is_lost_later_while_answer_times_are_unknown() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk")]);
     let key = flow(1, FEED);
-    let at = instance.opened(key, 0);
+    let at = instance.establish(key, 0);
     instance.packet(middle(key, at, 1001, 500, 100), 100);
     instance.packet(middle(key, at, 1001, 500, 100), 300);
-    instance.opened(flow(90, REQUEST), 400);
+    instance.establish(flow(90, REQUEST), 400);
 
     report_silent(&mut instance, at, 600);
 
@@ -158,8 +160,8 @@
 fn a_silent_target_whose_entry_was_removed_is_lost() {
     let (mut instance, feed, at) = two_targets();
     let name = instance.forwarder.catalog().entry(at).expect("known").target.name.clone();
-    instance.learn(one(200, Content::Removed(name)), 1_000);
-    instance.opened(flow(90, REQUEST), 1_100);
+    instance.learn(incremental(200, Content::Removed(name)), 1_000);
+    instance.establish(flow(90, REQUEST), 1_100);
 
     report_silent(&mut instance, at, 1_300);
 
@@ -171,7 +173,7 @@
 fn when_all_are_full_callers_are_refused_at_once() {
     let mut instance = Instance::new(&[target(1, "desk")]);
     let feed = flow(1, FEED);
-    let at = instance.opened(feed, 0);
+    let at = instance.establish(feed, 0);
     let opening = flow(2, REQUEST);
     instance.open(opening, 1_000);
     instance.tick(1_030);
@@ -191,12 +193,22 @@
     let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
-    instance.out.asked.clear();
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_330),
+        &mut instance.out,
+    );
+    instance.out.probed.clear();
     instance.tick(1_830);
-    assert!(instance.out.asked.contains(&at), "probed again after 500 ms");
+    assert!(instance.out.probed.contains(&at), "probed again after 500 ms");
 
-    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_835), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Answers,
+        millis(1_835),
+        &mut instance.out,
+    );
     let trial = open_at(&mut instance, at, 100..120, 1_840);
     for number in 120..140 {
         assert_ne!(instance.open(flow(number, FEED), 1_845), at, "only one opening at a time");
@@ -209,11 +221,11 @@
         instance.forwarder.catalog().entry(at).map(|it| it.target.name.clone())
     );
     assert_eq!(usage(&instance, at, 1_871), TargetUse::Full);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
     instance.tick(2_900);
-    assert!(!instance.out.asked.contains(&at), "the backoff has doubled");
+    assert!(!instance.out.probed.contains(&at), "the backoff has doubled");
     instance.tick(2_931);
-    assert!(instance.out.asked.contains(&at));
+    assert!(instance.out.probed.contains(&at));
 }
 
 /// Guards against a slot that stays empty until the next probe.
@@ -222,7 +234,12 @@
     let (mut instance, feed, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_033),
+        &mut instance.out,
+    );
 
     let mut end = middle(feed, at, 1001, 500, 0);
     end.kind = Kind::Close;
@@ -243,7 +260,12 @@
     instance.packet(middle(request, at, 1001, 500, 100), 508);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_033),
+        &mut instance.out,
+    );
     let mut end = middle(request, at, 1101, 700, 0);
     end.kind = Kind::Close;
     instance.packet(end, 1_100);
@@ -259,8 +281,18 @@
     let (mut instance, _, at) = two_targets();
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_330), &mut instance.out);
-    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_835), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_330),
+        &mut instance.out,
+    );
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Answers,
+        millis(1_835),
+        &mut instance.out,
+    );
 
     for round in 0..8 {
         assert_eq!(usage(&instance, at, 1_840), TargetUse::Full);
@@ -280,16 +312,21 @@
     let mut instance = Instance::new(&[target(1, "desk")]);
     let it = target(1, "desk");
     let at = it.incarnation;
-    instance.forwarder.handle_probe_result(at, Finding::Gone, millis(1_000), &mut instance.out);
-    instance.learn(one(200, Content::Removed(it.name.clone())), 1_100);
+    instance.forwarder.handle_probe_result(at, ProbeResult::Gone, millis(1_000), &mut instance.out);
+    instance.learn(incremental(200, Content::Removed(it.name.clone())), 1_100);
     instance.tick(3_000);
-    instance.out.asked.clear();
+    instance.out.probed.clear();
 
-    instance.learn(one(201, Content::Target(it)), 4_000);
+    instance.learn(incremental(201, Content::Target(it)), 4_000);
     instance.tick(4_500);
 
-    assert_eq!(instance.out.asked, [at]);
-    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(4_510), &mut instance.out);
+    assert_eq!(instance.out.probed, [at]);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Answers,
+        millis(4_510),
+        &mut instance.out,
+    );
     assert_eq!(instance.open(flow(5, FEED), 4_520), at);
 }
 
@@ -300,23 +337,28 @@
     let it = target(1, "desk");
     let at = it.incarnation;
     let mut instances: Vec<Instance> =
-        (0..160).map(|seed| Instance::seeded(std::slice::from_ref(&it), seed)).collect();
+        (0..160).map(|seed| Instance::with_seed(std::slice::from_ref(&it), seed)).collect();
     for instance in &mut instances {
-        instance.forwarder.handle_probe_result(at, Finding::Gone, millis(1_000), &mut instance.out);
-        instance.learn(one(200, Content::Removed(it.name.clone())), 1_100);
+        instance.forwarder.handle_probe_result(
+            at,
+            ProbeResult::Gone,
+            millis(1_000),
+            &mut instance.out,
+        );
+        instance.learn(incremental(200, Content::Removed(it.name.clone())), 1_100);
         instance.tick(3_000);
-        instance.out.asked.clear();
-        instance.learn(one(201, Content::Target(it.clone())), 4_000);
+        instance.out.probed.clear();
+        instance.learn(incremental(201, Content::Target(it.clone())), 4_000);
     }
 
     let mut most = 0;
     for now in (4_000..=4_500).step_by(10) {
-        let mut asked = 0;
+        let mut probed = 0;
         for instance in &mut instances {
             instance.tick(now);
-            asked += instance.out.asked.drain(..).count();
+            probed += instance.out.probed.drain(..).count();
         }
-        most = most.max(asked);
+        most = most.max(probed);
     }
 
     assert!(most <= 16, "{most} of 160 probes at once");
@@ -336,10 +378,10 @@
     instance.open(flow(50, REQUEST), 5_000);
     instance.tick(5_070);
 
-    assert!(instance.out.asked.is_empty());
+    assert!(instance.out.probed.is_empty());
     assert_eq!(instance.out.sent.len(), 1);
     instance.tick(5_150);
-    assert_eq!(instance.out.asked.len(), 1, "probed after the maximum timeout");
+    assert_eq!(instance.out.probed.len(), 1, "probed after the maximum timeout");
 }
 
 /// Guards against a wait for a silent target that has already declined.
@@ -349,10 +391,15 @@
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
 
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_033), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_033),
+        &mut instance.out,
+    );
 
     assert_eq!(usage(&instance, at, 1_034), TargetUse::Full);
-    assert_ne!(instance.last(), at, "the opening moved to the other target");
+    assert_ne!(instance.last_target(), at, "the opening moved to the other target");
     assert!(instance.out.resets.is_empty());
 }
 
@@ -364,7 +411,12 @@
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_200);
 
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_210), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_210),
+        &mut instance.out,
+    );
 
     assert_eq!(usage(&instance, at, 1_600), TargetUse::Good);
 }
@@ -376,14 +428,14 @@
     let (mut instance, feed, at) = two_targets();
     let mut leaving = instance.forwarder.catalog().entry(at).expect("known").target.clone();
     leaving.leaving = true;
-    instance.learn(one(200, Content::Target(leaving)), 500);
+    instance.learn(incremental(200, Content::Target(leaving)), 500);
     instance.packet(middle(feed, at, 1001, 500, 100), 1_000);
 
-    instance.forwarder.handle_probe_result(at, Finding::Gone, millis(1_020), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, ProbeResult::Gone, millis(1_020), &mut instance.out);
 
     assert!(instance.out.resets.is_empty());
     instance.packet(middle(feed, at, 1101, 700, 0), 1_060);
-    assert_eq!(instance.last(), at);
+    assert_eq!(instance.last_target(), at);
 }
 
 /// Guards against callers who wait at a target that answers probes, which take one connection
@@ -394,11 +446,16 @@
     let first = open_at(&mut instance, at, 200..230, 1_000);
     let second = open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_032), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Answers,
+        millis(1_032),
+        &mut instance.out,
+    );
     for it in [target(1, "desk"), target(2, "desk")] {
         instance.forwarder.handle_probe_result(
             it.incarnation,
-            Finding::Answers,
+            ProbeResult::Answers,
             millis(1_033),
             &mut instance.out,
         );
@@ -421,7 +478,12 @@
     let first = open_at(&mut instance, at, 200..230, 1_000);
     open_at(&mut instance, at, 230..300, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Answers, millis(1_032), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Answers,
+        millis(1_032),
+        &mut instance.out,
+    );
 
     for now in (1_040..1_400).step_by(10) {
         instance.tick(now);
@@ -450,7 +512,7 @@
     instance.open(flow(50, REQUEST), 9_000);
     instance.tick(9_030);
 
-    assert_eq!(instance.out.asked.len(), 1);
+    assert_eq!(instance.out.probed.len(), 1);
 }
 
 /// Guards against targets of a large site that look full because unanswered openings add up
@@ -462,7 +524,7 @@
         let key = open_at(instance, at, numbers, now);
         instance.tick(now + 30);
         for it in [target(1, "desk"), target(2, "desk")] {
-            let answers = Finding::Answers;
+            let answers = ProbeResult::Answers;
             instance.forwarder.handle_probe_result(
                 it.incarnation,
                 answers,
@@ -491,23 +553,28 @@
     instance.forwarder.set_domain_size(instances);
     open_at(&mut instance, at, 10..30, 1_000);
     instance.tick(1_030);
-    instance.forwarder.handle_probe_result(at, Finding::Declines, millis(1_031), &mut instance.out);
+    instance.forwarder.handle_probe_result(
+        at,
+        ProbeResult::Declines,
+        millis(1_031),
+        &mut instance.out,
+    );
     for now in (1_340..60_000).step_by(20) {
         if now == 30_000 {
-            instance.out.asked.clear();
+            instance.out.probed.clear();
         }
-        let before = instance.out.asked.len();
+        let before = instance.out.probed.len();
         instance.tick(now);
-        if instance.out.asked.len() > before {
+        if instance.out.probed.len() > before {
             instance.forwarder.handle_probe_result(
                 at,
-                Finding::Declines,
+                ProbeResult::Declines,
                 millis(now + 1),
                 &mut instance.out,
             );
         }
     }
-    instance.out.asked.len()
+    instance.out.probed.len()
 }
 
 /// Guards against a full target whose last connections are taken by the probes of hundreds of
--- a/marked/tests/test_waiting.rs
+++ b/marked/tests/test_waiting.rs
@@ -1,8 +1,8 @@
 //! New flows that are held while their service has no capacity.
 
 use super::fixtures::{
-    FEED, Instance, REQUEST, UPLOAD, change, config, flow, middle, millis, news, one, segment,
-    target,
+    FEED, Instance, REQUEST, UPLOAD, change, config, flow, incremental, middle, millis, segment,
+    target, update,
 };
 use medlarspur_lib::{
     ids::DomainName,
@@ -10,7 +10,7 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Content, Finding, FlowKey, Incarnation, Kind, Note, Refusal, Revision, Scope, Target,
+    Content, FlowKey, Incarnation, Kind, Note, ProbeResult, Refusal, Revision, Scope, Target,
 };
 use std::net::SocketAddrV4;
 
@@ -27,11 +27,11 @@
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "desk"), target(3, "ingest")]);
     let mut config = config(2);
     for route in &mut config.routes {
-        route.goal = Some(Millis(OBJECTIVE));
+        route.objective = Some(Millis(OBJECTIVE));
     }
-    instance.learn(one(200, Content::Config(config)), 0);
+    instance.learn(incremental(200, Content::Config(config)), 0);
     let targets: Vec<_> =
-        (0..20).map(|number| instance.opened(flow(1 + number, FEED), 0)).collect();
+        (0..20).map(|number| instance.establish(flow(1 + number, FEED), 0)).collect();
     for number in 0..targets.len() {
         let now = 10 + number as u64 * REQUEST_INTERVAL;
         let key = |number: usize| flow(1 + number as u16, FEED);
@@ -53,7 +53,7 @@
         if instance.out.sent.is_empty() {
             return key;
         }
-        let target = instance.last();
+        let target = instance.last_target();
         instance.packet(middle(key, target, 1001, 500, 100), now);
     }
     panic!("no flow is held");
@@ -107,16 +107,16 @@
     let mut instance = busy_instance(140);
     let south = DomainName::new("south");
     let moved = Target { domain: south.clone(), ..target(2, "desk") };
-    instance.learn(one(201, Content::Target(moved.clone())), 450);
+    instance.learn(incremental(201, Content::Target(moved.clone())), 450);
     let held = open_until_held(&mut instance, REQUEST, 500);
 
-    instance.learn(one(202, Content::Evacuated(south)), 510);
+    instance.learn(incremental(202, Content::Evacuated(south)), 510);
     end_requests(&mut instance, held, 520);
     instance.out.sent.clear();
     instance.tick(530);
 
     assert_eq!(opened(&instance).last(), Some(&held));
-    assert_ne!(instance.last(), moved.incarnation);
+    assert_ne!(instance.last_target(), moved.incarnation);
 }
 
 #[test]
@@ -235,7 +235,7 @@
     let mut without = config(3);
     without.routes.retain(|route| route.address != REQUEST);
     let change = change(300, Content::Config(without));
-    instance.learn(news(300, Scope::Since(Revision::new(0, 200)), vec![change]), 520);
+    instance.learn(update(300, Scope::Incremental(Revision::new(0, 200)), vec![change]), 520);
     instance.out.notes.clear();
 
     end_requests(&mut instance, held, 560);
@@ -254,7 +254,7 @@
     instance.out.notes.clear();
     instance.tick(1_000);
     assert_eq!(opened(&instance), [held]);
-    let target = instance.last();
+    let target = instance.last_target();
     (instance, target)
 }
 
@@ -269,7 +269,7 @@
     }
     instance.forwarder.handle_probe_result(
         target,
-        Finding::Answers,
+        ProbeResult::Answers,
         millis(1_400),
         &mut instance.out,
     );
@@ -283,11 +283,11 @@
 #[test]
 fn a_silent_target_is_probed_although_all_openings_were_held() {
     let (mut instance, target) = opened_without_caller();
-    instance.out.asked.clear();
+    instance.out.probed.clear();
 
     instance.tick(1_100);
 
-    assert_eq!(instance.out.asked, [target]);
+    assert_eq!(instance.out.probed, [target]);
 }
 
 /// Guards against a full target that closes the probe's connection and gets everything that is
@@ -299,7 +299,7 @@
     instance.tick(1_100);
     instance.forwarder.handle_probe_result(
         target,
-        Finding::Declines,
+        ProbeResult::Declines,
         millis(1_105),
         &mut instance.out,
     );
@@ -320,7 +320,7 @@
 
     instance.forwarder.handle_probe_result(
         target,
-        Finding::Silent,
+        ProbeResult::Silent,
         millis(1_400),
         &mut instance.out,
     );
@@ -380,7 +380,7 @@
     let held = open_until_held(&mut instance, REQUEST, 500);
     let mut leaving = target(2, "desk");
     leaving.leaving = true;
-    instance.learn(one(201, Content::Target(leaving)), 510);
+    instance.learn(incremental(201, Content::Target(leaving)), 510);
     let reason = |key| instance.forwarder.explain(&key, None, millis(520)).reason;
 
     assert_eq!(reason(held), MarkedReason::Waiting);
