--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -70,7 +70,7 @@
     pub near: bool,
     /// Whether feeds should leave it to requests.
     pub kept: bool,
-    /// Whether other instances of the failure domain [have](crate::dealing) it, and this one
+    /// Whether other instances of the failure domain [have](crate::subset) it, and this one
     /// others.
     pub shared: bool,
 }
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -13,7 +13,6 @@
 pub mod callers;
 pub mod choice;
 mod counts;
-pub mod dealing;
 pub mod estimate;
 mod gate;
 pub mod limit;
@@ -28,6 +27,7 @@
 mod settings;
 pub mod shares;
 mod state;
+pub mod subset;
 pub mod vacancy;
 pub mod warmup;
 
--- a/load/tests/runner.rs
+++ b/load/tests/runner.rs
@@ -4,7 +4,6 @@
 mod model;
 mod overload;
 mod test_choice;
-mod test_dealing;
 mod test_estimate;
 mod test_gate;
 mod test_limit;
@@ -16,5 +15,6 @@
 mod test_properties;
 mod test_refusal;
 mod test_reserve;
+mod test_subset;
 mod test_vacancy;
 mod test_warmup;
--- a/load/tests/test_dealing.rs
+++ b/load/tests/test_subset.rs
@@ -1,6 +1,6 @@
 //! Targets are dealt out among the instances of a failure domain.
 
-use medlarspur_load::{dealing::deal, warmup::Seat};
+use medlarspur_load::{subset::deal, warmup::Seat};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
--- a/marked/src/fleet/seats.rs
+++ b/marked/src/fleet/seats.rs
@@ -1,5 +1,5 @@
 //! Giving the instances of a failure domain seats, by which targets are
-//! [dealt](medlarspur_load::dealing) and slow ones [owned](medlarspur_load::warmup).
+//! [dealt](medlarspur_load::subset) and slow ones [owned](medlarspur_load::warmup).
 //!
 //! The first reader of a domain, by its address, knows all its instances and tells each its
 //! [`Seat`] with its heartbeats, and with its news, which takes their place.
--- a/marked/src/forwarder/dealt.rs
+++ b/marked/src/forwarder/dealt.rs
@@ -1,9 +1,9 @@
-//! This instance's part of the targets, see [`dealing`].
+//! This instance's part of the targets, see [`subset`].
 
 use super::Forwarder;
 use crate::{Entry, Incarnation};
 use medlarspur_lib::ids::ServiceName;
-use medlarspur_load::{dealing, reserve::Mix, warmup::Seat};
+use medlarspur_load::{reserve::Mix, subset, warmup::Seat};
 use std::sync::Arc;
 
 /// The targets of a service in this failure domain, as they were dealt last.
@@ -47,7 +47,7 @@
         let targets = self.catalog.targets(service).filter(is_dealt);
         let mut all: Vec<u64> = targets.map(|it| it.target.incarnation.0).collect();
         all.sort_unstable();
-        let own = dealing::deal(seat, &all).into_iter().map(Incarnation).collect();
+        let own = subset::deal(seat, &all).into_iter().map(Incarnation).collect();
         Dealt { own, all: all.into_iter().map(Incarnation).collect() }
     }
 
