--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -89,7 +89,7 @@
     pub fn wake(&mut self, now: Millis) {
         self.waking = now + DISTRUST;
         for holder in self.holders.drain(..) {
-            self.gate.leave(holder.service, holder.target);
+            self.gate.mark_leaving(holder.service, holder.target);
         }
     }
 
@@ -126,13 +126,13 @@
     pub fn probed(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.told {
-            Some(told) => load::Signal::Told(load::Told {
+            Some(told) => load::Signal::Report(load::Report {
                 healthy: event.verdict == Verdict::Healthy,
                 draining: told.draining,
-                slots: told.slots,
+                work: told.slots,
                 connections: told.connections,
             }),
-            None => load::Signal::Mute,
+            None => load::Signal::NoReport,
         };
         self.signal(now, target, signal);
     }
@@ -149,7 +149,7 @@
             holder.revision = service.revision;
             let owns = owns(service, holder.id);
             if !owns {
-                gate.leave(holder.service, holder.target);
+                gate.mark_leaving(holder.service, holder.target);
             }
             owns
         });
@@ -191,7 +191,7 @@
 
     fn signal(&mut self, now: Millis, target: TargetId, signal: load::Signal) {
         if let Some(&(service, target)) = self.places.get(&target) {
-            self.gate.seen(now, service, target, signal);
+            self.gate.record_signal(now, service, target, signal);
         }
     }
 }
@@ -211,7 +211,7 @@
     }
 
     fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Opened)>) {
-        self.gate.due(now, &mut self.decided);
+        self.gate.collect_verdicts(now, &mut self.decided);
         for (flow, verdict) in std::mem::take(&mut self.decided) {
             self.note_decided(now, flow, verdict);
             decided.push((flow, translate(verdict)));
@@ -228,7 +228,7 @@
         if let Some(recorder) = self.recorder(target, class) {
             recorder.handshake(span(after));
         }
-        self.signal(now, target, load::Signal::Followed { after: Some(after) });
+        self.signal(now, target, load::Signal::Established { after: Some(after) });
     }
 
     fn aborted(&mut self, now: Millis, target: TargetId) {
@@ -245,7 +245,7 @@
         }
         if let Some(&(service, target)) = self.places.get(&flow.target) {
             let closing = load::Closing { flow: id, service, class: flow.class, target };
-            self.gate.closed(now, &closing);
+            self.gate.record_closing(now, &closing);
         }
     }
 
@@ -315,17 +315,17 @@
     }
 }
 
-fn service_load(spec: &Service) -> load::ServiceLoad {
-    let targets = spec.targets.iter().map(|target| load::TargetLoad {
+fn service_load(spec: &Service) -> load::ServiceSpec {
+    let targets = spec.targets.iter().map(|target| load::TargetSpec {
         name: target.name.clone(),
         slots: target.slots,
         connections: target.connections,
         weight: target.weight,
         state: target.state,
     });
-    load::ServiceLoad {
+    load::ServiceSpec {
         name: spec.name.clone(),
-        requests: spec.ports.iter().any(|port| port.class == Class::Request),
+        has_requests: spec.ports.iter().any(|port| port.class == Class::Request),
         balance: spec.balance,
         targets: targets.collect(),
     }
--- a/daemon/src/marked/lines.rs
+++ b/daemon/src/marked/lines.rs
@@ -1,7 +1,7 @@
 //! Writes down decisions, in a bounded number.
 
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
-use medlarspur_load::lines::{Budget, Verdict};
+use medlarspur_load::lines::{LineBudget, LineVerdict};
 use medlarspur_marked::{Incarnation, Note, NoteKind, Revision};
 use std::fmt;
 
@@ -25,14 +25,14 @@
 /// The budgets of all kinds of lines, and the names of targets.
 #[derive(Debug)]
 pub struct Lines {
-    budgets: [Budget; NoteKind::ALL.len()],
+    budgets: [LineBudget; NoteKind::ALL.len()],
     names: Map<Incarnation, TargetName>,
 }
 
 impl Lines {
     /// Full budgets.
     pub fn new(now: Millis) -> Lines {
-        Lines { budgets: [Budget::new(now); NoteKind::ALL.len()], names: Map::default() }
+        Lines { budgets: [LineBudget::new(now); NoteKind::ALL.len()], names: Map::default() }
     }
 
     /// Writes a note, if its kind's budget has room.
@@ -41,7 +41,7 @@
             self.learn(*target, name);
         }
         let kind = note.kind();
-        let Verdict::Write { left_out } = self.budgets[kind as usize].take(now) else { return };
+        let LineVerdict::Write { left_out } = self.budgets[kind as usize].take(now) else { return };
         if left_out > 0 {
             log::warn!(target: TARGET, kind = kind.name(), count = left_out; "lines left out");
         }
--- a/load/examples/choice.rs
+++ b/load/examples/choice.rs
@@ -57,7 +57,7 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
     /// Requests under way, by instance and target.
-    working: Vec<[u32; TARGETS]>,
+    in_flight: Vec<[u32; TARGETS]>,
     /// Open feeds without a request under way, by instance and target.
     idle: Vec<[u32; TARGETS]>,
     /// Requests at a target, those that wait included, with when each came.
@@ -84,7 +84,7 @@
         random: Random::new(9),
         events: BinaryHeap::new(),
         count: 0,
-        working: vec![[0; TARGETS]; INSTANCES],
+        in_flight: vec![[0; TARGETS]; INSTANCES],
         idle: vec![[0; TARGETS]; INSTANCES],
         queues: vec![Vec::new(); TARGETS],
         turns: (0..INSTANCES).collect(),
@@ -151,7 +151,7 @@
             }
             Way::TwoChoices => {
                 let (a, b) = (draw as usize % TARGETS, (draw >> 32) as usize % TARGETS);
-                let load = |it: usize| (self.working[instance][it], self.idle[instance][it]);
+                let load = |it: usize| (self.in_flight[instance][it], self.idle[instance][it]);
                 if load(a) <= load(b) { a } else { b }
             }
             Way::LeastOwn => {
@@ -171,18 +171,18 @@
         Candidate {
             tier: Tier::Good,
             slots: SLOTS as u32,
-            working: instances.iter().map(|it| self.working[*it][target]).sum(),
+            in_flight: instances.iter().map(|it| self.in_flight[*it][target]).sum(),
             opening: 0,
-            feeds: instances.iter().map(|it| self.idle[*it][target]).sum(),
+            idle_feeds: instances.iter().map(|it| self.idle[*it][target]).sum(),
             cold: false,
-            near: true,
-            kept: false,
-            shared: false,
+            same_domain: true,
+            reserved: false,
+            outside_subset: false,
         }
     }
 
     fn begin(&mut self, now: u64, instance: usize, target: usize, feed: bool) {
-        self.working[instance][target] += 1;
+        self.in_flight[instance][target] += 1;
         if feed {
             self.idle[instance][target] = self.idle[instance][target].saturating_sub(1);
         }
@@ -194,7 +194,7 @@
     }
 
     fn end(&mut self, now: u64, target: usize, instance: usize, feed: bool) {
-        self.working[instance][target] -= 1;
+        self.in_flight[instance][target] -= 1;
         if feed {
             self.idle[instance][target] += 1;
         }
--- a/load/examples/measure/cost.rs
+++ b/load/examples/measure/cost.rs
@@ -6,7 +6,7 @@
     ids::{FlowId, ServiceIx, ServiceName, TargetIx},
     time::Millis,
 };
-use medlarspur_load::{Closing, Gate, Opening, ServiceLoad, Settings, random::Random};
+use medlarspur_load::{Closing, Gate, Opening, ServiceSpec, Settings, random::Random};
 use std::{hint::black_box, net::Ipv4Addr, time::Instant};
 
 /// Openings of one measurement: 100 s of 10,000 a second.
@@ -28,12 +28,12 @@
         black_box(gate.open(Millis(OPENINGS / 10), opening));
     });
     let due = time(&openings, |now, _| {
-        gate.due(now + Millis(OPENINGS / 10), &mut out);
+        gate.collect_verdicts(now + Millis(OPENINGS / 10), &mut out);
         out.clear();
     });
     let end = time(last, |now, opening| {
         let Opening { flow, service, class, target, .. } = *opening;
-        gate.closed(now, &Closing { flow, service, class, target });
+        gate.record_closing(now, &Closing { flow, service, class, target });
     });
     let (install, tick) = fleet();
     println!("\n| step | ns |\n|---|---|");
@@ -56,14 +56,14 @@
     gate.set_services(Millis(1), next);
     let install = start.elapsed().as_nanos() as f64;
     let start = Instant::now();
-    gate.due(Millis(1), &mut Vec::new());
+    gate.collect_verdicts(Millis(1), &mut Vec::new());
     (install, start.elapsed().as_nanos() as f64)
 }
 
-fn fleet_service(number: usize) -> ServiceLoad {
+fn fleet_service(number: usize) -> ServiceSpec {
     let hosts = if number.is_multiple_of(3) { 1 } else { 2 };
     let service = site::Site { hosts, ..site::ingest() }.service(true);
-    ServiceLoad { name: ServiceName::new(&format!("service-{number}")), ..service }
+    ServiceSpec { name: ServiceName::new(&format!("service-{number}")), ..service }
 }
 
 fn opening(random: &mut Random) -> Opening {
--- a/load/src/backlog.rs
+++ b/load/src/backlog.rs
@@ -5,7 +5,7 @@
 //! long as the excess lasts, and all answers would be late. Here the newest go
 //! first within a class, so that most callers are answered in time. Those who have
 //! waited longest are late in any case; they are served when there is room again, and
-//! told after [`patience`] that they were not served. They may then come back, and no
+//! told after [`max_wait`] that they were not served. They may then come back, and no
 //! work was done for them.
 //!
 //! Requests go before feeds and uploads: most of them can't be repeated once they
@@ -15,21 +15,21 @@
 
 /// How many openings wait at most. Beyond that an instance with 260 MB would pay
 /// with memory for callers whom it can't serve; at today's sites an instance gets
-/// fewer within a goal.
+/// fewer within a objective.
 const LENGTH: usize = 1_024;
 
-/// How many times the goal of its request an opening waits at most. A crowd or a lost
+/// How many times the objective of its request an opening waits at most. A crowd or a lost
 /// part of the targets is made up for within about a second, so most of those who
-/// wait that long are served, late; told after one goal, they would come back at once as the
+/// wait that long are served, late; told after one objective, they would come back at once as the
 /// newest.
 const PATIENCE: u64 = 4;
-/// How long an opening waits at most, whatever its goal: callers give an opening up
+/// How long an opening waits at most, whatever its objective: callers give an opening up
 /// after 1.4 s, and should hear before that they were not served.
 const LONGEST: Millis = Millis(1_200);
 
-/// How long an opening waits whose request should be answered within `goal`.
-pub fn patience(goal: Millis) -> Millis {
-    Millis(goal.0.saturating_mul(PATIENCE)).min(LONGEST)
+/// How long an opening waits whose request should be answered within `objective`.
+pub fn max_wait(objective: Millis) -> Millis {
+    Millis(objective.0.saturating_mul(PATIENCE)).min(LONGEST)
 }
 
 /// An opening that waits.
@@ -40,9 +40,9 @@
     /// The class of the request.
     pub class: Class,
     /// When its caller asked first, as far as is known.
-    pub asked: Millis,
+    pub since: Millis,
     /// When its caller is told that it isn't served.
-    pub until: Millis,
+    pub deadline: Millis,
 }
 
 /// The openings that wait for one service.
@@ -84,8 +84,8 @@
     }
 
     /// The one that goes next.
-    pub fn next(&self) -> Option<Waiting<K>> {
-        self.waiting.iter().max_by_key(|it| (is_first(it.class), it.asked)).copied()
+    pub fn peek(&self) -> Option<Waiting<K>> {
+        self.waiting.iter().max_by_key(|it| (is_first(it.class), it.since)).copied()
     }
 
     /// Takes one out.
@@ -95,13 +95,13 @@
 
     /// Takes one whose time is over.
     pub fn expire(&mut self, now: Millis) -> Option<Waiting<K>> {
-        let position = self.waiting.iter().position(|it| it.until <= now)?;
+        let position = self.waiting.iter().position(|it| it.deadline <= now)?;
         Some(self.waiting.swap_remove(position))
     }
 
     /// When the next one's time is over.
     pub fn deadline(&self) -> Option<Millis> {
-        self.waiting.iter().map(|it| it.until).min()
+        self.waiting.iter().map(|it| it.deadline).min()
     }
 }
 
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -59,20 +59,20 @@
     /// How many requests it works on at once.
     pub slots: u32,
     /// Requests sent there whose answers have not begun.
-    pub working: u32,
+    pub in_flight: u32,
     /// Flows that are being opened there.
     pub opening: u32,
     /// Open feeds without a request under way.
-    pub feeds: u32,
+    pub idle_feeds: u32,
     /// Whether it is slow after its start.
     pub cold: bool,
     /// Whether it is in this instance's failure domain.
-    pub near: bool,
+    pub same_domain: bool,
     /// Whether feeds should leave it to requests.
-    pub kept: bool,
+    pub reserved: bool,
     /// Whether other instances of the failure domain [have](crate::subset) it, and this one
     /// others.
-    pub shared: bool,
+    pub outside_subset: bool,
 }
 
 impl Candidate {
@@ -81,30 +81,30 @@
     /// the queue, and those targets where it has none would get all its requests.
     fn idle(&self, class: Class) -> f32 {
         match class {
-            Class::Request if self.kept => 0.0,
-            _ => self.feeds as f32 * IDLE_FEED,
+            Class::Request if self.reserved => 0.0,
+            _ => self.idle_feeds as f32 * IDLE_FEED,
         }
     }
 
     /// The load a slot if one more flow came, in requests.
     fn cost(&self, class: Class) -> f32 {
-        let work = self.working as f32 + self.opening as f32 + self.idle(class);
+        let work = self.in_flight as f32 + self.opening as f32 + self.idle(class);
         let load = (work + 1.0) / self.slots.max(1) as f32;
         let load = if self.cold { load * COLD } else { load };
         let far = match class {
             Class::Upload => FAR_UPLOAD,
             Class::Feed | Class::Request => FAR,
         };
-        let kept = if self.kept && class == Class::Feed { KEPT } else { 0.0 };
-        let far = if self.near { 0.0 } else { far };
-        let shared = if self.shared { SHARED } else { 0.0 };
+        let kept = if self.reserved && class == Class::Feed { KEPT } else { 0.0 };
+        let far = if self.same_domain { 0.0 } else { far };
+        let shared = if self.outside_subset { SHARED } else { 0.0 };
         load + far + kept + shared
     }
 
     /// Whether no target of the same size that others have can cost less.
-    pub fn is_first(&self, class: Class) -> bool {
+    pub fn is_cheapest_possible(&self, class: Class) -> bool {
         let idle = 1.0 / self.slots.max(1) as f32;
-        self.tier == Tier::Good && !self.shared && self.cost(class) <= idle + SHARED
+        self.tier == Tier::Good && !self.outside_subset && self.cost(class) <= idle + SHARED
     }
 }
 
--- a/load/src/estimate.rs
+++ b/load/src/estimate.rs
@@ -27,7 +27,7 @@
 
 impl Estimate {
     /// Takes in one time.
-    pub fn hear(&mut self, span: Millis) {
+    pub fn record(&mut self, span: Millis) {
         let span = span.0 as f32;
         if self.count == 0 {
             self.mean = span;
@@ -41,7 +41,7 @@
     }
 
     /// The longest time that is still usual; none before enough was heard.
-    pub fn bound(&self) -> Option<Millis> {
+    pub fn upper_bound(&self) -> Option<Millis> {
         let bound = self.mean + self.deviation * DEVIATIONS;
         (self.count >= LEAST).then_some(Millis(bound as u64))
     }
--- a/load/src/gate.rs
+++ b/load/src/gate.rs
@@ -4,7 +4,7 @@
     admission::{self, Takers},
     callers::caller_key,
     counts::{Counts, Reason},
-    opening::{Closing, Opening, ServiceLoad, Signal, Verdict},
+    opening::{Closing, Opening, ServiceSpec, Signal, Verdict},
     placement,
     queue::{Line, Newcomer},
     random::Random,
@@ -79,8 +79,8 @@
 
     /// Takes over a bundle's services, in its order. What was learnt of a
     /// service or target stays with its name; openings that wait for a target
-    /// that is gone are turned away by the next [`Gate::due`].
-    pub fn set_services(&mut self, now: Millis, services: Vec<ServiceLoad>) {
+    /// that is gone are turned away by the next [`Gate::collect_verdicts`].
+    pub fn set_services(&mut self, now: Millis, services: Vec<ServiceSpec>) {
         let old = std::mem::take(&mut self.services);
         let mut old: Map<_, _> = old.into_iter().map(|s| (s.name.clone(), s)).collect();
         let mut gone: Vec<Line> = Vec::new();
@@ -96,8 +96,8 @@
     }
 
     /// Says that a target gets no new work from now on. Openings that wait for
-    /// it are turned away by the next [`Gate::due`].
-    pub fn leave(&mut self, service: ServiceIx, target: TargetIx) {
+    /// it are turned away by the next [`Gate::collect_verdicts`].
+    pub fn mark_leaving(&mut self, service: ServiceIx, target: TargetIx) {
         if let Some(target) = self.target(service, target) {
             target.load.state = TargetState::Leaving;
         }
@@ -142,7 +142,7 @@
     /// Gives the final verdicts that have become known for openings that wait.
     /// Costs next to nothing while none wait; call it after each batch and at
     /// least every few milliseconds.
-    pub fn due(&mut self, now: Millis, out: &mut Vec<(FlowId, Verdict)>) {
+    pub fn collect_verdicts(&mut self, now: Millis, out: &mut Vec<(FlowId, Verdict)>) {
         for flow in self.orphans.drain(..) {
             let after = refusal::SHORTEST;
             self.memory.keep(now, flow, Decision::Refused(now + after));
@@ -162,7 +162,7 @@
     }
 
     /// Takes note of the end of a flow, whoever opened it.
-    pub fn closed(&mut self, now: Millis, closing: &Closing) {
+    pub fn record_closing(&mut self, now: Millis, closing: &Closing) {
         let class = at(closing.class);
         let admitted = match closing.class {
             Class::Upload => {
@@ -186,14 +186,20 @@
     }
 
     /// Takes note of something seen or heard of a target.
-    pub fn seen(&mut self, now: Millis, service: ServiceIx, target: TargetIx, signal: Signal) {
+    pub fn record_signal(
+        &mut self,
+        now: Millis,
+        service: ServiceIx,
+        target: TargetIx,
+        signal: Signal,
+    ) {
         let instances = self.instances;
         let Some(target) = self.target(service, target) else { return };
         match signal {
-            Signal::Followed { .. } => target.seen.follow(now),
+            Signal::Established { .. } => target.seen.follow(now),
             Signal::Reset => target.seen.reset(now),
-            Signal::Mute => {}
-            Signal::Told(told) => {
+            Signal::NoReport => {}
+            Signal::Report(told) => {
                 target.seen.tell(now, told);
                 target.unheard = 0;
                 let limit = target.load.connections;
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -34,6 +34,6 @@
 pub use crate::{
     counts::Counts,
     gate::Gate,
-    opening::{Closing, Opening, ServiceLoad, Signal, TargetLoad, Told, Verdict},
+    opening::{Closing, Opening, Report, ServiceSpec, Signal, TargetSpec, Verdict},
     settings::Settings,
 };
--- a/load/src/limit.rs
+++ b/load/src/limit.rs
@@ -41,7 +41,7 @@
 /// the answer times, since both must show the same crowd.
 const COUNTED: f32 = WEIGHT;
 /// The least weight of a new answer in the mean whose least is calm, and by which feeds are
-/// [kept off](Limit::is_strained): over some thirty answers the chance of a few short ones
+/// [kept off](ConcurrencyLimit::is_persistently_slow): over some thirty answers the chance of a few short ones
 /// in a row no longer looks like calm, nor a pause in a crowd like its end.
 const SLOWER: f32 = 0.03;
 /// The longest time over which that mean is taken. An instance of a small site hears forty
@@ -81,7 +81,7 @@
 
 /// Requests and openings under way at a service as far as an instance sees them.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Work {
+pub struct InFlight {
     /// Of all classes.
     pub all: u32,
     /// Of requests.
@@ -90,7 +90,7 @@
 
 /// The concurrency limit of one service at one instance.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Limit {
+pub struct ConcurrencyLimit {
     /// The limit in requests; none while answers were never slow.
     limit: Option<f32>,
     /// The mean of answer times, each as a part of its goal.
@@ -108,11 +108,11 @@
     reduced: Millis,
 }
 
-impl Limit {
+impl ConcurrencyLimit {
     /// Takes in that a request was answered after `span`, whose goal was `goal`; answers
     /// whether the limit is to be [adjusted](Self::adjust). On most days it is not, and
     /// the work under way need not be counted.
-    pub fn hear(&mut self, span: Millis, goal: Millis, now: Millis) -> bool {
+    pub fn record_answer(&mut self, span: Millis, goal: Millis, now: Millis) -> bool {
         let ratio = (span.0 as f32 / goal.0.max(1) as f32).min(MOST);
         self.mean =
             if self.is_known(now) { self.mean + (ratio - self.mean) * WEIGHT } else { ratio };
@@ -175,21 +175,21 @@
     }
 
     /// Whether any number may begin.
-    pub fn is_open(&self, now: Millis) -> bool {
+    pub fn is_unlimited(&self, now: Millis) -> bool {
         self.limit.is_none() || !self.is_known(now)
     }
 
     /// Whether one more of a class may begin while that much work is under way. A
     /// request waits for requests only: feeds that are open go on whatever the limit
     /// says, so in an excess of them the whole of it would fall on requests. A feed waits
-    /// for as long as the service is [strained](Self::is_strained), too.
-    pub fn admits(&self, class: Class, work: Work, now: Millis) -> bool {
-        let limit = self.limit.filter(|_| !self.is_open(now));
+    /// for as long as the service is [strained](Self::is_persistently_slow), too.
+    pub fn admits(&self, class: Class, work: InFlight, now: Millis) -> bool {
+        let limit = self.limit.filter(|_| !self.is_unlimited(now));
         let (work, factor) = match class {
             Class::Request => (work.requests, REQUESTS),
             Class::Feed | Class::Upload => (work.all, 1.0),
         };
-        let is_kept_off = class != Class::Request && self.is_strained(now);
+        let is_kept_off = class != Class::Request && self.is_persistently_slow(now);
         limit.is_none_or(|limit| !is_kept_off && (work as f32) < limit * factor)
     }
 
@@ -201,7 +201,7 @@
     /// Whether the same is true over a longer time. Then no feed is opened. A feed
     /// that is let in during a short pause stays when the pause is over, and each pause of a
     /// crowd lets in some more, until what is open is a crowd by itself.
-    pub fn is_strained(&self, now: Millis) -> bool {
+    pub fn is_persistently_slow(&self, now: Millis) -> bool {
         self.exceeds(self.level, now)
     }
 
--- a/load/src/lines.rs
+++ b/load/src/lines.rs
@@ -20,7 +20,7 @@
 
 /// The budget of one kind of line.
 #[derive(Debug, Clone, Copy)]
-pub struct Budget {
+pub struct LineBudget {
     /// Thousandths of a line.
     room: u64,
     filled: Millis,
@@ -29,7 +29,7 @@
 
 /// What becomes of a line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum LineVerdict {
     /// It is written.
     Write {
         /// How many lines of its kind were left out before it.
@@ -39,22 +39,22 @@
     LeaveOut,
 }
 
-impl Budget {
+impl LineBudget {
     /// A full budget.
-    pub fn new(now: Millis) -> Budget {
-        Budget { room: u64::from(BURST) * 1000, filled: now, left_out: 0 }
+    pub fn new(now: Millis) -> LineBudget {
+        LineBudget { room: u64::from(BURST) * 1000, filled: now, left_out: 0 }
     }
 
     /// Decides on one line.
-    pub fn take(&mut self, now: Millis) -> Verdict {
+    pub fn take(&mut self, now: Millis) -> LineVerdict {
         let gained = now.since(self.filled).0 * u64::from(PACE);
         self.room = (self.room + gained).min(u64::from(BURST) * 1000);
         self.filled = now;
         if self.room < 1000 {
             self.left_out += 1;
-            return Verdict::LeaveOut;
+            return LineVerdict::LeaveOut;
         }
         self.room -= 1000;
-        Verdict::Write { left_out: std::mem::take(&mut self.left_out) }
+        LineVerdict::Write { left_out: std::mem::take(&mut self.left_out) }
     }
 }
--- a/load/src/opening.rs
+++ b/load/src/opening.rs
@@ -43,7 +43,7 @@
 pub enum Verdict {
     /// Send it to its target now.
     Admit,
-    /// Hold it; [`Gate::due`](crate::Gate::due) gives the final verdict, at
+    /// Hold it; [`Gate::collect_verdicts`](crate::Gate::collect_verdicts) gives the final verdict, at
     /// `until` at the latest.
     Wait {
         /// When the final verdict is there at the latest.
@@ -63,47 +63,47 @@
     /// The caller's first packet after its opening, which proves that the
     /// target answered; `after` is the time since the opening, if the opening
     /// was seen here.
-    Followed {
+    Established {
         /// Time since the opening.
         after: Option<Millis>,
     },
     /// The caller reset a flow of this target.
     Reset,
     /// The target's health and load endpoint answered.
-    Told(Told),
+    Report(Report),
     /// The target's health and load endpoint did not answer.
-    Mute,
+    NoReport,
 }
 
 /// What a target says of itself; it lags and may be wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Told {
+pub struct Report {
     /// Whether it calls itself healthy.
     pub healthy: bool,
     /// Whether it says that it drains.
     pub draining: bool,
     /// How many of its slots are taken, work that waits for one included.
-    pub slots: u32,
+    pub work: u32,
     /// How many connections it holds.
     pub connections: u32,
 }
 
 /// What the decisions need to know of a service in the bundle in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ServiceLoad {
+pub struct ServiceSpec {
     /// Its name, by which what was learnt survives a new bundle.
     pub name: ServiceName,
     /// Whether it has a port of class request, for which room is kept.
-    pub requests: bool,
+    pub has_requests: bool,
     /// How much imbalance weighs against broken flows, in percent.
     pub balance: u8,
     /// Its targets, in the order of the bundle.
-    pub targets: Vec<TargetLoad>,
+    pub targets: Vec<TargetSpec>,
 }
 
 /// What the decisions need to know of a target in the bundle in force.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct TargetLoad {
+pub struct TargetSpec {
     /// Its name, by which what was learnt survives a new bundle.
     pub name: TargetName,
     /// How many requests or uploads it works on at once.
--- a/load/src/placement.rs
+++ b/load/src/placement.rs
@@ -19,7 +19,7 @@
 //! - *Never to zero for being bad.* Some work keeps coming, or a target that
 //!   is well again would never be noticed. Only leaving ones get nothing.
 
-use crate::opening::Told;
+use crate::opening::Report;
 use medlarspur_lib::{bundle::TargetState, time::Millis};
 
 /// The weight of a target with the full weight of the bundle.
@@ -163,7 +163,7 @@
     ended: f64,
     reset: f64,
     at: Millis,
-    told: Option<(Millis, Told)>,
+    told: Option<(Millis, Report)>,
     factor: f64,
 }
 
@@ -226,12 +226,12 @@
     }
 
     /// Takes in what the target says of itself.
-    pub fn tell(&mut self, now: Millis, told: Told) {
+    pub fn tell(&mut self, now: Millis, told: Report) {
         self.told = Some((now, told));
     }
 
     /// What the target said of itself lately.
-    pub fn told(&self, now: Millis) -> Option<&Told> {
+    pub fn told(&self, now: Millis) -> Option<&Report> {
         let (at, told) = self.told.as_ref()?;
         (now.since(*at) < STALE).then_some(told)
     }
@@ -398,10 +398,10 @@
     }
 }
 
-/// Told work for each slot.
+/// Report work for each slot.
 fn load(now: Millis, target: &View) -> Option<f64> {
     let told = target.seen.told(now)?;
-    Some(f64::from(told.slots) / f64::from(target.slots.max(1)))
+    Some(f64::from(told.work) / f64::from(target.slots.max(1)))
 }
 
 /// The lower median.
--- a/load/src/reserve.rs
+++ b/load/src/reserve.rs
@@ -28,22 +28,22 @@
 
 /// Which part of the work of a service is that of requests.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Mix {
+pub struct RequestShare {
     /// The mean work of an answer, and what of it is that of requests.
     all: f32,
     requests: f32,
     count: u32,
 }
 
-impl Default for Mix {
-    fn default() -> Mix {
-        Mix { all: ASSUMED_WORK, requests: ASSUMED * ASSUMED_WORK, count: ASSUMED_COUNT }
+impl Default for RequestShare {
+    fn default() -> RequestShare {
+        RequestShare { all: ASSUMED_WORK, requests: ASSUMED * ASSUMED_WORK, count: ASSUMED_COUNT }
     }
 }
 
-impl Mix {
+impl RequestShare {
     /// Takes in that an answer to a class took that long.
-    pub fn hear(&mut self, class: Class, span: Millis) {
+    pub fn record(&mut self, class: Class, span: Millis) {
         let span = span.0 as f32;
         let request = if class == Class::Request { span } else { 0.0 };
         self.count = self.count.saturating_add(1);
@@ -53,7 +53,7 @@
     }
 
     /// How many of a failure domain's targets feeds leave to requests.
-    pub fn kept(&self, targets: usize) -> usize {
+    pub fn reserved_targets(&self, targets: usize) -> usize {
         let part = (self.requests / self.all.max(f32::EPSILON) * HEADROOM).min(1.0);
         (part * targets as f32).round() as usize
     }
--- a/load/src/state.rs
+++ b/load/src/state.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     admission,
-    opening::{ServiceLoad, TargetLoad},
+    opening::{ServiceSpec, TargetSpec},
     placement::{self, FULL, Hold, Seen, View},
     queue::Line,
     refusal::Overload,
@@ -69,7 +69,7 @@
     /// Gives back the lines of targets that are gone.
     pub(crate) fn new(
         now: Millis,
-        load: ServiceLoad,
+        load: ServiceSpec,
         old: Option<Service>,
     ) -> (Service, Vec<Line>) {
         let known = old.is_some();
@@ -86,7 +86,7 @@
         let weights = targets.iter().map(|t| t.load.weight.saturating_mul(FULL / 100)).collect();
         let gone = old.targets.into_iter().flat_map(|t| t.lines).collect();
         let service = Service {
-            requests: load.requests,
+            requests: load.has_requests,
             balance: load.balance,
             slots: targets.iter().map(|t| u32::from(t.load.slots)).sum(),
             targets,
@@ -126,7 +126,7 @@
     fn median(&self, now: Millis) -> f64 {
         let told = |t: &Target| {
             let told = t.seen.told(now)?;
-            Some(f64::from(told.slots) / f64::from(t.load.slots.max(1)))
+            Some(f64::from(told.work) / f64::from(t.load.slots.max(1)))
         };
         let guess = || self.holds[at(Class::Request)].stretch();
         placement::median(self.targets.iter().filter_map(told)).unwrap_or_else(guess)
@@ -171,7 +171,7 @@
 /// A target and what was learnt of it.
 #[derive(Debug)]
 pub(crate) struct Target {
-    pub(crate) load: TargetLoad,
+    pub(crate) load: TargetSpec,
     pub(crate) connections: Connections,
     pub(crate) requests: Ledger,
     pub(crate) uploads: Ledger,
@@ -184,7 +184,7 @@
 }
 
 impl Target {
-    fn new(now: Millis, load: TargetLoad, cold: bool) -> Target {
+    fn new(now: Millis, load: TargetSpec, cold: bool) -> Target {
         Target {
             load,
             connections: Connections::new(now),
@@ -260,7 +260,7 @@
             Some(told) => {
                 let turns = (shares::REPORT / hold).max(1.0);
                 let unheard = f64::from(self.unheard) / turns;
-                (slots * booking - f64::from(told.slots) - unheard) * turns
+                (slots * booking - f64::from(told.work) - unheard) * turns
             }
             None if share.requests => slots * CAUTION * shares::REPORT / hold,
             None => slots * booking * shares::REPORT / hold,
@@ -277,7 +277,7 @@
     /// have room and what is seen of it bears it out, it counts more.
     fn trim(&self, now: Millis, usual: f64) -> f64 {
         let Some(told) = self.seen.told(now) else { return 1.0 };
-        let backlog = f64::from(told.slots) / f64::from(self.load.slots.max(1));
+        let backlog = f64::from(told.work) / f64::from(self.load.slots.max(1));
         let trim = (1.0 + (usual - backlog) * CATCH_UP).clamp(TRIM.0, TRIM.1);
         let behind = usual < shares::IDLE && backlog > usual + shares::GOAL;
         if behind { trim * self.seen.slowdown() } else { trim }
--- a/load/src/subset.rs
+++ b/load/src/subset.rs
@@ -23,7 +23,7 @@
 /// numbers in ascending order. When a target comes or goes, few others move; when an instance
 /// does, targets move to its neighbours. Where there are more instances than targets, several
 /// have the same one.
-pub fn deal(seat: Seat, targets: &[u64]) -> Vec<u64> {
+pub fn assigned_targets(seat: Seat, targets: &[u64]) -> Vec<u64> {
     let layers = if targets.len() / LAYERS >= seat.count as usize { LAYERS } else { 1 };
     let mut own = Vec::new();
     for nth in 0..layers {
--- a/load/src/vacancy.rs
+++ b/load/src/vacancy.rs
@@ -63,7 +63,7 @@
 impl Vacancy {
     /// An opening stayed unanswered, or a question after it did. Answers whether that is
     /// new.
-    pub fn refuse(&mut self, now: Millis) -> bool {
+    pub fn record_unanswered(&mut self, now: Millis) -> bool {
         let Some(full) = &mut self.0 else {
             self.0 = Some(Full::new(now));
             return true;
@@ -77,7 +77,7 @@
     }
 
     /// An opening was taken. Answers whether the target counts as free again by that.
-    pub fn take(&mut self, class: Class) -> bool {
+    pub fn record_accepted(&mut self, class: Class) -> bool {
         let Some(full) = &mut self.0 else { return false };
         full.fill(class);
         full.taken += 1;
@@ -89,7 +89,7 @@
     }
 
     /// A flow there has ended.
-    pub fn leave(&mut self, class: Class) {
+    pub fn record_flow_end(&mut self, class: Class) {
         let Some(full) = &mut self.0 else { return };
         match class {
             Class::Request => full.short += 1,
@@ -98,7 +98,7 @@
     }
 
     /// It answers questions again, so it has room for one at least.
-    pub fn answer(&mut self) {
+    pub fn record_probe_answer(&mut self) {
         if let Some(full) = &mut self.0 {
             full.answers += 1;
         }
@@ -106,7 +106,7 @@
 
     /// It is asked now, by one of so many instances, and need not be again before the pause
     /// is over once more.
-    pub fn ask(&mut self, now: Millis, instances: usize) {
+    pub fn record_probe(&mut self, now: Millis, instances: usize) {
         let Some(full) = &mut self.0 else { return };
         if full.retry <= now {
             full.back_off(now, longest_pause(instances));
@@ -116,7 +116,7 @@
     }
 
     /// Whether one more may be opened there while `opening` are under way.
-    pub fn admits(&self, class: Class, opening: u32) -> bool {
+    pub fn can_open(&self, class: Class, opening: u32) -> bool {
         let Some(full) = &self.0 else { return true };
         let (short, answers) = match class {
             Class::Request => (full.short, ANSWERS_REQUEST),
@@ -131,7 +131,7 @@
     }
 
     /// When a full target should be asked whether it has room.
-    pub fn retry(&self) -> Option<Millis> {
+    pub fn next_probe(&self) -> Option<Millis> {
         self.0.map(|full| full.retry)
     }
 }
--- a/load/src/warmup.rs
+++ b/load/src/warmup.rs
@@ -10,7 +10,7 @@
 //! So each slow target has one owner among the instances of its failure domain. One reader of
 //! the domain gives each instance a [`Seat`]; the seat tells by itself which targets are
 //! owned. Instances may disagree on seats for a moment, when some come or go or two readers
-//! take themselves for the first. [`OWNERS`] of them may own one target at the same time and
+//! take themselves for the first. [`MAX_OWNERS`] of them may own one target at the same time and
 //! the bound holds; the tests of the fleet play what brings more than one about.
 
 use crate::random::mix;
@@ -18,7 +18,7 @@
 use serde::{Deserialize, Serialize};
 
 /// How many instances may take themselves for the owner of one target.
-pub const OWNERS: u32 = 3;
+pub const MAX_OWNERS: u32 = 3;
 /// What an owner opens of what its target bears: one in so many. The users' bound is half as
 /// much again as a target bears and five, so that three owners with a half each stay below it,
 /// and one more each for where a second begins.
@@ -42,6 +42,6 @@
 
 /// How long an owner waits between two openings at a slow target that bears `rate` requests
 /// a second.
-pub fn pause(rate: u32) -> Millis {
+pub fn opening_interval(rate: u32) -> Millis {
     Millis((PART * 1_000).div_ceil(u64::from(rate.max(1))))
 }
--- a/load/tests/model/host.rs
+++ b/load/tests/model/host.rs
@@ -1,7 +1,7 @@
 //! A target: some slots, a queue before them, and connections.
 
 use super::scene::Fault;
-use medlarspur_load::Told;
+use medlarspur_load::Report;
 use std::collections::VecDeque;
 
 /// Work that reached a target by an instance.
@@ -19,7 +19,7 @@
     pub busy: u32,
     pub queue: VecDeque<Job>,
     /// What its endpoint says.
-    pub told: Told,
+    pub told: Report,
 }
 
 impl Host {
@@ -58,6 +58,6 @@
     }
 }
 
-fn told(slots: u32, connections: u32) -> Told {
-    Told { healthy: true, draining: false, slots, connections }
+fn told(work: u32, connections: u32) -> Report {
+    Report { healthy: true, draining: false, work, connections }
 }
--- a/load/tests/model/mod.rs
+++ b/load/tests/model/mod.rs
@@ -141,8 +141,8 @@
                 self.close(target, work, flow, by);
             }
             Event::Follow { target, by } => {
-                let signal = Signal::Followed { after: None };
-                self.gates[by].seen(
+                let signal = Signal::Established { after: None };
+                self.gates[by].record_signal(
                     Millis(self.now),
                     ServiceIx(0),
                     TargetIx(target as u16),
@@ -325,7 +325,7 @@
             class: self.works[work].class,
             target: TargetIx(target as u16),
         };
-        self.gates[by].closed(Millis(self.now), &closing);
+        self.gates[by].record_closing(Millis(self.now), &closing);
     }
 
     /// What the endpoint of a target says changes once a second.
@@ -342,10 +342,10 @@
             self.hosts[target].refresh(fault);
         }
         let told = match self.scene.fault(self.now, target) {
-            Some(Fault::SaysNothing) => Signal::Mute,
-            _ => Signal::Told(self.hosts[target].told),
+            Some(Fault::SaysNothing) => Signal::NoReport,
+            _ => Signal::Report(self.hosts[target].told),
         };
-        self.gates[by].seen(Millis(self.now), ServiceIx(0), TargetIx(target as u16), told);
+        self.gates[by].record_signal(Millis(self.now), ServiceIx(0), TargetIx(target as u16), told);
         self.at(1000, Event::Report { target, by });
     }
 
@@ -360,7 +360,7 @@
     fn step(&mut self) {
         let mut out = Vec::new();
         for by in 0..self.gates.len() {
-            self.gates[by].due(Millis(self.now), &mut out);
+            self.gates[by].collect_verdicts(Millis(self.now), &mut out);
             for (flow, verdict) in out.drain(..) {
                 let ix = (flow.0 >> 16 & 0xffff_ffff) as usize;
                 if u64::from(self.works[ix].tries) != flow.0 >> 48 {
--- a/load/tests/model/site.rs
+++ b/load/tests/model/site.rs
@@ -4,7 +4,7 @@
     bundle::TargetState,
     ids::{ServiceName, TargetName},
 };
-use medlarspur_load::{ServiceLoad, TargetLoad};
+use medlarspur_load::{ServiceSpec, TargetSpec};
 
 /// One service of a site before its instances.
 #[derive(Debug, Clone)]
@@ -37,17 +37,17 @@
 
 impl Site {
     /// The service as the gate is told of it.
-    pub fn service(&self, requests: bool) -> ServiceLoad {
-        let target = |n| TargetLoad {
+    pub fn service(&self, has_requests: bool) -> ServiceSpec {
+        let target = |n| TargetSpec {
             name: TargetName::new(&format!("{}-{n}", self.name)),
             slots: self.slots,
             connections: self.connections,
             weight: 100,
             state: TargetState::Active,
         };
-        ServiceLoad {
+        ServiceSpec {
             name: ServiceName::new(self.name),
-            requests,
+            has_requests,
             balance: self.balance,
             targets: (0..self.hosts).map(target).collect(),
         }
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -4,8 +4,8 @@
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{
-    backlog::{Backlog, Waiting, patience},
-    limit::{self, Limit},
+    backlog::{Backlog, Waiting, max_wait},
+    limit::{self, ConcurrencyLimit},
     random::Random,
 };
 use std::{
@@ -167,7 +167,7 @@
     /// Requests under way, by instance and target, and those that are no feed's.
     working: Vec<Vec<u32>>,
     fresh: Vec<u32>,
-    limits: Vec<Limit>,
+    limits: Vec<ConcurrencyLimit>,
     backlogs: Vec<Backlog<usize>>,
     queues: Vec<VecDeque<usize>>,
     busy: Vec<usize>,
@@ -185,7 +185,7 @@
         works: Vec::new(),
         working: vec![vec![0; scene.targets]; scene.instances],
         fresh: vec![0; scene.instances],
-        limits: vec![Limit::default(); scene.instances],
+        limits: vec![ConcurrencyLimit::default(); scene.instances],
         backlogs: vec![Backlog::default(); scene.instances],
         queues: vec![VecDeque::new(); scene.targets],
         busy: vec![0; scene.targets],
@@ -287,8 +287,8 @@
         self.working[instance].iter().sum()
     }
 
-    fn work(&self, instance: usize) -> limit::Work {
-        limit::Work { all: self.under_way(instance), requests: self.fresh[instance] }
+    fn work(&self, instance: usize) -> limit::InFlight {
+        limit::InFlight { all: self.under_way(instance), requests: self.fresh[instance] }
     }
 
     fn come(&mut self, id: usize, now: u64) {
@@ -298,16 +298,16 @@
         if !self.limited || work.bound || has_room && self.backlogs[at].admits(work.class) {
             return self.begin(id, now);
         }
-        let until = Millis(now) + patience(Millis(self.scene.goal));
+        let deadline = Millis(now) + max_wait(Millis(self.scene.goal));
         // A repeated opening says how long its caller has waited; one that is opened
         // anew doesn't.
         let known = now.saturating_sub(work.asked);
         let asked = if known >= 1_400 { now - (known - 1_400) } else { work.asked };
-        let waiting = Waiting { key: id, class: work.class, asked: Millis(asked), until };
+        let waiting = Waiting { key: id, class: work.class, since: Millis(asked), deadline };
         if self.backlogs[at].push(waiting).is_some() {
             return self.refuse(id, now);
         }
-        self.push(until.0, Event::Expire(at));
+        self.push(deadline.0, Event::Expire(at));
         self.release(at, now);
     }
 
@@ -353,7 +353,7 @@
         let at = work.instance;
         self.working[at][target] -= 1;
         let (span, goal) = (Millis(now - work.came), Millis(self.scene.goal));
-        if self.limits[at].hear(span, goal, Millis(now)) {
+        if self.limits[at].record_answer(span, goal, Millis(now)) {
             let (working, part) = (self.under_way(at), self.part(now));
             self.limits[at].adjust(working, part, Millis(now));
         }
@@ -363,7 +363,7 @@
     }
 
     fn release(&mut self, at: usize, now: u64) {
-        while let Some(next) = self.backlogs[at].next() {
+        while let Some(next) = self.backlogs[at].peek() {
             if !self.limits[at].admits(next.class, self.work(at), Millis(now)) {
                 return;
             }
--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -10,13 +10,13 @@
     Candidate {
         tier: Tier::Good,
         slots: 2,
-        working: 0,
+        in_flight: 0,
         opening: 0,
-        feeds: 0,
+        idle_feeds: 0,
         cold: false,
-        near: true,
-        kept: false,
-        shared: false,
+        same_domain: true,
+        reserved: false,
+        outside_subset: false,
     }
 }
 
@@ -27,8 +27,8 @@
 
 #[test]
 fn the_target_with_the_least_work_a_slot_is_taken() {
-    let busy = Candidate { working: 2, ..idle() };
-    let large = Candidate { working: 2, slots: 8, ..idle() };
+    let busy = Candidate { in_flight: 2, ..idle() };
+    let large = Candidate { in_flight: 2, slots: 8, ..idle() };
 
     assert_eq!(choose(&[busy, large, busy], Class::Request, 0), Some(1));
 }
@@ -44,8 +44,8 @@
 /// that are open but idle hardly matter to it, a request under way does.
 #[test]
 fn idle_feeds_count_less_than_work() {
-    let feeds = Candidate { feeds: 5, ..idle() };
-    let works = Candidate { working: 1, ..idle() };
+    let feeds = Candidate { idle_feeds: 5, ..idle() };
+    let works = Candidate { in_flight: 1, ..idle() };
 
     assert_eq!(choose(&[works, feeds], Class::Request, 0), Some(1));
 }
@@ -54,7 +54,7 @@
 #[test]
 fn a_cold_target_is_taken_later_but_not_never() {
     let cold = Candidate { cold: true, ..idle() };
-    let busy = Candidate { working: 4, ..idle() };
+    let busy = Candidate { in_flight: 4, ..idle() };
 
     assert_eq!(choose(&[cold, idle()], Class::Feed, 0), Some(1));
     assert_eq!(choose(&[cold, busy], Class::Feed, 0), Some(0));
@@ -65,8 +65,8 @@
 #[test]
 fn a_doubtful_target_is_the_last_choice() {
     let doubtful = Candidate { tier: Tier::Doubtful, ..idle() };
-    let unlisted = Candidate { tier: Tier::Unlisted, working: 9, ..idle() };
-    let busy = Candidate { working: 9, ..idle() };
+    let unlisted = Candidate { tier: Tier::Unlisted, in_flight: 9, ..idle() };
+    let busy = Candidate { in_flight: 9, ..idle() };
 
     assert_eq!(choose(&[doubtful, unlisted, busy], Class::Feed, 0), Some(2));
     assert_eq!(choose(&[doubtful, unlisted], Class::Feed, 0), Some(1));
@@ -76,9 +76,9 @@
 /// An upload carries 80 kB to its target; a feed's request hardly anything.
 #[test]
 fn uploads_stay_near_unless_it_is_crowded_there() {
-    let far = Candidate { near: false, ..idle() };
-    let busy = Candidate { working: 2, ..idle() };
-    let crowded = Candidate { working: 6, ..idle() };
+    let far = Candidate { same_domain: false, ..idle() };
+    let busy = Candidate { in_flight: 2, ..idle() };
+    let crowded = Candidate { in_flight: 6, ..idle() };
 
     assert_eq!(choose(&[busy, far], Class::Upload, 0), Some(0));
     assert_eq!(choose(&[busy, far], Class::Request, 0), Some(1));
@@ -101,10 +101,10 @@
 /// behind them.
 #[test]
 fn feeds_leave_kept_targets_to_requests_while_others_have_room() {
-    let kept = Candidate { kept: true, ..idle() };
-    let busy = Candidate { working: 2, ..idle() };
+    let kept = Candidate { reserved: true, ..idle() };
+    let busy = Candidate { in_flight: 2, ..idle() };
 
-    assert_eq!(choose(&[kept, Candidate { feeds: 5, ..idle() }], Class::Feed, 0), Some(1));
+    assert_eq!(choose(&[kept, Candidate { idle_feeds: 5, ..idle() }], Class::Feed, 0), Some(1));
     assert_eq!(choose(&[kept, busy], Class::Feed, 0), Some(0));
-    assert_eq!(choose(&[kept, Candidate { feeds: 5, ..idle() }], Class::Request, 0), Some(0));
+    assert_eq!(choose(&[kept, Candidate { idle_feeds: 5, ..idle() }], Class::Request, 0), Some(0));
 }
--- a/load/tests/test_gate.rs
+++ b/load/tests/test_gate.rs
@@ -4,21 +4,21 @@
     time::Millis,
 };
 use medlarspur_load::{
-    Closing, Gate, Opening, ServiceLoad, Settings, Signal, TargetLoad, Told, Verdict,
+    Closing, Gate, Opening, Report, ServiceSpec, Settings, Signal, TargetSpec, Verdict,
 };
 use std::net::Ipv4Addr;
 
-fn alertdesk() -> ServiceLoad {
-    let target = |n| TargetLoad {
+fn alertdesk() -> ServiceSpec {
+    let target = |n| TargetSpec {
         name: TargetName::new(&format!("alertdesk-{n}")),
         slots: 2,
         connections: 2000,
         weight: 100,
         state: TargetState::Active,
     };
-    ServiceLoad {
+    ServiceSpec {
         name: ServiceName::new("alertdesk"),
-        requests: true,
+        has_requests: true,
         balance: 50,
         targets: (0..14).map(target).collect(),
     }
@@ -73,7 +73,7 @@
 
     let mut out = Vec::new();
     for now in 1..=1 + Settings::default().patience.0 {
-        gate.due(Millis(now), &mut out);
+        gate.collect_verdicts(Millis(now), &mut out);
     }
 
     assert!(waiting > 0);
@@ -89,7 +89,7 @@
         class: Class::Upload,
         target: TargetIx(99),
     };
-    gate.closed(Millis(5), &closing);
+    gate.record_closing(Millis(5), &closing);
     assert_eq!(gate.weights(ServiceIx(9)), &[] as &[u16]);
 }
 
@@ -100,7 +100,7 @@
     service.targets[3].state = TargetState::Leaving;
 
     gate.set_services(Millis(10), vec![service]);
-    gate.due(Millis(10), &mut Vec::new());
+    gate.collect_verdicts(Millis(10), &mut Vec::new());
 
     assert!(matches!(gate.open(Millis(11), &request(1)), Verdict::Refuse { .. }));
     assert_eq!(gate.weights(ServiceIx(0))[3], 0);
@@ -110,15 +110,15 @@
 fn ingest() -> Gate {
     let mut gate = Gate::new(Settings::default(), 7);
     gate.set_instances(4);
-    let ingest = ServiceLoad { requests: false, ..alertdesk() };
+    let ingest = ServiceSpec { has_requests: false, ..alertdesk() };
     gate.set_services(
         Millis(0),
-        vec![ServiceLoad { targets: ingest.targets[..2].into(), ..ingest }],
+        vec![ServiceSpec { targets: ingest.targets[..2].into(), ..ingest }],
     );
     gate
 }
 
-const IDLE: Told = Told { healthy: true, draining: false, slots: 0, connections: 0 };
+const IDLE: Report = Report { healthy: true, draining: false, work: 0, connections: 0 };
 
 /// Stations send small pictures that are stored in milliseconds. A fabric that
 /// sprays packets shows an instance the end of one in four of the uploads that
@@ -133,7 +133,7 @@
         let now = Millis(400 * flow);
         let target = TargetIx((flow % 2) as u16);
         if flow % 5 < 2 {
-            gate.seen(now, ServiceIx(0), target, Signal::Told(IDLE));
+            gate.record_signal(now, ServiceIx(0), target, Signal::Report(IDLE));
         }
         let opening = Opening { class: Class::Upload, target, ..request(flow) };
         if gate.open(now, &opening) != Verdict::Admit {
@@ -142,7 +142,7 @@
         admitted.push(flow);
         if admitted.len() % 4 == 0 {
             let Opening { flow, service, class, target, .. } = opening;
-            gate.closed(now + Millis(8), &Closing { flow, service, class, target });
+            gate.record_closing(now + Millis(8), &Closing { flow, service, class, target });
         }
     }
 
@@ -158,13 +158,13 @@
     let mut gate = ingest();
     let upload = |flow| Opening { class: Class::Upload, target: TargetIx(0), ..request(flow) };
     let open = |gate: &mut Gate, now, flow| {
-        gate.seen(now, ServiceIx(0), TargetIx(0), Signal::Told(IDLE));
+        gate.record_signal(now, ServiceIx(0), TargetIx(0), Signal::Report(IDLE));
         gate.open(now, &upload(flow))
     };
     let first: Vec<_> = (0..10).map(|flow| open(&mut gate, Millis(flow), flow)).collect();
 
     let Opening { flow, service, class, target, .. } = upload(0);
-    gate.closed(Millis(20), &Closing { flow, service, class, target });
+    gate.record_closing(Millis(20), &Closing { flow, service, class, target });
     let later = |flow| Millis(1_000 + 1_000 * (flow - 10));
     let second: Vec<_> = (10..15).map(|flow| open(&mut gate, later(flow), flow)).collect();
 
--- a/load/tests/test_limit.rs
+++ b/load/tests/test_limit.rs
@@ -2,30 +2,30 @@
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{
-    backlog::{Backlog, Waiting, patience},
-    limit::{Limit, Work},
+    backlog::{Backlog, Waiting, max_wait},
+    limit::{ConcurrencyLimit, InFlight},
 };
 
 const GOAL: Millis = Millis(150);
 
-fn all(all: u32) -> Work {
-    Work { all, requests: 0 }
+fn all(all: u32) -> InFlight {
+    InFlight { all, requests: 0 }
 }
 
-fn requests(requests: u32) -> Work {
-    Work { all: 100, requests }
+fn requests(requests: u32) -> InFlight {
+    InFlight { all: 100, requests }
 }
 
 /// Has a limit hear of an answer after `span`, with `working` still under way.
-fn answer(limit: &mut Limit, span: u64, working: u32, now: u64) {
-    if limit.hear(Millis(span), GOAL, Millis(now)) {
+fn answer(limit: &mut ConcurrencyLimit, span: u64, working: u32, now: u64) {
+    if limit.record_answer(Millis(span), GOAL, Millis(now)) {
         limit.adjust(working, 2.0, Millis(now));
     }
 }
 
 /// A limit that has heard many answers of one length, with `working` under way.
-fn heard(span: u64, working: u32, count: u64) -> Limit {
-    let mut limit = Limit::default();
+fn heard(span: u64, working: u32, count: u64) -> ConcurrencyLimit {
+    let mut limit = ConcurrencyLimit::default();
     for number in 0..count {
         answer(&mut limit, span, working, number * 20);
     }
@@ -34,7 +34,7 @@
 
 /// A limit that has heard calm answers for three seconds, and then slow ones with `working`
 /// under way until 8 s.
-fn slowed(working: u32) -> Limit {
+fn slowed(working: u32) -> ConcurrencyLimit {
     let mut limit = heard(45, working, 150);
     for number in 150..400 {
         answer(&mut limit, 140, working, number * 20);
@@ -72,7 +72,7 @@
 
 #[test]
 fn nothing_is_limited_before_any_answer() {
-    let limit = Limit::default();
+    let limit = ConcurrencyLimit::default();
 
     assert!(limit.admits(Class::Feed, all(1_000), Millis(0)));
     assert!(!limit.is_slow(Millis(0)));
@@ -138,7 +138,7 @@
 }
 
 fn waiting(key: u32, class: Class, asked: u64) -> Waiting<u32> {
-    Waiting { key, class, asked: Millis(asked), until: Millis(asked) + patience(GOAL) }
+    Waiting { key, class, since: Millis(asked), deadline: Millis(asked) + max_wait(GOAL) }
 }
 
 #[test]
@@ -154,7 +154,7 @@
     }
 
     let mut order = Vec::new();
-    while let Some(next) = backlog.next() {
+    while let Some(next) = backlog.peek() {
         backlog.remove(next.key);
         order.push(next.key);
     }
@@ -188,8 +188,8 @@
 /// however long its goal.
 #[test]
 fn nobody_waits_longer_than_callers_do() {
-    assert_eq!(patience(Millis(150)), Millis(600));
-    assert_eq!(patience(Millis(60_000)), Millis(1_200));
+    assert_eq!(max_wait(Millis(150)), Millis(600));
+    assert_eq!(max_wait(Millis(60_000)), Millis(1_200));
 }
 
 #[test]
--- a/load/tests/test_lines.rs
+++ b/load/tests/test_lines.rs
@@ -1,34 +1,34 @@
 //! How many lines are written in a burst.
 
 use medlarspur_lib::time::Millis;
-use medlarspur_load::lines::{Budget, Verdict};
+use medlarspur_load::lines::{LineBudget, LineVerdict};
 
 /// A failure domain is lost and thousands of flows are reset in a second. The
 /// first lines tell what happened, and the number of the others is told.
 #[test]
 fn a_burst_is_bounded_and_what_is_left_out_is_counted() {
-    let mut budget = Budget::new(Millis(0));
+    let mut budget = LineBudget::new(Millis(0));
     let mut written = 0;
     let mut told = 0;
     for nth in 0..5_000 {
-        if let Verdict::Write { left_out } = budget.take(Millis(nth / 5)) {
+        if let LineVerdict::Write { left_out } = budget.take(Millis(nth / 5)) {
             written += 1;
             told += left_out;
         }
     }
     assert!((290..=300).contains(&written), "{written}");
 
-    let Verdict::Write { left_out } = budget.take(Millis(5_000)) else { panic!("no room") };
+    let LineVerdict::Write { left_out } = budget.take(Millis(5_000)) else { panic!("no room") };
 
     assert_eq!(written + told + left_out, 5_000);
 }
 
 #[test]
 fn an_ordinary_day_loses_no_line() {
-    let mut budget = Budget::new(Millis(0));
+    let mut budget = LineBudget::new(Millis(0));
 
     let all = (0..10_000)
-        .all(|nth| matches!(budget.take(Millis(nth * 25)), Verdict::Write { left_out: 0 }));
+        .all(|nth| matches!(budget.take(Millis(nth * 25)), LineVerdict::Write { left_out: 0 }));
 
     assert!(all, "forty lines a second");
 }
--- a/load/tests/test_many.rs
+++ b/load/tests/test_many.rs
@@ -43,13 +43,13 @@
             Candidate {
                 tier: Tier::Good,
                 slots: 1,
-                working: own.count() as u32,
+                in_flight: own.count() as u32,
                 opening: 0,
-                feeds: u32::from(target >= KEPT_FIRST),
+                idle_feeds: u32::from(target >= KEPT_FIRST),
                 cold: false,
-                near: true,
-                kept: target < KEPT,
-                shared: false,
+                same_domain: true,
+                reserved: target < KEPT,
+                outside_subset: false,
             }
         };
         let candidates: Vec<Candidate> = (0..TARGETS).map(candidate).collect();
--- a/load/tests/test_placement.rs
+++ b/load/tests/test_placement.rs
@@ -1,6 +1,6 @@
 use medlarspur_lib::{bundle::TargetState, time::Millis};
 use medlarspur_load::{
-    Told,
+    Report,
     placement::{FULL, Seen, View, advise},
 };
 
@@ -33,8 +33,8 @@
     }
 }
 
-fn told(draining: bool) -> Told {
-    Told { healthy: true, draining, slots: 0, connections: 0 }
+fn told(draining: bool) -> Report {
+    Report { healthy: true, draining, work: 0, connections: 0 }
 }
 
 #[test]
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -5,7 +5,7 @@
     time::Millis,
 };
 use medlarspur_load::{
-    Closing, Gate, Opening, ServiceLoad, Settings, Signal, TargetLoad, Told, Verdict, placement,
+    Closing, Gate, Opening, Report, ServiceSpec, Settings, Signal, TargetSpec, Verdict, placement,
     retry::{Decision, Memory},
 };
 use proptest::prelude::*;
@@ -13,8 +13,8 @@
 
 const TARGETS: u16 = 4;
 
-fn service(leaving: Option<u16>) -> ServiceLoad {
-    let target = |n| TargetLoad {
+fn service(leaving: Option<u16>) -> ServiceSpec {
+    let target = |n| TargetSpec {
         name: TargetName::new(&format!("t{n}")),
         slots: 2,
         connections: 20,
@@ -22,7 +22,7 @@
         state: if leaving == Some(n) { TargetState::Leaving } else { TargetState::Active },
     };
     let targets = (0..TARGETS).map(target).collect();
-    ServiceLoad { name: ServiceName::new("s"), requests: true, balance: 50, targets }
+    ServiceSpec { name: ServiceName::new("s"), has_requests: true, balance: 50, targets }
 }
 
 fn class() -> impl Strategy<Value = Class> {
@@ -37,7 +37,7 @@
 enum Step {
     Open(u64, Class, u16),
     Close(u64, Class, u16),
-    Told(u16, u32, u32, bool),
+    Report(u16, u32, u32, bool),
     Leave(Option<u16>),
     Pass(u64),
 }
@@ -48,7 +48,7 @@
         8 => (0..200u64, class(), target()).prop_map(|(f, c, t)| Step::Open(f, c, t)),
         3 => (0..200u64, class(), target()).prop_map(|(f, c, t)| Step::Close(f, c, t)),
         1 => (target(), 0..100u32, 0..100u32, any::<bool>())
-            .prop_map(|(t, s, c, d)| Step::Told(t, s, c, d)),
+            .prop_map(|(t, s, c, d)| Step::Report(t, s, c, d)),
         1 => proptest::option::of(target()).prop_map(Step::Leave),
         4 => (0..2_000u64).prop_map(Step::Pass),
     ]
@@ -104,13 +104,13 @@
                 Step::Close(flow, class, target) => {
                     let flow = FlowId(flow);
                     let closing = Closing { flow, service: ServiceIx(0), class, target: TargetIx(target) };
-                    gate.closed(now, &closing);
+                    gate.record_closing(now, &closing);
                     waiting.remove(&flow);
                     refused.remove(&flow);
                 }
-                Step::Told(target, slots, connections, draining) => {
-                    let told = Told { healthy: true, draining, slots, connections };
-                    gate.seen(now, ServiceIx(0), TargetIx(target), Signal::Told(told));
+                Step::Report(target, work, connections, draining) => {
+                    let told = Report { healthy: true, draining, work, connections };
+                    gate.record_signal(now, ServiceIx(0), TargetIx(target), Signal::Report(told));
                 }
                 Step::Leave(target) => {
                     left = target;
@@ -121,7 +121,7 @@
                     while now < end {
                         now = now + Millis(1);
                         let mut out = Vec::new();
-                        gate.due(now, &mut out);
+                        gate.collect_verdicts(now, &mut out);
                         for (flow, verdict) in out {
                             prop_assert!(waiting.remove(&flow).is_some(), "one final verdict");
                             if let Verdict::Refuse { after } = verdict {
--- a/load/tests/test_subset.rs
+++ b/load/tests/test_subset.rs
@@ -1,6 +1,6 @@
 //! Targets are dealt out among the instances of a failure domain.
 
-use medlarspur_load::{subset::deal, warmup::Seat};
+use medlarspur_load::{subset::assigned_targets, warmup::Seat};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 }
 
 fn all(count: u32, targets: &[u64]) -> Vec<Vec<u64>> {
-    (0..count).map(|position| deal(Seat { position, count }, targets)).collect()
+    (0..count).map(|position| assigned_targets(Seat { position, count }, targets)).collect()
 }
 
 proptest! {
@@ -66,7 +66,7 @@
         after.remove(gone);
         let seat = Seat { position, count: 100 };
 
-        let (old, new) = (deal(seat, &before), deal(seat, &after));
+        let (old, new) = (assigned_targets(seat, &before), assigned_targets(seat, &after));
 
         let stay = old.iter().filter(|it| new.contains(it)).count();
         prop_assert!(2 * stay >= old.len(), "{stay} of {} stay", old.len());
@@ -75,7 +75,7 @@
     /// Guards against a damaged seat that ends a thread.
     #[test]
     fn any_seat_has_some_of_the_targets(position: u32, count: u32, number in 1..500u64) {
-        let dealt = deal(Seat { position, count }, &targets(number));
+        let dealt = assigned_targets(Seat { position, count }, &targets(number));
 
         prop_assert!(!dealt.is_empty());
     }
--- a/load/tests/test_vacancy.rs
+++ b/load/tests/test_vacancy.rs
@@ -7,22 +7,22 @@
 fn a_target_that_leaves_an_opening_unanswered_takes_none() {
     let mut vacancy = Vacancy::default();
 
-    assert!(vacancy.refuse(Millis(100)));
+    assert!(vacancy.record_unanswered(Millis(100)));
 
-    assert!(!vacancy.admits(Class::Request, 0));
-    assert!(!vacancy.refuse(Millis(150)), "that is known");
-    assert_eq!(vacancy.retry(), Some(Millis(600)));
+    assert!(!vacancy.can_open(Class::Request, 0));
+    assert!(!vacancy.record_unanswered(Millis(150)), "that is known");
+    assert_eq!(vacancy.next_probe(), Some(Millis(600)));
 }
 
 #[test]
 fn each_question_without_room_doubles_the_pause_up_to_a_second() {
     let mut vacancy = Vacancy::default();
-    vacancy.refuse(Millis(0));
-    let mut now = vacancy.retry().expect("it is full");
+    vacancy.record_unanswered(Millis(0));
+    let mut now = vacancy.next_probe().expect("it is full");
     let mut pauses = Vec::new();
     for _ in 0..3 {
-        vacancy.refuse(now);
-        let retry = vacancy.retry().expect("it is full");
+        vacancy.record_unanswered(now);
+        let retry = vacancy.next_probe().expect("it is full");
         pauses.push(retry.since(now).0);
         now = retry;
     }
@@ -33,12 +33,12 @@
 /// When one of so many instances asks a full target within `span`, if it never has room.
 fn questions(instances: usize, span: Millis) -> Vec<u64> {
     let mut vacancy = Vacancy::default();
-    vacancy.refuse(Millis(0));
+    vacancy.record_unanswered(Millis(0));
     let mut asked = Vec::new();
-    while let Some(now) = vacancy.retry().filter(|at| *at <= span) {
+    while let Some(now) = vacancy.next_probe().filter(|at| *at <= span) {
         asked.push(now.0);
-        vacancy.ask(now, instances);
-        vacancy.refuse(now + Millis(1));
+        vacancy.record_probe(now, instances);
+        vacancy.record_unanswered(now + Millis(1));
     }
     asked
 }
@@ -69,34 +69,35 @@
 #[test]
 fn what_a_request_leaves_is_for_requests() {
     let mut vacancy = Vacancy::default();
-    vacancy.refuse(Millis(0));
+    vacancy.record_unanswered(Millis(0));
 
-    vacancy.leave(Class::Request);
+    vacancy.record_flow_end(Class::Request);
 
-    assert!(!vacancy.admits(Class::Feed, 0));
-    assert!(vacancy.admits(Class::Request, 0));
-    assert!(!vacancy.admits(Class::Request, 1), "one for one");
+    assert!(!vacancy.can_open(Class::Feed, 0));
+    assert!(vacancy.can_open(Class::Request, 0));
+    assert!(!vacancy.can_open(Class::Request, 1), "one for one");
 }
 
 #[test]
 fn what_a_feed_leaves_is_for_whoever_comes() {
     let mut vacancy = Vacancy::default();
-    vacancy.refuse(Millis(0));
+    vacancy.record_unanswered(Millis(0));
 
-    vacancy.leave(Class::Feed);
+    vacancy.record_flow_end(Class::Feed);
 
-    assert!(vacancy.admits(Class::Feed, 0) && vacancy.admits(Class::Request, 0));
-    vacancy.take(Class::Feed);
-    assert!(!vacancy.admits(Class::Feed, 0));
+    assert!(vacancy.can_open(Class::Feed, 0) && vacancy.can_open(Class::Request, 0));
+    vacancy.record_accepted(Class::Feed);
+    assert!(!vacancy.can_open(Class::Feed, 0));
 }
 
 #[test]
 fn several_openings_in_a_row_make_it_free() {
     let mut vacancy = Vacancy::default();
-    vacancy.refuse(Millis(0));
-    vacancy.answer();
+    vacancy.record_unanswered(Millis(0));
+    vacancy.record_probe_answer();
 
-    let taken = (0..8).map(|_| vacancy.take(Class::Request)).filter(|free| *free).count();
+    let taken =
+        (0..8).map(|_| vacancy.record_accepted(Class::Request)).filter(|free| *free).count();
 
     assert_eq!(taken, 1);
     assert!(!vacancy.is_full());
@@ -105,14 +106,14 @@
 #[test]
 fn after_one_answer_a_request_is_tried_and_after_six_a_feed() {
     let mut vacancy = Vacancy::default();
-    vacancy.refuse(Millis(0));
+    vacancy.record_unanswered(Millis(0));
 
-    vacancy.answer();
+    vacancy.record_probe_answer();
 
-    assert!(vacancy.admits(Class::Request, 0) && !vacancy.admits(Class::Request, 1));
-    assert!(!vacancy.admits(Class::Feed, 0));
-    (1..6).for_each(|_| vacancy.answer());
-    assert!(vacancy.admits(Class::Feed, 0) && !vacancy.admits(Class::Feed, 1));
+    assert!(vacancy.can_open(Class::Request, 0) && !vacancy.can_open(Class::Request, 1));
+    assert!(!vacancy.can_open(Class::Feed, 0));
+    (1..6).for_each(|_| vacancy.record_probe_answer());
+    assert!(vacancy.can_open(Class::Feed, 0) && !vacancy.can_open(Class::Feed, 1));
 }
 
 /// How many targets and places, and how many instances.
@@ -158,16 +159,16 @@
     let mut stays: Vec<Stay> = Vec::new();
     for now in 0..LENGTH {
         for stay in stays.extract_if(.., |stay| stay.end <= now) {
-            vacancies[stay.instance][stay.target].leave(stay.class);
+            vacancies[stay.instance][stay.target].record_flow_end(stay.class);
         }
         let used = |stays: &[Stay], target| stays.iter().filter(|it| it.target == target).count();
         for vacancy in vacancies.iter_mut().flat_map(|it| it.iter_mut().enumerate()) {
             let (target, vacancy) = vacancy;
-            if vacancy.retry().is_some_and(|at| at.0 <= now) {
-                vacancy.ask(Millis(now), INSTANCES);
+            if vacancy.next_probe().is_some_and(|at| at.0 <= now) {
+                vacancy.record_probe(Millis(now), INSTANCES);
                 match used(&stays, target) < PLACES {
-                    true => vacancy.answer(),
-                    false => drop(vacancy.refuse(Millis(now))),
+                    true => vacancy.record_probe_answer(),
+                    false => drop(vacancy.record_unanswered(Millis(now))),
                 }
             }
         }
@@ -179,7 +180,7 @@
             let instance = (random.draw() % INSTANCES as u64) as usize;
             let first = random.draw() as usize;
             let order = (0..TARGETS).map(|it| (first.wrapping_add(it)) % TARGETS);
-            let open = order.filter(|it| !knows || vacancies[instance][*it].admits(class, 0));
+            let open = order.filter(|it| !knows || vacancies[instance][*it].can_open(class, 0));
             let open: Vec<usize> = open.collect();
             let mut tries = 0;
             // A caller's opening goes on to two more targets before its goal has passed.
@@ -187,7 +188,7 @@
                 tries += 1;
                 let has_room = used(&stays, *target) < PLACES;
                 if !has_room {
-                    vacancies[instance][*target].refuse(Millis(now));
+                    vacancies[instance][*target].record_unanswered(Millis(now));
                 }
                 has_room || tries == 3
             });
@@ -197,7 +198,7 @@
                 tallies[nth].served += u32::from(target.is_some());
             }
             if let Some(target) = target {
-                vacancies[instance][target].take(class);
+                vacancies[instance][target].record_accepted(class);
                 stays.push(Stay { end: now + stay, target, instance, class });
             }
         }
--- a/load/tests/test_warmup.rs
+++ b/load/tests/test_warmup.rs
@@ -1,6 +1,6 @@
 //! Who opens flows at targets that are slow after their start.
 
-use medlarspur_load::warmup::{OWNERS, Seat, pause};
+use medlarspur_load::warmup::{MAX_OWNERS, Seat, opening_interval};
 use proptest::prelude::*;
 
 /// What the users' pages allow a slow target in a second, of what it bears.
@@ -10,7 +10,7 @@
 
 /// The most openings within any second of owners that each open whenever they may.
 fn most(rate: u32, phases: &[u64]) -> usize {
-    let pause = pause(rate).0;
+    let pause = opening_interval(rate).0;
     let mut moments: Vec<u64> = phases
         .iter()
         .flat_map(|phase| (0..20).map(move |nth| phase % pause + nth * pause))
@@ -35,7 +35,7 @@
     /// them together stays within what it may get.
     #[test]
     fn owners_that_disagree_stay_within_the_bound(
-        rate in 1..100u32, phases in proptest::collection::vec(0..10_000u64, 1..=OWNERS as usize)
+        rate in 1..100u32, phases in proptest::collection::vec(0..10_000u64, 1..=MAX_OWNERS as usize)
     ) {
         prop_assert!(most(rate, &phases) as u64 <= allowed(rate));
     }
--- a/marked/src/forwarder/closed.rs
+++ b/marked/src/forwarder/closed.rs
@@ -85,7 +85,8 @@
     /// Whether this instance owns a slow target and may open a flow there now.
     fn may_warm(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
         let last = self.states.get(&entry.target.incarnation).and_then(|state| state.warmed);
-        self.owns(entry) && last.is_none_or(|at| now.since(at) >= warmup::pause(warmup.rate))
+        self.owns(entry)
+            && last.is_none_or(|at| now.since(at) >= warmup::opening_interval(warmup.rate))
     }
 
     /// Whether this instance's seat owns a target of its failure domain.
--- a/marked/src/forwarder/dealt.rs
+++ b/marked/src/forwarder/dealt.rs
@@ -3,7 +3,7 @@
 use super::Forwarder;
 use crate::{Entry, Incarnation};
 use medlarspur_lib::ids::ServiceName;
-use medlarspur_load::{reserve::Mix, subset, warmup::Seat};
+use medlarspur_load::{reserve::RequestShare, subset, warmup::Seat};
 use std::sync::Arc;
 
 /// The targets of a service in this failure domain, as they were dealt last.
@@ -21,8 +21,8 @@
     }
 
     /// Whether feeds leave one of them to requests, which are the first by their numbers.
-    pub(super) fn is_kept(&self, target: Incarnation, mix: Mix) -> bool {
-        let kept = mix.kept(self.all.len());
+    pub(super) fn is_kept(&self, target: Incarnation, mix: RequestShare) -> bool {
+        let kept = mix.reserved_targets(self.all.len());
         self.all[..kept].last().is_some_and(|last| target <= *last)
     }
 }
@@ -47,7 +47,7 @@
         let targets = self.catalog.targets(service).filter(is_dealt);
         let mut all: Vec<u64> = targets.map(|it| it.target.incarnation.0).collect();
         all.sort_unstable();
-        let own = subset::deal(seat, &all).into_iter().map(Incarnation).collect();
+        let own = subset::assigned_targets(seat, &all).into_iter().map(Incarnation).collect();
         Dealt { own, all: all.into_iter().map(Incarnation).collect() }
     }
 
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -56,7 +56,7 @@
         state.health.see_taken(now);
         state.refused = 0;
         state.unsure = false;
-        if state.vacancy.take(class) {
+        if state.vacancy.record_accepted(class) {
             self.free(target, out);
         }
     }
@@ -64,7 +64,7 @@
     /// A flow has ended there.
     pub(super) fn see_end(&mut self, target: Incarnation, class: Class) {
         if let Some(state) = self.states.get_mut(&target) {
-            state.vacancy.leave(class);
+            state.vacancy.record_flow_end(class);
         }
     }
 
@@ -73,7 +73,7 @@
         self.see_life(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
         state.check = None;
-        state.vacancy.answer();
+        state.vacancy.record_probe_answer();
         if state.vacancy.is_full() && !state.declined {
             // Nothing but silence spoke of it: it was cut off or late, and is there again.
             state.vacancy = Vacancy::default();
@@ -158,7 +158,7 @@
     /// Has new flows leave a target.
     fn fill(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        let is_new = state.vacancy.refuse(now);
+        let is_new = state.vacancy.record_unanswered(now);
         let health = state.health;
         if is_new && !self.full.contains(&target) {
             self.full.push(target);
@@ -223,13 +223,14 @@
         let instances = self.instances();
         let states = &self.states;
         self.full.retain(|it| states.contains_key(it));
-        let is_due = |it: &&Incarnation| states[*it].vacancy.retry().is_some_and(|at| at <= now);
+        let is_due =
+            |it: &&Incarnation| states[*it].vacancy.next_probe().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.full.iter().filter(is_due).copied().collect();
         for target in due {
             if self.may_have_room(target) {
                 self.ask(target, now, out);
             } else if let Some(state) = self.states.get_mut(&target) {
-                state.vacancy.ask(now, instances);
+                state.vacancy.record_probe(now, instances);
             }
         }
     }
--- a/marked/src/forwarder/heard.rs
+++ b/marked/src/forwarder/heard.rs
@@ -1,7 +1,7 @@
 //! What an instance learns from the answers that it hears.
 
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
-use medlarspur_load::{estimate::Estimate, reserve::Mix};
+use medlarspur_load::{estimate::Estimate, reserve::RequestShare};
 
 /// How many handshakes in a row whose opening was sent again say nothing of how long
 /// handshakes take. A few targets that are full at once make fewer.
@@ -21,7 +21,7 @@
 #[derive(Debug, Default)]
 struct Service {
     answers: Estimate,
-    mix: Mix,
+    mix: RequestShare,
 }
 
 impl Heard {
@@ -33,15 +33,15 @@
         self.answered = self.answered.max(since);
         self.ambiguous = if is_resent { self.ambiguous + 1 } else { 0 };
         if !is_resent || self.ambiguous > MOST_AMBIGUOUS {
-            self.handshakes.hear(now.since(since));
+            self.handshakes.record(now.since(since));
         }
     }
 
     /// Takes in that a service's answer to a class took that long.
     pub(super) fn answer(&mut self, service: &ServiceName, class: Class, span: Millis) {
         let service = self.services.entry(service.clone()).or_default();
-        service.answers.hear(span);
-        service.mix.hear(class, span);
+        service.answers.record(span);
+        service.mix.record(class, span);
     }
 
     /// Whether an opening was answered that came after that.
@@ -51,16 +51,16 @@
 
     /// The longest handshake that is usual, once it is known.
     pub(super) fn longest_handshake(&self) -> Option<Millis> {
-        self.handshakes.bound()
+        self.handshakes.upper_bound()
     }
 
     /// The longest time that answers of a service usually take, once it is known.
     pub(super) fn longest_answer(&self, service: &ServiceName) -> Option<Millis> {
-        self.services.get(service)?.answers.bound()
+        self.services.get(service)?.answers.upper_bound()
     }
 
     /// Which part of the work of a service is that of requests.
-    pub(super) fn mix(&self, service: &ServiceName) -> Mix {
+    pub(super) fn mix(&self, service: &ServiceName) -> RequestShare {
         self.services.get(service).map(|service| service.mix).unwrap_or_default()
     }
 
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -342,7 +342,7 @@
         let states = &self.states;
         let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.retry());
         let full = self.full.iter().filter_map(|it| states.get(it));
-        let full = full.flat_map(|state| state.check.into_iter().chain(state.vacancy.retry()));
+        let full = full.flat_map(|state| state.check.into_iter().chain(state.vacancy.next_probe()));
         let others = retries.chain(full).chain(self.patience()).chain(self.catalog.deadline());
         opening.into_iter().chain(others).min()
     }
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -16,7 +16,7 @@
 };
 use medlarspur_load::{
     choice::{self, Candidate, Tier},
-    reserve::Mix,
+    reserve::RequestShare,
 };
 
 /// How long an opening packet may go without the end of the handshake, at least, before
@@ -168,11 +168,12 @@
         let mut options = Options::default();
         for entry in dealt.own.iter().filter_map(|it| self.catalog.entry(*it)) {
             let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-            candidate.kept = class != Class::Upload && dealt.is_kept(entry.target.incarnation, mix);
+            candidate.reserved =
+                class != Class::Upload && dealt.is_kept(entry.target.incarnation, mix);
             options.targets.push(entry.target.incarnation);
             options.candidates.push(candidate);
         }
-        options.candidates.iter().any(|it| it.is_first(class)).then_some(options)
+        options.candidates.iter().any(|it| it.is_cheapest_possible(class)).then_some(options)
     }
 
     /// All targets that could take a flow.
@@ -194,7 +195,8 @@
                 None => {
                     let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
                     let is_own = |dealt: &Dealt| dealt.owns(entry.target.incarnation);
-                    candidate.shared = candidate.near && dealt.is_some_and(|it| !is_own(it));
+                    candidate.outside_subset =
+                        candidate.same_domain && dealt.is_some_and(|it| !is_own(it));
                     entries.push(entry);
                     options.candidates.push(candidate);
                 }
@@ -231,7 +233,7 @@
                     target,
                     class,
                     tier: chosen.tier,
-                    work: chosen.working + chosen.opening,
+                    work: chosen.in_flight + chosen.opening,
                     candidates: count,
                 };
                 return Some((target, note));
@@ -263,12 +265,12 @@
         if entry.target.leaving || state.health.is_lost() {
             return None;
         }
-        if !state.vacancy.admits(class, state.opening) {
+        if !state.vacancy.can_open(class, state.opening) {
             return None;
         }
-        let near = entry.target.domain == self.tuning.domain;
+        let same_domain = entry.target.domain == self.tuning.domain;
         let is_doubted = state.doubted.is_some_and(|at| now.since(at) < DOUBT_TIME);
-        let is_doubted = is_doubted || self.stranded && !near;
+        let is_doubted = is_doubted || self.stranded && !same_domain;
         let tier = match entry.presence {
             Presence::Removed(since)
                 if state.health.life() <= since || now.since(since) > LAPSE_LIMIT =>
@@ -283,13 +285,13 @@
         Some(Candidate {
             tier,
             slots: entry.target.slots,
-            working: state.working,
+            in_flight: state.working,
             opening: state.opening,
-            feeds: state.feeds,
+            idle_feeds: state.feeds,
             cold: now < entry.cold,
-            near,
-            kept: false,
-            shared: false,
+            same_domain,
+            reserved: false,
+            outside_subset: false,
         })
     }
 
@@ -350,20 +352,20 @@
 
 /// Marks the targets that feeds should leave to requests: in each failure domain the first ones
 /// by their numbers, which all instances rank alike.
-fn keep_for_requests(mix: Mix, entries: &[&Entry], candidates: &mut [Candidate]) {
+fn keep_for_requests(mix: RequestShare, entries: &[&Entry], candidates: &mut [Candidate]) {
     let mut domains: Map<&DomainName, Vec<(Incarnation, usize)>> = Map::default();
     for (at, entry) in entries.iter().enumerate() {
         let domain = domains.entry(&entry.target.domain).or_default();
         domain.push((entry.target.incarnation, at));
     }
     for domain in domains.values_mut() {
-        let kept = mix.kept(domain.len());
+        let kept = mix.reserved_targets(domain.len());
         // Every opening of a feed comes here, and only which ones are first is needed.
         if kept < domain.len() {
             domain.select_nth_unstable(kept);
         }
         for (_, at) in &domain[..kept] {
-            candidates[*at].kept = true;
+            candidates[*at].reserved = true;
         }
     }
 }
--- a/marked/src/forwarder/reach.rs
+++ b/marked/src/forwarder/reach.rs
@@ -207,7 +207,7 @@
         let instances = self.instances();
         if let Some(state) = self.states.get_mut(&incarnation) {
             state.health.ask_again(now);
-            state.vacancy.ask(now, instances);
+            state.vacancy.record_probe(now, instances);
         }
     }
 
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -12,14 +12,14 @@
     time::Millis,
 };
 use medlarspur_load::{
-    backlog::{Backlog, Waiting, patience},
-    limit::{Limit, Work},
+    backlog::{Backlog, Waiting, max_wait},
+    limit::{ConcurrencyLimit, InFlight},
 };
 
 /// What is under way at a service, and what waits for it.
 #[derive(Debug, Default)]
 pub(super) struct Room {
-    limit: Limit,
+    limit: ConcurrencyLimit,
     backlog: Backlog<FlowKey>,
 }
 
@@ -41,7 +41,7 @@
 /// Work under way at a service as far as this instance sees it.
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    work: Work,
+    work: InFlight,
     /// This instance's part of the slots of all targets.
     part: f32,
 }
@@ -90,7 +90,7 @@
         let is_open = self
             .rooms
             .get(&it.service)
-            .is_none_or(|room| room.backlog.is_empty() && room.limit.is_open(now));
+            .is_none_or(|room| room.backlog.is_empty() && room.limit.is_unlimited(now));
         if is_open {
             return Some(it);
         }
@@ -99,8 +99,8 @@
         if room.backlog.admits(it.class) && room.limit.admits(it.class, work, now) {
             return Some(it);
         }
-        let until = now + patience(goal);
-        let waiting = Waiting { key: it.key, class: it.class, asked: now, until };
+        let deadline = now + max_wait(goal);
+        let waiting = Waiting { key: it.key, class: it.class, since: now, deadline };
         let count = room.backlog.len();
         if room.backlog.push(waiting).is_some() {
             self.refuse(&it.key, Refusal::Busy, out);
@@ -137,7 +137,7 @@
     ) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let service = entry.target.service.clone();
-        if !self.rooms.entry(service.clone()).or_default().limit.hear(span, goal, now) {
+        if !self.rooms.entry(service.clone()).or_default().limit.record_answer(span, goal, now) {
             return;
         }
         let Load { work, part } = self.load(&service);
@@ -163,13 +163,13 @@
         loop {
             let Load { work, .. } = self.load(service);
             let Some(room) = self.rooms.get_mut(service) else { return };
-            let Some(next) = room.backlog.next() else { return };
+            let Some(next) = room.backlog.peek() else { return };
             if !room.limit.admits(next.class, work, now) {
                 return;
             }
             room.backlog.remove(next.key);
             if let Some(it) = self.held.remove(&next.key) {
-                self.place_late(it, next.asked, now, out);
+                self.place_late(it, next.since, now, out);
             }
         }
     }
@@ -209,7 +209,7 @@
     }
 
     fn load(&self, service: &ServiceName) -> Load {
-        let (mut work, mut slots) = (Work::default(), 0);
+        let (mut work, mut slots) = (InFlight::default(), 0);
         for entry in self.catalog.targets(service) {
             let Some(state) = self.states.get(&entry.target.incarnation) else { continue };
             // What goes on in an evacuated domain takes no room from those that are used.
--- a/marked/tests/test_seats.rs
+++ b/marked/tests/test_seats.rs
@@ -5,7 +5,7 @@
     net::{Net, address},
 };
 use medlarspur_lib::{ids::ServiceName, time::Millis};
-use medlarspur_load::warmup::OWNERS;
+use medlarspur_load::warmup::MAX_OWNERS;
 use medlarspur_marked::{Content, Service, Warmup};
 use proptest::prelude::*;
 use std::{collections::BTreeMap, net::SocketAddrV4};
@@ -68,7 +68,7 @@
     owners.watch(&mut net, 12_000);
 
     assert_eq!(owners.now, 4 * TARGETS as usize);
-    assert!(owners.most <= OWNERS as usize, "{} owners of one target", owners.most);
+    assert!(owners.most <= MAX_OWNERS as usize, "{} owners of one target", owners.most);
 }
 
 /// News keeps coming, as while a whole service is replaced, which is when targets are slow.
@@ -155,6 +155,6 @@
             owners.watch(&mut net, pause * 100);
         }
 
-        prop_assert!(owners.most <= OWNERS as usize, "{} owners of one target", owners.most);
+        prop_assert!(owners.most <= MAX_OWNERS as usize, "{} owners of one target", owners.most);
     }
 }
