--- a/load/examples/choice.rs
+++ b/load/examples/choice.rs
@@ -2,7 +2,7 @@
 //!
 //! Several instances place flows on the same targets, and each knows only what
 //! passes through itself. Feeds stay where they are placed and ask about once a
-//! second; requests open a flow each. Prints how long callers wait, by way and
+//! second; requests open a flow each. Prints how long callers wait, by strategy and
 //! load. `docs/measures/marks.md` has a run.
 
 use medlarspur_lib::bundle::Class;
@@ -21,17 +21,17 @@
 /// The mean work of a request, in milliseconds.
 const WORK: f64 = 60.0;
 /// How long is played, in milliseconds.
-const LENGTH: u64 = 120_000;
+const DURATION: u64 = 120_000;
 /// What is late: the aim of the busier site.
-const AIM: u64 = 250;
+const OBJECTIVE: u64 = 250;
 
-/// A way to choose.
+/// A strategy to choose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Strategy {
     /// Any target.
     Random,
     /// One after the other, each instance for itself.
-    Turns,
+    RoundRobin,
     /// The one of two drawn that has less work of this instance.
     TwoChoices,
     /// The one with the least work of this instance, as the product chooses.
@@ -40,7 +40,13 @@
     LeastOfAll,
 }
 
-const WAYS: [Way; 5] = [Way::Random, Way::Turns, Way::TwoChoices, Way::LeastOwn, Way::LeastOfAll];
+const STRATEGIES: [Strategy; 5] = [
+    Strategy::Random,
+    Strategy::RoundRobin,
+    Strategy::TwoChoices,
+    Strategy::LeastOwn,
+    Strategy::LeastOfAll,
+];
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
@@ -52,13 +58,13 @@
     Done(usize, usize, bool),
 }
 
-struct World {
+struct Simulation {
     random: Random,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
-    /// Requests under way, by instance and target.
+    /// Requests in flight, by instance and target.
     in_flight: Vec<[u32; TARGETS]>,
-    /// Open feeds without a request under way, by instance and target.
+    /// Open feeds without a request in flight, by instance and target.
     idle: Vec<[u32; TARGETS]>,
     /// Requests at a target, those that wait included, with when each came.
     queues: Vec<Vec<(u64, usize, bool, u64)>>,
@@ -73,14 +79,14 @@
         "way", "load", "p50", "p99", "late %", "imbalance"
     );
     for load in [0.4, 0.57, 0.75] {
-        for way in WAYS {
-            play(way, load);
+        for strategy in STRATEGIES {
+            play(strategy, load);
         }
     }
 }
 
-fn play(way: Way, load: f64) {
-    let mut world = World {
+fn play(strategy: Strategy, load: f64) {
+    let mut simulation = Simulation {
         random: Random::new(9),
         events: BinaryHeap::new(),
         count: 0,
@@ -97,42 +103,42 @@
     let mut feeds = Vec::new();
     for feed in 0..FEEDS {
         let instance = feed % INSTANCES;
-        let target = world.choose(way, instance, Class::Feed);
-        world.idle[instance][target] += 1;
+        let target = simulation.choose(strategy, instance, Class::Feed);
+        simulation.idle[instance][target] += 1;
         feeds.push((instance, target));
-        let at = world.wait(pause);
-        world.push(at, Event::Feed(feed));
+        let at = simulation.exponential(pause);
+        simulation.push(at, Event::Feed(feed));
     }
     for instance in 0..INSTANCES {
-        let at = world.wait(INSTANCES as f64 / (rate * 2.0 / 9.0));
-        world.push(at, Event::Request(instance));
+        let at = simulation.exponential(INSTANCES as f64 / (rate * 2.0 / 9.0));
+        simulation.push(at, Event::Request(instance));
     }
-    while let Some(Reverse((now, _, event))) = world.events.pop() {
-        if now > LENGTH {
+    while let Some(Reverse((now, _, event))) = simulation.events.pop() {
+        if now > DURATION {
             break;
         }
         match event {
             Event::Feed(feed) => {
                 let (instance, target) = feeds[feed];
-                world.begin(now, instance, target, true);
-                let at = now + world.wait(pause);
-                world.push(at, Event::Feed(feed));
+                simulation.begin(now, instance, target, true);
+                let at = now + simulation.exponential(pause);
+                simulation.push(at, Event::Feed(feed));
             }
             Event::Request(instance) => {
-                let target = world.choose(way, instance, Class::Request);
-                world.begin(now, instance, target, false);
-                let at = now + world.wait(INSTANCES as f64 / (rate * 2.0 / 9.0));
-                world.push(at, Event::Request(instance));
+                let target = simulation.choose(strategy, instance, Class::Request);
+                simulation.begin(now, instance, target, false);
+                let at = now + simulation.exponential(INSTANCES as f64 / (rate * 2.0 / 9.0));
+                simulation.push(at, Event::Request(instance));
             }
-            Event::Done(target, instance, feed) => world.end(now, target, instance, feed),
+            Event::Done(target, instance, feed) => simulation.finish(now, target, instance, feed),
         }
     }
-    world.report(way, load);
+    simulation.report(strategy, load);
 }
 
-impl World {
+impl Simulation {
     /// A span drawn with this mean, exponentially.
-    fn wait(&mut self, mean: f64) -> u64 {
+    fn exponential(&mut self, mean: f64) -> u64 {
         (-mean * (1.0 - self.random.fraction()).ln()) as u64
     }
 
@@ -141,25 +147,25 @@
         self.events.push(Reverse((at, self.count, event)));
     }
 
-    fn choose(&mut self, way: Way, instance: usize, class: Class) -> usize {
+    fn choose(&mut self, strategy: Strategy, instance: usize, class: Class) -> usize {
         let draw = self.random.draw();
-        match way {
-            Way::Random => (draw % TARGETS as u64) as usize,
-            Way::Turns => {
+        match strategy {
+            Strategy::Random => (draw % TARGETS as u64) as usize,
+            Strategy::RoundRobin => {
                 self.turns[instance] = (self.turns[instance] + 1) % TARGETS;
                 self.turns[instance]
             }
-            Way::TwoChoices => {
+            Strategy::TwoChoices => {
                 let (a, b) = (draw as usize % TARGETS, (draw >> 32) as usize % TARGETS);
                 let load = |it: usize| (self.in_flight[instance][it], self.idle[instance][it]);
                 if load(a) <= load(b) { a } else { b }
             }
-            Way::LeastOwn => {
+            Strategy::LeastOwn => {
                 let candidates: Vec<_> =
                     (0..TARGETS).map(|it| self.candidate(&[instance], it)).collect();
                 choose(&candidates, class, draw).unwrap_or_default()
             }
-            Way::LeastOfAll => {
+            Strategy::LeastOfAll => {
                 let all: Vec<usize> = (0..INSTANCES).collect();
                 let candidates: Vec<_> = (0..TARGETS).map(|it| self.candidate(&all, it)).collect();
                 choose(&candidates, class, draw).unwrap_or_default()
@@ -186,20 +192,20 @@
         if feed {
             self.idle[instance][target] = self.idle[instance][target].saturating_sub(1);
         }
-        let work = 10 + self.wait(WORK - 10.0);
+        let work = 10 + self.exponential(WORK - 10.0);
         self.queues[target].push((now, instance, feed, work));
         if self.queues[target].len() <= SLOTS {
             self.push(now + work, Event::Done(target, instance, feed));
         }
     }
 
-    fn end(&mut self, now: u64, target: usize, instance: usize, feed: bool) {
+    fn finish(&mut self, now: u64, target: usize, instance: usize, feed: bool) {
         self.in_flight[instance][target] -= 1;
         if feed {
             self.idle[instance][target] += 1;
         }
-        let is_it = |it: &(u64, usize, bool, u64)| it.1 == instance && it.2 == feed;
-        let Some(at) = self.queues[target].iter().take(SLOTS).position(is_it) else { return };
+        let is_finished = |it: &(u64, usize, bool, u64)| it.1 == instance && it.2 == feed;
+        let Some(at) = self.queues[target].iter().take(SLOTS).position(is_finished) else { return };
         let (since, ..) = self.queues[target].remove(at);
         self.spans.push(now - since);
         self.served[target] += 1;
@@ -208,16 +214,16 @@
         }
     }
 
-    fn report(&mut self, way: Way, load: f64) {
+    fn report(&mut self, strategy: Strategy, load: f64) {
         self.spans.sort_unstable();
         let part = |part: f64| self.spans[(self.spans.len() as f64 * part) as usize];
-        let late = self.spans.iter().filter(|span| **span > AIM).count();
+        let late = self.spans.iter().filter(|span| **span > OBJECTIVE).count();
         let late = late as f64 * 100.0 / self.spans.len() as f64;
         let mean = self.served.iter().sum::<u32>() as f64 / TARGETS as f64;
         let most = self.served.iter().copied().max().unwrap_or_default();
         let imbalance = f64::from(most) / mean;
         let (p50, p99) = (part(0.5), part(0.99));
-        let way = format!("{way:?}");
-        println!("{way:12} {load:5.2} {p50:6} {p99:6} {late:8.2} {imbalance:10.2}");
+        let strategy = format!("{strategy:?}");
+        println!("{strategy:12} {load:5.2} {p50:6} {p99:6} {late:8.2} {imbalance:10.2}");
     }
 }
--- a/load/examples/measure/main.rs
+++ b/load/examples/measure/main.rs
@@ -17,8 +17,8 @@
 
 fn main() {
     let mut args = std::env::args().skip(1);
-    let scene_like = args.next().unwrap_or_default();
-    let policy_like = args.next().unwrap_or_default();
+    let scene_filter = args.next().unwrap_or_default();
+    let policy_filter = args.next().unwrap_or_default();
     let seed = args.next().and_then(|seed| seed.parse().ok()).unwrap_or(42);
     println!(
         "| scene | service | fabric | policy | goodput % | requests % | uploads % | feeds % | \
@@ -26,25 +26,26 @@
          max/mean | CV | normal s |"
     );
     println!("|{}", "---|".repeat(18));
-    scenes_table(&scene_like, &policy_like, seed);
-    if scene_like.is_empty() {
+    print_rows(&scene_filter, &policy_filter, seed);
+    if scene_filter.is_empty() {
         cost::print();
     }
 }
 
-fn scenes_table(scene_like: &str, policy_like: &str, seed: u64) {
-    for scene in scenes::all().into_iter().filter(|s| s.name.contains(scene_like)) {
+fn print_rows(scene_filter: &str, policy_filter: &str, seed: u64) {
+    for scene in scenes::all().into_iter().filter(|s| s.name.contains(scene_filter)) {
         let scene = &Scene { seed, ..scene };
-        for policy in Policy::ALL.into_iter().filter(|p| p.name().contains(policy_like)) {
-            row(scene, policy, &Model::play(scene, policy));
+        for policy in Policy::ALL.into_iter().filter(|p| p.name().contains(policy_filter)) {
+            print_row(scene, policy, &Model::play(scene, policy));
         }
     }
 }
 
-fn row(scene: &Scene, policy: Policy, outcome: &Outcome) {
-    let part = |class| percent(outcome.through(scene, class, |_| true));
-    let hogs = scenes::HOGS;
-    let others = outcome.through(scene, Class::Request, |w| u32::from(w.caller) >> 24 != hogs);
+fn print_row(scene: &Scene, policy: Policy, outcome: &Outcome) {
+    let part = |class| percent(outcome.fraction_done(scene, class, |_| true));
+    let heavy = scenes::HEAVY_CALLER_NETWORK;
+    let others =
+        outcome.fraction_done(scene, Class::Request, |w| u32::from(w.caller) >> 24 != heavy);
     let class = scene.loads[0].class;
     let (most, spread) = outcome.imbalance(scene);
     println!(
@@ -61,14 +62,14 @@
         if scene.name.contains("callers") { percent(others) } else { "–".into() },
         outcome.wait(scene, class, 0.5),
         outcome.wait(scene, class, 0.99),
-        outcome.refused(0.99),
+        outcome.refusal_time(0.99),
         outcome.false_refusals,
         outcome.crossed,
         outcome.double_runs,
         outcome.overrun,
         most,
         spread,
-        outcome.normal(scene).map_or("never".into(), |s| s.to_string()),
+        outcome.recovery_seconds(scene).map_or("never".into(), |s| s.to_string()),
     );
 }
 
--- a/load/examples/overload.rs
+++ b/load/examples/overload.rs
@@ -4,7 +4,7 @@
 #[path = "../tests/overload.rs"]
 mod overload;
 
-use overload::{Got, Scene, play};
+use overload::{Scene, Tally, play};
 
 /// Over how many seeds the figures are means.
 const SEEDS: u64 = 10;
@@ -15,14 +15,15 @@
         "scene", "limit", "in time", "late", "refused", "%"
     );
     for (name, scene, span) in SCENES {
-        for limited in [false, true] {
-            let got = (1..=SEEDS).map(|seed| play(scene(seed), limited));
-            let got = got.map(|world| world.got(span.0, span.1));
-            let got = got.fold(Got::default(), |sum, it| sum + it);
-            let limit = if limited { "yes" } else { "no" };
+        for is_limited in [false, true] {
+            let tally = (1..=SEEDS).map(|seed| play(scene(seed), is_limited));
+            let tally = tally.map(|simulation| simulation.tally(span.0, span.1));
+            let tally = tally.fold(Tally::default(), |sum, it| sum + it);
+            let limit = if is_limited { "yes" } else { "no" };
             let mean = |count: u32| u64::from(count) / SEEDS;
-            let (in_time, late, refused) = (mean(got.in_time), mean(got.late), mean(got.refused));
-            let part = got.part() * 100.0;
+            let (in_time, late, refused) =
+                (mean(tally.in_time), mean(tally.late), mean(tally.refused));
+            let part = tally.fraction_in_time() * 100.0;
             println!("{name:25} {limit:5} {in_time:7} {late:5} {refused:7} {part:5.1}");
         }
     }
--- a/load/src/admission.rs
+++ b/load/src/admission.rs
@@ -27,10 +27,10 @@
 
 /// Openings in a window that any caller may make, however few others do: the
 /// parallel connections of a browser.
-const FREE: f64 = 8.0;
+const FREE_OPENINGS: f64 = 8.0;
 /// The part of a target's connections from which only first-class callers get
 /// one.
-const SCARCE: f64 = 0.5;
+const SPARE_FRACTION: f64 = 0.5;
 
 /// The window over which a caller's part is judged: a few times what an
 /// opening of the class takes, so that one long upload does not make a caller
@@ -43,48 +43,48 @@
 }
 
 /// The slots of a target that a class may fill, of its `slots`.
-pub fn slots(settings: &Settings, requests: bool, class: Class, slots: u16) -> f64 {
+pub fn allowed_slots(settings: &Settings, has_requests: bool, class: Class, slots: u16) -> f64 {
     let all = f64::from(slots);
     match class {
-        Class::Upload if requests && slots >= 2 => {
-            let kept = (all * f64::from(settings.reserve) / 100.0).ceil().max(1.0);
-            (all - kept).max(0.5)
+        Class::Upload if has_requests && slots >= 2 => {
+            let reserved = (all * f64::from(settings.reserve) / 100.0).ceil().max(1.0);
+            (all - reserved).max(0.5)
         }
-        Class::Upload if requests => all * (1.0 - f64::from(settings.reserve) / 100.0),
+        Class::Upload if has_requests => all * (1.0 - f64::from(settings.reserve) / 100.0),
         Class::Upload | Class::Request => all,
         Class::Feed => f64::INFINITY,
     }
 }
 
 /// Whether a class may take one more connection, with a part of them taken.
-pub fn connection(
+pub fn can_take_connection(
     settings: &Settings,
-    requests: bool,
+    has_requests: bool,
     class: Class,
-    taken: f64,
-    leftover: bool,
+    utilization: f64,
+    spare_only: bool,
 ) -> bool {
-    let kept = if requests && class != Class::Request { settings.reserve } else { 0 };
-    let room = 1.0 - f64::from(kept) / 100.0;
-    taken < if leftover { room * SCARCE } else { room }
+    let reserved = if has_requests && class != Class::Request { settings.reserve } else { 0 };
+    let limit = 1.0 - f64::from(reserved) / 100.0;
+    utilization < if spare_only { limit * SPARE_FRACTION } else { limit }
 }
 
 /// What callers took lately of one class.
 #[derive(Debug, Clone)]
-pub struct Takers {
+pub struct CallerUsage {
     class: Class,
     sketch: Sketch,
 }
 
-impl Takers {
+impl CallerUsage {
     /// Counts from nothing; `seed` keeps callers from choosing their cells.
-    pub fn new(seed: u64, class: Class) -> Takers {
-        Takers { class, sketch: Sketch::new(seed, window(class)) }
+    pub fn new(seed: u64, class: Class) -> CallerUsage {
+        CallerUsage { class, sketch: Sketch::new(seed, window(class)) }
     }
 
     /// Whether the caller or its network is above its part of `total`, the
     /// service's admitted openings in the window.
-    pub fn heavy(
+    pub fn is_heavy(
         &mut self,
         now: Millis,
         settings: &Settings,
@@ -92,14 +92,15 @@
         caller: Ipv4Addr,
         total: f64,
     ) -> bool {
-        let part = |percent: u8| (total * f64::from(percent) / 100.0).max(FREE);
-        self.sketch.count(now, caller_key(service.0, self.class, caller)) >= part(settings.caller)
+        let allowance = |percent: u8| (total * f64::from(percent) / 100.0).max(FREE_OPENINGS);
+        self.sketch.count(now, caller_key(service.0, self.class, caller))
+            >= allowance(settings.caller)
             || self.sketch.count(now, network_key(service.0, caller))
-                >= part(settings.network).max(FREE * 2.0)
+                >= allowance(settings.network).max(FREE_OPENINGS * 2.0)
     }
 
     /// Counts an admitted opening.
-    pub fn admit(&mut self, now: Millis, service: ServiceIx, caller: Ipv4Addr) {
+    pub fn record_admission(&mut self, now: Millis, service: ServiceIx, caller: Ipv4Addr) {
         self.sketch.add(now, caller_key(service.0, self.class, caller));
         self.sketch.add(now, network_key(service.0, caller));
         self.sketch.add(now, u64::MAX - u64::from(service.0));
--- a/load/src/backlog.rs
+++ b/load/src/backlog.rs
@@ -16,20 +16,20 @@
 /// How many openings wait at most. Beyond that an instance with 260 MB would pay
 /// with memory for callers whom it can't serve; at today's sites an instance gets
 /// fewer within a objective.
-const LENGTH: usize = 1_024;
+const MAX_LEN: usize = 1_024;
 
 /// How many times the objective of its request an opening waits at most. A crowd or a lost
 /// part of the targets is made up for within about a second, so most of those who
 /// wait that long are served, late; told after one objective, they would come back at once as the
 /// newest.
-const PATIENCE: u64 = 4;
+const MAX_OBJECTIVES: u64 = 4;
 /// How long an opening waits at most, whatever its objective: callers give an opening up
 /// after 1.4 s, and should hear before that they were not served.
-const LONGEST: Millis = Millis(1_200);
+const MAX_WAIT: Millis = Millis(1_200);
 
 /// How long an opening waits whose request should be answered within `objective`.
 pub fn max_wait(objective: Millis) -> Millis {
-    Millis(objective.0.saturating_mul(PATIENCE)).min(LONGEST)
+    Millis(objective.0.saturating_mul(MAX_OBJECTIVES)).min(MAX_WAIT)
 }
 
 /// An opening that waits.
@@ -69,23 +69,23 @@
     }
 
     /// Has an opening wait; gives it back if there is no place.
-    pub fn push(&mut self, it: Waiting<K>) -> Option<Waiting<K>> {
-        if self.waiting.len() >= LENGTH {
-            return Some(it);
+    pub fn push(&mut self, opening: Waiting<K>) -> Option<Waiting<K>> {
+        if self.waiting.len() >= MAX_LEN {
+            return Some(opening);
         }
-        self.waiting.push(it);
+        self.waiting.push(opening);
         None
     }
 
     /// Whether one of a class need not wait behind those who do.
-    pub fn admits(&self, class: Class) -> bool {
+    pub fn can_bypass(&self, class: Class) -> bool {
         self.waiting.is_empty()
-            || is_first(class) && !self.waiting.iter().any(|it| is_first(it.class))
+            || has_priority(class) && !self.waiting.iter().any(|it| has_priority(it.class))
     }
 
     /// The one that goes next.
     pub fn peek(&self) -> Option<Waiting<K>> {
-        self.waiting.iter().max_by_key(|it| (is_first(it.class), it.since)).copied()
+        self.waiting.iter().max_by_key(|it| (has_priority(it.class), it.since)).copied()
     }
 
     /// Takes one out.
@@ -94,17 +94,17 @@
     }
 
     /// Takes one whose time is over.
-    pub fn expire(&mut self, now: Millis) -> Option<Waiting<K>> {
+    pub fn pop_expired(&mut self, now: Millis) -> Option<Waiting<K>> {
         let position = self.waiting.iter().position(|it| it.deadline <= now)?;
         Some(self.waiting.swap_remove(position))
     }
 
     /// When the next one's time is over.
-    pub fn deadline(&self) -> Option<Millis> {
+    pub fn next_deadline(&self) -> Option<Millis> {
         self.waiting.iter().map(|it| it.deadline).min()
     }
 }
 
-fn is_first(class: Class) -> bool {
+fn has_priority(class: Class) -> bool {
     class == Class::Request
 }
--- a/load/src/callers.rs
+++ b/load/src/callers.rs
@@ -7,7 +7,7 @@
 //! (its /24), behind which a customer's devices sit, stands for it.
 //!
 //! The counts are a count-min sketch of two windows. It never counts too low;
-//! with [`CELLS`] cells and two rows it counts a caller too high, on average,
+//! with [`ROW_CELLS`] cells and two rows it counts a caller too high, on average,
 //! by less than a ten-thousandth of all openings, so only who is near the limit can suffer.
 
 use crate::random::mix;
@@ -16,60 +16,62 @@
 
 /// Cells of one row; a power of two. 2 rows × 2 windows × 16,384 × 4 bytes
 /// are 256 KB a class, however many callers come.
-const CELLS: usize = 16_384;
+const ROW_CELLS: usize = 16_384;
 const ROWS: usize = 2;
 
 /// Recent openings by key, over a sliding window.
 #[derive(Debug, Clone)]
 pub struct Sketch {
     seed: u64,
-    span: Millis,
-    start: Millis,
-    now: Box<[u32]>,
-    past: Box<[u32]>,
+    window: Millis,
+    window_start: Millis,
+    current: Box<[u32]>,
+    previous: Box<[u32]>,
 }
 
 impl Sketch {
     /// Counts over windows of `span`.
-    pub fn new(seed: u64, span: Millis) -> Sketch {
-        let cells = || vec![0; CELLS * ROWS].into_boxed_slice();
-        Sketch { seed, span, start: Millis(0), now: cells(), past: cells() }
+    pub fn new(seed: u64, window: Millis) -> Sketch {
+        let cells = || vec![0; ROW_CELLS * ROWS].into_boxed_slice();
+        Sketch { seed, window, window_start: Millis(0), current: cells(), previous: cells() }
     }
 
     /// Counts one opening of `key`.
     pub fn add(&mut self, now: Millis, key: u64) {
-        self.slide(now);
+        self.rotate_windows(now);
         for cell in self.cells(key) {
-            self.now[cell] = self.now[cell].saturating_add(1);
+            self.current[cell] = self.current[cell].saturating_add(1);
         }
     }
 
     /// About how often `key` was counted in the last window.
     pub fn count(&mut self, now: Millis, key: u64) -> f64 {
-        self.slide(now);
-        let left = 1.0 - now.since(self.start).0 as f64 / self.span.0 as f64;
+        self.rotate_windows(now);
+        let remaining = 1.0 - now.since(self.window_start).0 as f64 / self.window.0 as f64;
         self.cells(key)
-            .map(|cell| f64::from(self.now[cell]) + f64::from(self.past[cell]) * left.max(0.0))
+            .map(|cell| {
+                f64::from(self.current[cell]) + f64::from(self.previous[cell]) * remaining.max(0.0)
+            })
             .fold(f64::MAX, f64::min)
     }
 
     fn cells(&self, key: u64) -> std::array::IntoIter<usize, ROWS> {
         let hash = mix(key ^ self.seed);
-        let mask = CELLS - 1;
-        [hash as usize & mask, CELLS + ((hash >> 32) as usize & mask)].into_iter()
+        let mask = ROW_CELLS - 1;
+        [hash as usize & mask, ROW_CELLS + ((hash >> 32) as usize & mask)].into_iter()
     }
 
-    fn slide(&mut self, now: Millis) {
-        let age = now.since(self.start);
-        if age < self.span {
+    fn rotate_windows(&mut self, now: Millis) {
+        let age = now.since(self.window_start);
+        if age < self.window {
             return;
         }
-        std::mem::swap(&mut self.now, &mut self.past);
-        self.now.fill(0);
-        if age.0 >= self.span.0 * 2 {
-            self.past.fill(0);
+        std::mem::swap(&mut self.current, &mut self.previous);
+        self.current.fill(0);
+        if age.0 >= self.window.0 * 2 {
+            self.previous.fill(0);
         }
-        self.start = now;
+        self.window_start = now;
     }
 }
 
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -17,27 +17,27 @@
 /// What an open feed without a request under way adds to a target's load, in
 /// requests. A feed asks about once a second for some 50 ms of work; twice that,
 /// because a feed stays where it is when others come.
-const IDLE_FEED: f32 = 0.1;
+const IDLE_FEED_LOAD: f32 = 0.1;
 /// How many times as long a target takes while it is slow after its start.
-const COLD: f32 = 1.6;
+const COLD_FACTOR: f32 = 1.6;
 /// What going to another failure domain costs a feed or request, in requests a
 /// slot: less than one request at a target of three slots, so new flows leave
 /// their domain as soon as each target there has one of this instance. When a
 /// domain is cut off, the flows of others to it are late by the time it takes
 /// to notice.
-const FAR: f32 = 0.35;
+const OTHER_DOMAIN_COST: f32 = 0.35;
 /// What it costs an upload. Its bytes are what is dear, and its work is short:
 /// it leaves its failure domain only for a target that has two requests a slot less.
-const FAR_UPLOAD: f32 = 2.0;
+const OTHER_DOMAIN_COST_UPLOAD: f32 = 2.0;
 
 /// What going to a target that is [kept](crate::reserve) for requests costs a feed, in
 /// requests a slot: a little more than going to another failure domain.
-const KEPT: f32 = 0.5;
+const RESERVED_COST: f32 = 0.5;
 
 /// What going to a target costs that other instances of the failure domain have, in requests a
 /// slot: three idle feeds at a target of two slots, and less than one request, so that nobody
 /// waits for one's own while another is idle.
-const SHARED: f32 = 0.15;
+const OUTSIDE_SUBSET_COST: f32 = 0.15;
 
 /// How willingly a target is taken; earlier ones go before later ones, whatever
 /// their load.
@@ -79,32 +79,34 @@
     /// What the idle feeds there add to the load, in requests. Requests ignore them at targets
     /// that are kept for requests: of many instances each has few feeds, which say little of
     /// the queue, and those targets where it has none would get all its requests.
-    fn idle(&self, class: Class) -> f32 {
+    fn idle_feed_load(&self, class: Class) -> f32 {
         match class {
             Class::Request if self.reserved => 0.0,
-            _ => self.idle_feeds as f32 * IDLE_FEED,
+            _ => self.idle_feeds as f32 * IDLE_FEED_LOAD,
         }
     }
 
     /// The load a slot if one more flow came, in requests.
     fn cost(&self, class: Class) -> f32 {
-        let work = self.in_flight as f32 + self.opening as f32 + self.idle(class);
+        let work = self.in_flight as f32 + self.opening as f32 + self.idle_feed_load(class);
         let load = (work + 1.0) / self.slots.max(1) as f32;
-        let load = if self.cold { load * COLD } else { load };
-        let far = match class {
-            Class::Upload => FAR_UPLOAD,
-            Class::Feed | Class::Request => FAR,
+        let load = if self.cold { load * COLD_FACTOR } else { load };
+        let other_domain = match class {
+            Class::Upload => OTHER_DOMAIN_COST_UPLOAD,
+            Class::Feed | Class::Request => OTHER_DOMAIN_COST,
         };
-        let kept = if self.reserved && class == Class::Feed { KEPT } else { 0.0 };
-        let far = if self.same_domain { 0.0 } else { far };
-        let shared = if self.outside_subset { SHARED } else { 0.0 };
-        load + far + kept + shared
+        let reserved = if self.reserved && class == Class::Feed { RESERVED_COST } else { 0.0 };
+        let other_domain = if self.same_domain { 0.0 } else { other_domain };
+        let outside_subset = if self.outside_subset { OUTSIDE_SUBSET_COST } else { 0.0 };
+        load + other_domain + reserved + outside_subset
     }
 
     /// Whether no target of the same size that others have can cost less.
     pub fn is_cheapest_possible(&self, class: Class) -> bool {
-        let idle = 1.0 / self.slots.max(1) as f32;
-        self.tier == Tier::Good && !self.outside_subset && self.cost(class) <= idle + SHARED
+        let idle_cost = 1.0 / self.slots.max(1) as f32;
+        self.tier == Tier::Good
+            && !self.outside_subset
+            && self.cost(class) <= idle_cost + OUTSIDE_SUBSET_COST
     }
 }
 
--- a/load/src/counts.rs
+++ b/load/src/counts.rs
@@ -1,6 +1,6 @@
 //! How often each outcome came about, and why openings were turned away.
 
-use crate::state::{CLASSES, at};
+use crate::state::{CLASSES, class_index};
 use medlarspur_lib::bundle::Class;
 
 /// How often each outcome came about, for metrics.
@@ -37,7 +37,7 @@
 impl Counts {
     /// Counts an opening that was turned away.
     pub(crate) fn refuse(&mut self, class: Class, reason: Reason) {
-        self.refused[at(class)] += 1;
+        self.refused[class_index(class)] += 1;
         match reason {
             Reason::Leaving => self.leaving += 1,
             Reason::Connections => self.connections += 1,
--- a/load/src/estimate.rs
+++ b/load/src/estimate.rs
@@ -15,7 +15,7 @@
 const DEVIATIONS: f32 = 4.0;
 /// How many times must have been heard before the estimate says anything: with the
 /// weight above the first one has lost two thirds of its own by then.
-const LEAST: u32 = 8;
+const MIN_SAMPLES: u32 = 8;
 
 /// A smoothed mean and deviation of times.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
@@ -43,6 +43,6 @@
     /// The longest time that is still usual; none before enough was heard.
     pub fn upper_bound(&self) -> Option<Millis> {
         let bound = self.mean + self.deviation * DEVIATIONS;
-        (self.count >= LEAST).then_some(Millis(bound as u64))
+        (self.count >= MIN_SAMPLES).then_some(Millis(bound as u64))
     }
 }
--- a/load/src/gate.rs
+++ b/load/src/gate.rs
@@ -1,17 +1,17 @@
 //! The decisions put together for the packet path of one instance.
 
 use crate::{
-    admission::{self, Takers},
+    admission::{self, CallerUsage},
     callers::caller_key,
     counts::{Counts, Reason},
     opening::{Closing, Opening, ServiceSpec, Signal, Verdict},
     placement,
-    queue::{Line, Newcomer},
+    queue::{Queue, Requester},
     random::Random,
     refusal,
-    retry::{Budget, Decision, Memory},
+    retry::{Decision, DecisionCache, RetryBudget},
     settings::Settings,
-    state::{CLASSES, Service, Target, at},
+    state::{CLASSES, Service, Target, class_index},
 };
 use medlarspur_lib::{
     bundle::{Class, TargetState},
@@ -22,7 +22,7 @@
 
 /// Uploads whose opening is remembered to learn how long uploads take. They
 /// outlive the memory of decisions; when this is full, samples are lost.
-const UPLOADS: usize = 8_192;
+const MAX_UPLOADS: usize = 8_192;
 
 /// All decisions under load of one instance. It belongs to one thread.
 #[derive(Debug)]
@@ -30,20 +30,20 @@
     settings: Settings,
     instances: u16,
     services: Vec<Service>,
-    memory: Memory,
-    budget: Budget,
-    takers: [Takers; CLASSES],
-    uploads: Map<FlowId, Millis>,
+    decisions: DecisionCache,
+    retry_budget: RetryBudget,
+    usage: [CallerUsage; CLASSES],
+    upload_starts: Map<FlowId, Millis>,
     random: Random,
-    lines: Vec<Place>,
-    orphans: Vec<FlowId>,
-    ticked: Option<Millis>,
+    active_queues: Vec<QueueId>,
+    orphaned: Vec<FlowId>,
+    last_tick: Option<Millis>,
     counts: Counts,
 }
 
 /// Where a line of waiting openings stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Place {
+struct QueueId {
     service: usize,
     target: usize,
     class: Class,
@@ -55,19 +55,19 @@
     pub fn new(settings: Settings, seed: u64) -> Gate {
         let mut random = Random::new(seed);
         let classes = [Class::Feed, Class::Request, Class::Upload];
-        let takers = classes.map(|class| Takers::new(random.draw(), class));
+        let usage = classes.map(|class| CallerUsage::new(random.draw(), class));
         Gate {
             settings,
             instances: 1,
             services: Vec::new(),
-            memory: Memory::new(),
-            budget: Budget::new(),
-            takers,
-            uploads: Map::default(),
+            decisions: DecisionCache::new(),
+            retry_budget: RetryBudget::new(),
+            usage,
+            upload_starts: Map::default(),
             random,
-            lines: Vec::new(),
-            orphans: Vec::new(),
-            ticked: None,
+            active_queues: Vec::new(),
+            orphaned: Vec::new(),
+            last_tick: None,
             counts: Counts::default(),
         }
     }
@@ -83,23 +83,23 @@
     pub fn set_services(&mut self, now: Millis, services: Vec<ServiceSpec>) {
         let old = std::mem::take(&mut self.services);
         let mut old: Map<_, _> = old.into_iter().map(|s| (s.name.clone(), s)).collect();
-        let mut gone: Vec<Line> = Vec::new();
-        for load in services {
-            let same = old.remove(&load.name);
-            let (service, lines) = Service::new(now, load, same);
-            gone.extend(lines);
+        let mut gone: Vec<Queue> = Vec::new();
+        for spec in services {
+            let previous = old.remove(&spec.name);
+            let (service, queues) = Service::new(now, spec, previous);
+            gone.extend(queues);
             self.services.push(service);
         }
-        gone.extend(old.into_values().flat_map(|s| s.targets).flat_map(|t| t.lines));
-        self.orphans.extend(gone.iter().flat_map(Line::flows));
-        self.find_lines();
+        gone.extend(old.into_values().flat_map(|s| s.targets).flat_map(|t| t.queues));
+        self.orphaned.extend(gone.iter().flat_map(Queue::flows));
+        self.index_active_queues();
     }
 
     /// Says that a target gets no new work from now on. Openings that wait for
     /// it are turned away by the next [`Gate::collect_verdicts`].
     pub fn mark_leaving(&mut self, service: ServiceIx, target: TargetIx) {
         if let Some(target) = self.target(service, target) {
-            target.load.state = TargetState::Leaving;
+            target.spec.state = TargetState::Leaving;
         }
     }
 
@@ -110,32 +110,31 @@
 
     /// Decides on the first packet of a flow that the instance does not know.
     pub fn open(&mut self, now: Millis, opening: &Opening) -> Verdict {
-        if let Some(verdict) = self.repeated(now, opening) {
+        if let Some(verdict) = self.earlier_verdict(now, opening) {
             return verdict;
         }
-        let place = Place {
+        let id = QueueId {
             service: usize::from(opening.service.0),
             target: usize::from(opening.target.0),
             class: opening.class,
         };
-        let known =
-            self.services.get(place.service).is_some_and(|s| place.target < s.targets.len());
-        if !known {
+        let is_known = self.services.get(id.service).is_some_and(|s| id.target < s.targets.len());
+        if !is_known {
             self.counts.refuse(opening.class, Reason::Leaving);
-            return Verdict::Refuse { after: refusal::SHORTEST };
+            return Verdict::Refuse { after: refusal::MIN_WAIT };
         }
-        let newcomer = self.newcomer(now, opening);
-        match self.decide(now, place, &newcomer) {
+        let requester = self.requester(now, opening);
+        match self.decide(now, id, &requester) {
             Ok(None) => {
-                self.admit(now, place, &newcomer);
+                self.admit(now, id, &requester);
                 Verdict::Admit
             }
             Ok(Some(until)) => {
-                self.counts.waited[at(place.class)] += 1;
-                self.memory.keep(now, opening.flow, Decision::Waiting(until));
+                self.counts.waited[class_index(id.class)] += 1;
+                self.decisions.insert(now, opening.flow, Decision::Waiting(until));
                 Verdict::Wait { until }
             }
-            Err(reason) => Verdict::Refuse { after: self.refuse(now, place, &newcomer, reason) },
+            Err(reason) => Verdict::Refuse { after: self.refuse(now, id, &requester, reason) },
         }
     }
 
@@ -143,17 +142,17 @@
     /// Costs next to nothing while none wait; call it after each batch and at
     /// least every few milliseconds.
     pub fn collect_verdicts(&mut self, now: Millis, out: &mut Vec<(FlowId, Verdict)>) {
-        for flow in self.orphans.drain(..) {
-            let after = refusal::SHORTEST;
-            self.memory.keep(now, flow, Decision::Refused(now + after));
+        for flow in self.orphaned.drain(..) {
+            let after = refusal::MIN_WAIT;
+            self.decisions.insert(now, flow, Decision::Refused(now + after));
             out.push((flow, Verdict::Refuse { after }));
         }
         let mut ix = 0;
-        while ix < self.lines.len() {
-            let place = self.lines[ix];
-            self.serve(now, place, out);
-            if self.line(place).is_empty() {
-                self.lines.swap_remove(ix);
+        while ix < self.active_queues.len() {
+            let id = self.active_queues[ix];
+            self.serve_queue(now, id, out);
+            if self.queue(id).is_empty() {
+                self.active_queues.swap_remove(ix);
             } else {
                 ix += 1;
             }
@@ -163,21 +162,21 @@
 
     /// Takes note of the end of a flow, whoever opened it.
     pub fn record_closing(&mut self, now: Millis, closing: &Closing) {
-        let class = at(closing.class);
+        let class = class_index(closing.class);
         let admitted = match closing.class {
             Class::Upload => {
-                self.memory.end(closing.flow);
-                self.uploads.remove(&closing.flow)
+                self.decisions.remove(closing.flow);
+                self.upload_starts.remove(&closing.flow)
             }
-            Class::Feed | Class::Request => self.memory.end(closing.flow),
+            Class::Feed | Class::Request => self.decisions.remove(closing.flow),
         };
         let Some(service) = self.services.get_mut(usize::from(closing.service.0)) else { return };
         let Some(target) = service.targets.get_mut(usize::from(closing.target.0)) else { return };
         if closing.class == Class::Request {
-            service.pace.end(now);
-            target.seen.end(now);
+            service.admission_rate.record_end(now);
+            target.stats.record_end(now);
         }
-        target.connections.close();
+        target.connections.record_close();
         if let Some(admitted) = admitted {
             let hold = now.since(admitted);
             target.holds[class].add(hold);
@@ -196,14 +195,14 @@
         let instances = self.instances;
         let Some(target) = self.target(service, target) else { return };
         match signal {
-            Signal::Established { .. } => target.seen.follow(now),
-            Signal::Reset => target.seen.reset(now),
+            Signal::Established { .. } => target.stats.record_established(now),
+            Signal::Reset => target.stats.record_reset(now),
             Signal::NoReport => {}
-            Signal::Report(told) => {
-                target.seen.tell(now, told);
-                target.unheard = 0;
-                let limit = target.load.connections;
-                target.connections.told(now, told.connections, limit, instances);
+            Signal::Report(report) => {
+                target.stats.record_report(now, report);
+                target.unreported_uploads = 0;
+                let limit = target.spec.connections;
+                target.connections.reconcile(now, report.connections, limit, instances);
             }
         }
     }
@@ -220,13 +219,13 @@
     }
 
     /// The same answer for an opening that was decided before.
-    fn repeated(&mut self, now: Millis, opening: &Opening) -> Option<Verdict> {
-        let decision = self.memory.find(now, opening.flow)?;
+    fn earlier_verdict(&mut self, now: Millis, opening: &Opening) -> Option<Verdict> {
+        let decision = self.decisions.get(now, opening.flow)?;
         self.counts.repeated += 1;
         Some(match decision {
             Decision::Admitted(_) => {
                 if let Some(target) = self.target(opening.service, opening.target) {
-                    target.seen.open(now);
+                    target.stats.record_opening(now);
                 }
                 Verdict::Admit
             }
@@ -235,154 +234,166 @@
         })
     }
 
-    fn newcomer(&mut self, now: Millis, opening: &Opening) -> Newcomer {
+    fn requester(&mut self, now: Millis, opening: &Opening) -> Requester {
         let Opening { flow, caller, service, class, .. } = *opening;
-        let takers = &mut self.takers[at(class)];
-        let total = takers.total(now, service);
-        let heavy = takers.heavy(now, &self.settings, service, caller, total);
-        let overload = &self.services[usize::from(service.0)].overload[at(class)];
-        let early =
-            overload.lasts(now) && self.budget.early(now, caller_key(service.0, class, caller));
-        Newcomer { flow, caller, heavy, early }
+        let usage = &mut self.usage[class_index(class)];
+        let total = usage.total(now, service);
+        let is_heavy = usage.is_heavy(now, &self.settings, service, caller, total);
+        let overload = &self.services[usize::from(service.0)].overload[class_index(class)];
+        let is_early = overload.is_active(now)
+            && self.retry_budget.is_early(now, caller_key(service.0, class, caller));
+        Requester { flow, caller, is_heavy, is_early }
     }
 
     /// Whether the opening goes now, until when it waits, or why it can't.
     fn decide(
         &mut self,
         now: Millis,
-        place: Place,
-        newcomer: &Newcomer,
+        id: QueueId,
+        requester: &Requester,
     ) -> Result<Option<Millis>, Reason> {
-        let Place { class, .. } = place;
-        let spent = newcomer.early && !self.budget.allows();
-        let leftover = newcomer.heavy || spent;
+        let QueueId { class, .. } = id;
+        let is_over_budget = requester.is_early && !self.retry_budget.has_tokens();
+        let spare_only = requester.is_heavy || is_over_budget;
         let settings = &self.settings;
-        let service = &mut self.services[place.service];
-        let share = service.share(self.instances);
-        let costs = service.costs(place.target);
-        let cost = costs[at(class)];
-        let target = &mut service.targets[place.target];
-        if placement::leaving(now, target.load.state, &target.seen, service.believed) {
+        let service = &mut self.services[id.service];
+        let share = service.share_inputs(self.instances);
+        let costs = service.costs(id.target);
+        let cost = costs[class_index(class)];
+        let target = &mut service.targets[id.target];
+        if placement::is_leaving(now, target.spec.state, &target.stats, service.trusts_draining) {
             return Err(Reason::Leaving);
         }
-        let scarce = if newcomer.heavy { Reason::Heavy } else { Reason::Early };
-        let taken = target.connections.taken(target.load.connections, self.instances);
-        if !admission::connection(settings, share.requests, class, taken, leftover) {
-            return Err(if leftover { scarce } else { Reason::Connections });
+        let spare_reason = if requester.is_heavy { Reason::Heavy } else { Reason::Early };
+        let utilization = target.connections.utilization(target.spec.connections, self.instances);
+        if !admission::can_take_connection(
+            settings,
+            share.has_requests,
+            class,
+            utilization,
+            spare_only,
+        ) {
+            return Err(if spare_only { spare_reason } else { Reason::Connections });
         }
-        target.earn(now, settings, share, costs);
+        target.refill(now, settings, share, costs);
         if class == Class::Upload {
-            let chance = target.chance(now, settings, share, cost);
-            if self.random.fraction() >= chance {
+            let probability = target.upload_probability(now, settings, share, cost);
+            if self.random.fraction() >= probability {
                 return Err(Reason::Slots);
             }
         }
-        let Some((ledger, line)) = target.ledger(class) else { return Ok(None) };
-        if ledger.spent(cost) < 0.5 {
-            line.relax();
+        let Some((tokens, queue)) = target.bucket_and_queue(class) else { return Ok(None) };
+        if tokens.used_fraction(cost) < 0.5 {
+            queue.mark_relieved();
         }
-        if ledger.allows(cost, leftover) {
-            ledger.pay(cost);
+        if tokens.can_spend(cost, spare_only) {
+            tokens.spend(cost);
             return Ok(None);
         }
-        if leftover {
-            return Err(scarce);
+        if spare_only {
+            return Err(spare_reason);
         }
-        let first = line.is_empty();
-        let patience = settings.patience;
-        let until = line.join(now, *newcomer, ledger.delay(), patience).ok_or(Reason::Slots)?;
-        ledger.pay(cost);
-        if first {
-            self.lines.push(place);
+        let was_empty = queue.is_empty();
+        let max_wait = settings.patience;
+        let until = queue.push(now, *requester, tokens.delay(), max_wait).ok_or(Reason::Slots)?;
+        tokens.spend(cost);
+        if was_empty {
+            self.active_queues.push(id);
         }
         Ok(Some(until))
     }
 
-    fn admit(&mut self, now: Millis, place: Place, newcomer: &Newcomer) {
-        let service = &mut self.services[place.service];
-        service.overload[at(place.class)].admit(now);
-        let target = &mut service.targets[place.target];
-        target.connections.open();
-        target.seen.open(now);
-        if place.class == Class::Request {
-            target.seen.begin(now);
+    fn admit(&mut self, now: Millis, id: QueueId, requester: &Requester) {
+        let service = &mut self.services[id.service];
+        service.overload[class_index(id.class)].record_admission(now);
+        let target = &mut service.targets[id.target];
+        target.connections.record_opening();
+        target.stats.record_opening(now);
+        if id.class == Class::Request {
+            target.stats.record_start(now);
         }
-        if place.class == Class::Upload {
-            target.unheard += 1;
-            if self.uploads.len() >= UPLOADS {
-                self.uploads.clear();
+        if id.class == Class::Upload {
+            target.unreported_uploads += 1;
+            if self.upload_starts.len() >= MAX_UPLOADS {
+                self.upload_starts.clear();
             }
-            self.uploads.insert(newcomer.flow, now);
+            self.upload_starts.insert(requester.flow, now);
         }
-        let ix = ServiceIx(place.service as u16);
-        self.takers[at(place.class)].admit(now, ix, newcomer.caller);
-        self.budget.admit(newcomer.early, self.settings.retries);
-        self.memory.keep(now, newcomer.flow, Decision::Admitted(now));
-        self.counts.admitted[at(place.class)] += 1;
+        let ix = ServiceIx(id.service as u16);
+        self.usage[class_index(id.class)].record_admission(now, ix, requester.caller);
+        self.retry_budget.record_admission(requester.is_early, self.settings.retries);
+        self.decisions.insert(now, requester.flow, Decision::Admitted(now));
+        self.counts.admitted[class_index(id.class)] += 1;
     }
 
-    fn refuse(&mut self, now: Millis, place: Place, newcomer: &Newcomer, reason: Reason) -> Millis {
-        let full = matches!(reason, Reason::Slots | Reason::Connections);
-        let overload = &mut self.services[place.service].overload[at(place.class)];
-        let after = overload.refuse(now, full, &mut self.random);
-        let key = caller_key(place.service as u16, place.class, newcomer.caller);
-        self.budget.told(key, now + after);
-        self.memory.keep(now, newcomer.flow, Decision::Refused(now + after));
-        self.counts.refuse(place.class, reason);
+    fn refuse(
+        &mut self,
+        now: Millis,
+        id: QueueId,
+        requester: &Requester,
+        reason: Reason,
+    ) -> Millis {
+        let out_of_capacity = matches!(reason, Reason::Slots | Reason::Connections);
+        let overload = &mut self.services[id.service].overload[class_index(id.class)];
+        let after = overload.record_refusal(now, out_of_capacity, &mut self.random);
+        let key = caller_key(id.service as u16, id.class, requester.caller);
+        self.retry_budget.record_refusal(key, now + after);
+        self.decisions.insert(now, requester.flow, Decision::Refused(now + after));
+        self.counts.refuse(id.class, reason);
         after
     }
 
     /// Lets in those of one line whose time has come, or turns all away if
     /// its target has begun to leave.
-    fn serve(&mut self, now: Millis, place: Place, out: &mut Vec<(FlowId, Verdict)>) {
-        let service = &self.services[place.service];
-        let target = &service.targets[place.target];
-        if placement::leaving(now, target.load.state, &target.seen, service.believed) {
-            while let Some(next) = self.line(place).give_up() {
-                if self.waits(now, next.who.flow) {
-                    let after = self.refuse(now, place, &next.who, Reason::Leaving);
-                    out.push((next.who.flow, Verdict::Refuse { after }));
+    fn serve_queue(&mut self, now: Millis, id: QueueId, out: &mut Vec<(FlowId, Verdict)>) {
+        let service = &self.services[id.service];
+        let target = &service.targets[id.target];
+        if placement::is_leaving(now, target.spec.state, &target.stats, service.trusts_draining) {
+            while let Some(next) = self.queue(id).pop() {
+                if self.is_waiting(now, next.requester.flow) {
+                    let after = self.refuse(now, id, &next.requester, Reason::Leaving);
+                    out.push((next.requester.flow, Verdict::Refuse { after }));
                 }
             }
         }
-        while let Some(next) = self.line(place).take(now) {
-            if self.waits(now, next.who.flow) {
-                self.admit(now, place, &next.who);
-                out.push((next.who.flow, Verdict::Admit));
+        while let Some(next) = self.queue(id).pop_due(now) {
+            if self.is_waiting(now, next.requester.flow) {
+                self.admit(now, id, &next.requester);
+                out.push((next.requester.flow, Verdict::Admit));
             }
         }
     }
 
     /// Whether the caller of a flow that waited still wants it.
-    fn waits(&self, now: Millis, flow: FlowId) -> bool {
-        matches!(self.memory.find(now, flow), Some(Decision::Waiting(_)))
+    fn is_waiting(&self, now: Millis, flow: FlowId) -> bool {
+        matches!(self.decisions.get(now, flow), Some(Decision::Waiting(_)))
     }
 
     fn tick(&mut self, now: Millis) {
-        if self.ticked.is_some_and(|at| now.since(at) < placement::TICK) {
+        if self.last_tick.is_some_and(|at| now.since(at) < placement::WEIGHT_INTERVAL) {
             return;
         }
-        self.ticked = Some(now);
+        self.last_tick = Some(now);
         for service in &mut self.services {
-            service.advise(now);
+            service.update_weights(now);
         }
     }
 
-    fn find_lines(&mut self) {
-        self.lines.clear();
+    fn index_active_queues(&mut self) {
+        self.active_queues.clear();
         for (service, s) in self.services.iter().enumerate() {
             for (target, t) in s.targets.iter().enumerate() {
                 for class in [Class::Request, Class::Upload] {
-                    if !t.lines[at(class)].is_empty() {
-                        self.lines.push(Place { service, target, class });
+                    if !t.queues[class_index(class)].is_empty() {
+                        self.active_queues.push(QueueId { service, target, class });
                     }
                 }
             }
         }
     }
 
-    fn line(&mut self, place: Place) -> &mut Line {
-        &mut self.services[place.service].targets[place.target].lines[at(place.class)]
+    fn queue(&mut self, id: QueueId) -> &mut Queue {
+        &mut self.services[id.service].targets[id.target].queues[class_index(id.class)]
     }
 
     fn target(&mut self, service: ServiceIx, target: TargetIx) -> Option<&mut Target> {
--- a/load/src/lines.rs
+++ b/load/src/lines.rs
@@ -12,18 +12,18 @@
 
 /// How many lines of a kind may come at once: the flows of one target at an
 /// instance of today's size, some twenty, ten times over.
-const BURST: u32 = 200;
+const MAX_BURST: u32 = 200;
 /// How many lines a second of a kind are written for long. An instance of
 /// today's size opens 10 to 40 flows a second, and each gets its line; at some
 /// 20 µs a line this is 0.2 % of a core.
-const PACE: u32 = 100;
+const LINES_PER_SECOND: u32 = 100;
 
 /// The budget of one kind of line.
 #[derive(Debug, Clone, Copy)]
 pub struct LineBudget {
     /// Thousandths of a line.
-    room: u64,
-    filled: Millis,
+    milli_lines: u64,
+    refilled: Millis,
     left_out: u64,
 }
 
@@ -42,19 +42,19 @@
 impl LineBudget {
     /// A full budget.
     pub fn new(now: Millis) -> LineBudget {
-        LineBudget { room: u64::from(BURST) * 1000, filled: now, left_out: 0 }
+        LineBudget { milli_lines: u64::from(MAX_BURST) * 1000, refilled: now, left_out: 0 }
     }
 
     /// Decides on one line.
     pub fn take(&mut self, now: Millis) -> LineVerdict {
-        let gained = now.since(self.filled).0 * u64::from(PACE);
-        self.room = (self.room + gained).min(u64::from(BURST) * 1000);
-        self.filled = now;
-        if self.room < 1000 {
+        let gained = now.since(self.refilled).0 * u64::from(LINES_PER_SECOND);
+        self.milli_lines = (self.milli_lines + gained).min(u64::from(MAX_BURST) * 1000);
+        self.refilled = now;
+        if self.milli_lines < 1000 {
             self.left_out += 1;
             return LineVerdict::LeaveOut;
         }
-        self.room -= 1000;
+        self.milli_lines -= 1000;
         LineVerdict::Write { left_out: std::mem::take(&mut self.left_out) }
     }
 }
--- a/load/src/refusal.rs
+++ b/load/src/refusal.rs
@@ -14,12 +14,12 @@
 
 /// The shortest mean wait: a TCP stack repeats an unanswered opening after a
 /// second anyway, so less would not thin out the crowd.
-pub const SHORTEST: Millis = Millis::secs(1);
+pub const MIN_WAIT: Millis = Millis::secs(1);
 /// The longest mean wait: longer, and a site that is well again would stand
 /// idle while callers keep away.
-pub const LONGEST: Millis = Millis::secs(30);
+pub const MAX_WAIT: Millis = Millis::secs(30);
 /// How long nothing may have been turned away for an overload to be over.
-pub const OVER: Millis = Millis::secs(2);
+pub const RECOVERY_TIME: Millis = Millis::secs(2);
 /// Half-life of the rates of what comes and what gets in.
 const HALF_LIFE: f64 = 2_000.0;
 
@@ -35,7 +35,7 @@
 
 impl Overload {
     /// Counts an opening that got in.
-    pub fn admit(&mut self, now: Millis) {
+    pub fn record_admission(&mut self, now: Millis) {
         self.decay(now);
         self.admitted += 1.0;
     }
@@ -45,25 +45,30 @@
     /// `full` says that there was no room for anybody. Turning away only the
     /// callers that take too much or come early must not by itself prolong the
     /// overload that they are turned away for.
-    pub fn refuse(&mut self, now: Millis, full: bool, random: &mut Random) -> Millis {
+    pub fn record_refusal(
+        &mut self,
+        now: Millis,
+        out_of_capacity: bool,
+        random: &mut Random,
+    ) -> Millis {
         self.decay(now);
         self.refused += 1.0;
-        if !self.lasts(now) {
+        if !self.is_active(now) {
             self.since = now;
         }
-        if full {
+        if out_of_capacity {
             self.last = Some(now);
         }
         let excess = (self.refused / self.admitted.max(1.0)).min(10.0);
-        let lasted = now.since(self.since).0 as f64;
-        let mean = SHORTEST.0 as f64 + lasted * 0.5 * excess.min(2.0);
-        let mean = mean.min(LONGEST.0 as f64);
+        let duration = now.since(self.since).0 as f64;
+        let mean = MIN_WAIT.0 as f64 + duration * 0.5 * excess.min(2.0);
+        let mean = mean.min(MAX_WAIT.0 as f64);
         Millis((mean * (0.5 + random.fraction())) as u64)
     }
 
     /// Whether there is an overload now.
-    pub fn lasts(&self, now: Millis) -> bool {
-        self.last.is_some_and(|last| now.since(last) < OVER)
+    pub fn is_active(&self, now: Millis) -> bool {
+        self.last.is_some_and(|last| now.since(last) < RECOVERY_TIME)
     }
 
     fn decay(&mut self, now: Millis) {
--- a/load/src/reserve.rs
+++ b/load/src/reserve.rs
@@ -17,11 +17,11 @@
 const HEADROOM: f32 = 1.2;
 /// The weight of a new answer: the part is that of the last thousand or so answers, so
 /// that a crowd of seconds doesn't move feeds about.
-const WEIGHT: f32 = 0.001;
+const MIN_WEIGHT: f32 = 0.001;
 /// What is taken for the part of requests before any answer, and how many answers that
 /// counts for. Most feeds open in the first seconds of an instance and stay, so what is
 /// learnt after a hundred answers comes too late for them.
-const ASSUMED: f32 = 0.27;
+const ASSUMED_SHARE: f32 = 0.27;
 const ASSUMED_COUNT: u32 = 50;
 /// The work that an answer of the assumed ones took, in milliseconds.
 const ASSUMED_WORK: f32 = 60.0;
@@ -30,14 +30,18 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestShare {
     /// The mean work of an answer, and what of it is that of requests.
-    all: f32,
+    total: f32,
     requests: f32,
     count: u32,
 }
 
 impl Default for RequestShare {
     fn default() -> RequestShare {
-        RequestShare { all: ASSUMED_WORK, requests: ASSUMED * ASSUMED_WORK, count: ASSUMED_COUNT }
+        RequestShare {
+            total: ASSUMED_WORK,
+            requests: ASSUMED_SHARE * ASSUMED_WORK,
+            count: ASSUMED_COUNT,
+        }
     }
 }
 
@@ -47,14 +51,14 @@
         let span = span.0 as f32;
         let request = if class == Class::Request { span } else { 0.0 };
         self.count = self.count.saturating_add(1);
-        let weight = WEIGHT.max(1.0 / self.count as f32);
+        let weight = MIN_WEIGHT.max(1.0 / self.count as f32);
         self.requests += (request - self.requests) * weight;
-        self.all += (span - self.all) * weight;
+        self.total += (span - self.total) * weight;
     }
 
     /// How many of a failure domain's targets feeds leave to requests.
     pub fn reserved_targets(&self, targets: usize) -> usize {
-        let part = (self.requests / self.all.max(f32::EPSILON) * HEADROOM).min(1.0);
-        (part * targets as f32).round() as usize
+        let share = (self.requests / self.total.max(f32::EPSILON) * HEADROOM).min(1.0);
+        (share * targets as f32).round() as usize
     }
 }
--- a/load/src/state.rs
+++ b/load/src/state.rs
@@ -3,42 +3,42 @@
 use crate::{
     admission,
     opening::{ServiceSpec, TargetSpec},
-    placement::{self, FULL, Hold, Seen, View},
-    queue::Line,
+    placement::{self, FULL_WEIGHT, HoldTime, TargetStats, TargetView},
+    queue::Queue,
     refusal::Overload,
     settings::Settings,
-    shares::{self, Asked, Connections, Ledger, Pace},
+    shares::{self, AdmissionRate, ConnectionCount, TokenBucket, UploadDemand},
 };
 use medlarspur_lib::{bundle::Class, ids::ServiceName, time::Millis};
 
 /// How many classes there are.
 pub(crate) const CLASSES: usize = 3;
 /// What work is taken to hold a slot for before any end was seen, by class.
-const FIRST_HOLDS: [f64; CLASSES] = [1.0, 50.0, 5_000.0];
+const INITIAL_HOLDS: [f64; CLASSES] = [1.0, 50.0, 5_000.0];
 /// How much longer than usual a target's work must seem to count as longer;
 /// below that it is noise. Shorter never counts: a target that sheds answers
 /// fast, and would be given ever more to shed.
-const SLOWER: f64 = 2.0;
+const SLOW_RATIO: f64 = 2.0;
 /// The part of the room for uploads that is given away at once where requests
 /// share the slots. Instances that let in one upload too many block both slots
 /// of a target for seconds, and requests there are lost.
-const CAUTION: f64 = 0.5;
+const SHARED_SLOTS_FRACTION: f64 = 0.5;
 /// How many pieces of work an idle target is given at once by each instance,
 /// however long they are.
-const DEPTH: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 /// The chance with which an upload gets in at a target that says *full*; one
 /// that always says so keeps getting some. Where requests share its slots it
 /// gets none: rather an idle slot than a request behind an upload. A few openings in a
 /// hundred are enough to notice that it works.
-const DOUBT: f64 = 0.02;
+const MIN_PROBABILITY: f64 = 0.02;
 /// How much more or less short work a target gets for each piece of work for
 /// a slot that it has less or more than the median.
-const CATCH_UP: f64 = 0.03;
+const CATCH_UP_GAIN: f64 = 0.03;
 /// The bounds of that. A target that always says *idle* gets a tenth more.
-const TRIM: (f64, f64) = (0.6, 1.1);
+const CATCH_UP_RANGE: (f64, f64) = (0.6, 1.1);
 
 /// Where a class stands in arrays by class.
-pub(crate) const fn at(class: Class) -> usize {
+pub(crate) const fn class_index(class: Class) -> usize {
     match class {
         Class::Feed => 0,
         Class::Request => 1,
@@ -50,18 +50,18 @@
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
-    pub(crate) requests: bool,
+    pub(crate) has_requests: bool,
     pub(crate) balance: u8,
     /// The slots of all targets together.
     slots: u32,
     pub(crate) targets: Vec<Target>,
     pub(crate) weights: Vec<u16>,
     pub(crate) overload: [Overload; CLASSES],
-    pub(crate) holds: [Hold; CLASSES],
-    pub(crate) pace: Pace,
-    pub(crate) backlog: f64,
+    pub(crate) holds: [HoldTime; CLASSES],
+    pub(crate) admission_rate: AdmissionRate,
+    pub(crate) load_per_slot: f64,
     /// Whether targets that say they drain are believed.
-    pub(crate) believed: bool,
+    pub(crate) trusts_draining: bool,
 }
 
 impl Service {
@@ -69,96 +69,102 @@
     /// Gives back the lines of targets that are gone.
     pub(crate) fn new(
         now: Millis,
-        load: ServiceSpec,
+        spec: ServiceSpec,
         old: Option<Service>,
-    ) -> (Service, Vec<Line>) {
-        let known = old.is_some();
-        let mut old = old.unwrap_or_else(|| Service::empty(load.name.clone()));
-        let mut targets = Vec::with_capacity(load.targets.len());
-        for load in load.targets {
-            let same = old.targets.iter().position(|t| t.load.name == load.name);
-            let target = match same {
-                Some(ix) => Target { load, ..old.targets.swap_remove(ix) },
-                None => Target::new(now, load, known),
+    ) -> (Service, Vec<Queue>) {
+        let is_known = old.is_some();
+        let mut old = old.unwrap_or_else(|| Service::empty(spec.name.clone()));
+        let mut targets = Vec::with_capacity(spec.targets.len());
+        for target in spec.targets {
+            let position = old.targets.iter().position(|t| t.spec.name == target.name);
+            let target = match position {
+                Some(ix) => Target { spec: target, ..old.targets.swap_remove(ix) },
+                None => Target::new(now, target, is_known),
             };
             targets.push(target);
         }
-        let weights = targets.iter().map(|t| t.load.weight.saturating_mul(FULL / 100)).collect();
-        let gone = old.targets.into_iter().flat_map(|t| t.lines).collect();
+        let weights =
+            targets.iter().map(|t| t.spec.weight.saturating_mul(FULL_WEIGHT / 100)).collect();
+        let orphaned = old.targets.into_iter().flat_map(|t| t.queues).collect();
         let service = Service {
-            requests: load.has_requests,
-            balance: load.balance,
-            slots: targets.iter().map(|t| u32::from(t.load.slots)).sum(),
+            has_requests: spec.has_requests,
+            balance: spec.balance,
+            slots: targets.iter().map(|t| u32::from(t.spec.slots)).sum(),
             targets,
             weights,
             ..Service { targets: Vec::new(), ..old }
         };
-        (service, gone)
+        (service, orphaned)
     }
 
     fn empty(name: ServiceName) -> Service {
         Service {
             name,
-            requests: false,
+            has_requests: false,
             balance: 0,
             slots: 0,
             targets: Vec::new(),
             weights: Vec::new(),
             overload: Default::default(),
-            holds: [Hold::of_service(); CLASSES],
-            pace: Pace::default(),
-            backlog: 0.0,
-            believed: true,
+            holds: [HoldTime::of_service(); CLASSES],
+            admission_rate: AdmissionRate::default(),
+            load_per_slot: 0.0,
+            trusts_draining: true,
         }
     }
 
     /// What the shares of its targets follow from.
-    pub(crate) fn share(&self, instances: u16) -> Share {
-        let hold = self.holds[at(Class::Request)].least();
-        let hold = hold.unwrap_or(FIRST_HOLDS[at(Class::Request)]);
-        let pace = self.pace.rate(self.slots, hold, instances);
-        Share { requests: self.requests, instances, backlog: self.backlog, pace }
+    pub(crate) fn share_inputs(&self, instances: u16) -> ShareInputs {
+        let hold = self.holds[class_index(Class::Request)].least();
+        let hold = hold.unwrap_or(INITIAL_HOLDS[class_index(Class::Request)]);
+        let request_rate = self.admission_rate.rate(self.slots, hold, instances);
+        ShareInputs {
+            has_requests: self.has_requests,
+            instances,
+            load_per_slot: self.load_per_slot,
+            request_rate,
+        }
     }
 
     /// The median of what targets say of their work for each slot, so that no
     /// single one can speed up or slow down the whole service; without reports,
     /// how much longer than ever flows last.
-    fn median(&self, now: Millis) -> f64 {
-        let told = |t: &Target| {
-            let told = t.seen.told(now)?;
-            Some(f64::from(told.work) / f64::from(t.load.slots.max(1)))
+    fn median_load(&self, now: Millis) -> f64 {
+        let reported_load = |t: &Target| {
+            let report = t.stats.report(now)?;
+            Some(f64::from(report.work) / f64::from(t.spec.slots.max(1)))
         };
-        let guess = || self.holds[at(Class::Request)].stretch();
-        placement::median(self.targets.iter().filter_map(told)).unwrap_or_else(guess)
+        let stretch = || self.holds[class_index(Class::Request)].stretch();
+        placement::median(self.targets.iter().filter_map(reported_load)).unwrap_or_else(stretch)
     }
 
     /// Renews the weights.
-    pub(crate) fn advise(&mut self, now: Millis) {
-        let told = |t: &&Target| t.seen.told(now).is_some_and(|told| told.draining);
-        let draining = self.targets.iter().filter(told).count();
-        self.believed = placement::drains_believed(draining, self.targets.len());
-        let busy = self.overload[at(Class::Request)].lasts(now);
-        self.backlog = self.median(now);
-        self.pace.adjust(now, self.backlog, busy);
+    pub(crate) fn update_weights(&mut self, now: Millis) {
+        let is_draining = |t: &&Target| t.stats.report(now).is_some_and(|report| report.draining);
+        let draining = self.targets.iter().filter(is_draining).count();
+        self.trusts_draining = placement::is_draining_plausible(draining, self.targets.len());
+        let is_refusing = self.overload[class_index(Class::Request)].is_active(now);
+        self.load_per_slot = self.median_load(now);
+        self.admission_rate.adjust(now, self.load_per_slot, is_refusing);
         for class in [Class::Request, Class::Upload] {
-            let usual = self.usual(class);
-            self.targets.iter_mut().for_each(|t| t.holds[at(class)].relax(usual));
+            let usual = self.usual_hold(class);
+            self.targets.iter_mut().for_each(|t| t.holds[class_index(class)].converge(usual));
         }
-        let mut views: Vec<View> = self.targets.iter_mut().map(Target::view).collect();
-        placement::advise(now, self.balance, &mut views, &mut self.weights);
+        let mut views: Vec<TargetView> = self.targets.iter_mut().map(Target::view).collect();
+        placement::update_weights(now, self.balance, &mut views, &mut self.weights);
     }
 
     /// How long a flow of a class usually lasts, in milliseconds.
-    fn usual(&self, class: Class) -> f64 {
-        self.holds[at(class)].guess(FIRST_HOLDS[at(class)])
+    fn usual_hold(&self, class: Class) -> f64 {
+        self.holds[class_index(class)].estimate(INITIAL_HOLDS[class_index(class)])
     }
 
     /// What a piece of work of a class costs at a target: a request counts as
     /// one, an upload as the time that it lasts, both more if it is slow.
     pub(crate) fn cost(&self, target: usize, class: Class) -> f64 {
-        let usual = self.usual(class);
-        let own = self.targets[target].holds[at(class)].mean().unwrap_or(usual);
-        let times = if own < usual * SLOWER { 1.0 } else { own / usual };
+        let usual = self.usual_hold(class);
+        let own = self.targets[target].holds[class_index(class)].mean().unwrap_or(usual);
+        let times = if own < usual * SLOW_RATIO { 1.0 } else { own / usual };
         if class == Class::Upload { usual * times } else { times }
     }
 
@@ -171,74 +177,78 @@
 /// A target and what was learnt of it.
 #[derive(Debug)]
 pub(crate) struct Target {
-    pub(crate) load: TargetSpec,
-    pub(crate) connections: Connections,
-    pub(crate) requests: Ledger,
-    pub(crate) uploads: Ledger,
-    pub(crate) lines: [Line; CLASSES],
-    pub(crate) holds: [Hold; CLASSES],
-    pub(crate) seen: Seen,
-    pub(crate) asked: Asked,
+    pub(crate) spec: TargetSpec,
+    pub(crate) connections: ConnectionCount,
+    pub(crate) request_tokens: TokenBucket,
+    pub(crate) upload_tokens: TokenBucket,
+    pub(crate) queues: [Queue; CLASSES],
+    pub(crate) holds: [HoldTime; CLASSES],
+    pub(crate) stats: TargetStats,
+    pub(crate) upload_demand: UploadDemand,
     /// Uploads let in here since the target last spoke.
-    pub(crate) unheard: u32,
+    pub(crate) unreported_uploads: u32,
 }
 
 impl Target {
-    fn new(now: Millis, load: TargetSpec, cold: bool) -> Target {
+    fn new(now: Millis, spec: TargetSpec, is_new: bool) -> Target {
         Target {
-            load,
-            connections: Connections::new(now),
-            requests: Ledger::new(now, DEPTH),
-            uploads: Ledger::new(now, DEPTH),
-            lines: Default::default(),
+            spec,
+            connections: ConnectionCount::new(now),
+            request_tokens: TokenBucket::new(now, MIN_BURST),
+            upload_tokens: TokenBucket::new(now, MIN_BURST),
+            queues: Default::default(),
             holds: Default::default(),
-            seen: Seen::new(cold),
-            asked: Asked::default(),
-            unheard: 0,
+            stats: TargetStats::new(is_new),
+            upload_demand: UploadDemand::default(),
+            unreported_uploads: 0,
         }
     }
 
     /// What the weights are worked out from.
-    fn view(&mut self) -> View<'_> {
-        View {
-            state: self.load.state,
-            weight: self.load.weight,
-            slots: self.load.slots,
-            hold: self.holds[at(Class::Request)].mean(),
-            seen: &mut self.seen,
+    fn view(&mut self) -> TargetView<'_> {
+        TargetView {
+            state: self.spec.state,
+            weight: self.spec.weight,
+            slots: self.spec.slots,
+            hold: self.holds[class_index(Class::Request)].mean(),
+            stats: &mut self.stats,
         }
     }
 
     /// The ledger that a class is paid from, and its line; feeds hold no slot.
-    pub(crate) fn ledger(&mut self, class: Class) -> Option<(&mut Ledger, &mut Line)> {
-        let ledger = match class {
+    pub(crate) fn bucket_and_queue(
+        &mut self,
+        class: Class,
+    ) -> Option<(&mut TokenBucket, &mut Queue)> {
+        let tokens = match class {
             Class::Feed => return None,
-            Class::Request => &mut self.requests,
-            Class::Upload => &mut self.uploads,
+            Class::Request => &mut self.request_tokens,
+            Class::Upload => &mut self.upload_tokens,
         };
-        Some((ledger, &mut self.lines[at(class)]))
+        Some((tokens, &mut self.queues[class_index(class)]))
     }
 
     /// Brings both ledgers up to `now`.
-    pub(crate) fn earn(
+    pub(crate) fn refill(
         &mut self,
         now: Millis,
         settings: &Settings,
-        share: Share,
+        share: ShareInputs,
         costs: [f64; CLASSES],
     ) {
-        let Share { requests, instances, pace, .. } = share;
+        let ShareInputs { has_requests, instances, request_rate, .. } = share;
         let part = 1.0 / f64::from(instances.max(1));
-        let slots = |class| admission::slots(settings, requests, class, self.load.slots);
+        let slots =
+            |class| admission::allowed_slots(settings, has_requests, class, self.spec.slots);
         let (all, long) = (slots(Class::Request), slots(Class::Upload));
-        let booking = if requests { 1.0 } else { f64::from(settings.booking) / 100.0 };
+        let booking = if has_requests { 1.0 } else { f64::from(settings.booking) / 100.0 };
         let booked = long * part * booking;
-        self.uploads.reprice(costs[at(Class::Upload)]);
-        self.uploads.earn(now, booked, costs[at(Class::Upload)]);
-        let taken = self.uploads.spent(costs[at(Class::Upload)]) * long;
-        let free = if requests { all - taken } else { all };
-        let pace = pace * self.trim(now, share.backlog);
-        self.requests.earn(now, free * pace, costs[at(Class::Request)]);
+        self.upload_tokens.reprice_debt(costs[class_index(Class::Upload)]);
+        self.upload_tokens.refill(now, booked, costs[class_index(Class::Upload)]);
+        let taken = self.upload_tokens.used_fraction(costs[class_index(Class::Upload)]) * long;
+        let free = if has_requests { all - taken } else { all };
+        let rate = request_rate * self.catch_up_factor(now, share.load_per_slot);
+        self.request_tokens.refill(now, free * rate, costs[class_index(Class::Request)]);
     }
 
     /// The chance with which an upload gets in by the target's own word.
@@ -246,53 +256,60 @@
     /// `hold`: saved up shares would all be spent at once when a crowd comes.
     /// Uploads shorter than that leave room for others before the target
     /// speaks again.
-    pub(crate) fn chance(
+    pub(crate) fn upload_probability(
         &mut self,
         now: Millis,
         settings: &Settings,
-        share: Share,
+        share: ShareInputs,
         hold: f64,
     ) -> f64 {
-        self.asked.ask(now);
-        let slots = admission::slots(settings, share.requests, Class::Upload, self.load.slots);
-        let booking = if share.requests { 1.0 } else { f64::from(settings.booking) / 100.0 };
-        let room = match self.seen.told(now) {
-            Some(told) => {
-                let turns = (shares::REPORT / hold).max(1.0);
-                let unheard = f64::from(self.unheard) / turns;
-                (slots * booking - f64::from(told.work) - unheard) * turns
+        self.upload_demand.record_opening(now);
+        let slots =
+            admission::allowed_slots(settings, share.has_requests, Class::Upload, self.spec.slots);
+        let booking = if share.has_requests { 1.0 } else { f64::from(settings.booking) / 100.0 };
+        let free_slots = match self.stats.report(now) {
+            Some(report) => {
+                let turns = (shares::REPORT_INTERVAL_MS / hold).max(1.0);
+                let unreported = f64::from(self.unreported_uploads) / turns;
+                (slots * booking - f64::from(report.work) - unreported) * turns
+            }
+            None if share.has_requests => {
+                slots * SHARED_SLOTS_FRACTION * shares::REPORT_INTERVAL_MS / hold
             }
-            None if share.requests => slots * CAUTION * shares::REPORT / hold,
-            None => slots * booking * shares::REPORT / hold,
+            None => slots * booking * shares::REPORT_INTERVAL_MS / hold,
         };
-        if share.requests {
-            return self.asked.chance(room * CAUTION, share.instances);
+        if share.has_requests {
+            return self
+                .upload_demand
+                .admit_probability(free_slots * SHARED_SLOTS_FRACTION, share.instances);
         }
-        self.asked.chance(room, share.instances).max(DOUBT)
+        self.upload_demand.admit_probability(free_slots, share.instances).max(MIN_PROBABILITY)
     }
 
     /// How much faster or slower than the others the target gets short work,
     /// so that one that fell behind catches up. Its word counts for little: a
     /// wrong one may not bring it much more, nor take much away. If the others
     /// have room and what is seen of it bears it out, it counts more.
-    fn trim(&self, now: Millis, usual: f64) -> f64 {
-        let Some(told) = self.seen.told(now) else { return 1.0 };
-        let backlog = f64::from(told.work) / f64::from(self.load.slots.max(1));
-        let trim = (1.0 + (usual - backlog) * CATCH_UP).clamp(TRIM.0, TRIM.1);
-        let behind = usual < shares::IDLE && backlog > usual + shares::GOAL;
-        if behind { trim * self.seen.slowdown() } else { trim }
+    fn catch_up_factor(&self, now: Millis, median_load: f64) -> f64 {
+        let Some(report) = self.stats.report(now) else { return 1.0 };
+        let own_load = f64::from(report.work) / f64::from(self.spec.slots.max(1));
+        let factor = (1.0 + (median_load - own_load) * CATCH_UP_GAIN)
+            .clamp(CATCH_UP_RANGE.0, CATCH_UP_RANGE.1);
+        let is_behind =
+            median_load < shares::IDLE_LOAD && own_load > median_load + shares::TARGET_LOAD;
+        if is_behind { factor * self.stats.pace_factor() } else { factor }
     }
 }
 
 /// What an instance's part of a target follows from.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Share {
+pub(crate) struct ShareInputs {
     /// Whether room is kept for requests.
-    pub(crate) requests: bool,
+    pub(crate) has_requests: bool,
     /// How many instances are believed live.
     pub(crate) instances: u16,
     /// The median work for each slot, work that waits included.
-    pub(crate) backlog: f64,
+    pub(crate) load_per_slot: f64,
     /// Requests a millisecond that are let in for each slot.
-    pub(crate) pace: f64,
+    pub(crate) request_rate: f64,
 }
--- a/load/src/subset.rs
+++ b/load/src/subset.rs
@@ -27,24 +27,24 @@
     let layers = if targets.len() / LAYERS >= seat.count as usize { LAYERS } else { 1 };
     let mut own = Vec::new();
     for nth in 0..layers {
-        let bound = |nth: usize| nth * targets.len() / layers;
-        let mut layer = targets[bound(nth)..bound(nth + 1)].to_vec();
+        let layer_start = |nth: usize| nth * targets.len() / layers;
+        let mut layer = targets[layer_start(nth)..layer_start(nth + 1)].to_vec();
         layer.sort_unstable_by_key(|target| mix(*target));
-        own.extend(&layer[part(turned(seat, nth), layer.len())]);
+        own.extend(&layer[seat_range(rotated(seat, nth), layer.len())]);
     }
     own.sort_unstable();
     own
 }
 
 /// The seat in a layer. Seats take turns at getting one target more than others.
-fn turned(seat: Seat, layer: usize) -> Seat {
+fn rotated(seat: Seat, layer: usize) -> Seat {
     let count = u64::from(seat.count.max(1));
     let position = (u64::from(seat.position) + count * layer as u64 / LAYERS as u64) % count;
     Seat { position: position as u32, ..seat }
 }
 
 /// Which of `count` targets an instance has.
-fn part(seat: Seat, count: usize) -> Range<usize> {
+fn seat_range(seat: Seat, count: usize) -> Range<usize> {
     let (seats, targets) = (u64::from(seat.count.max(1)), count as u64);
     let position = u64::from(seat.position).min(seats - 1);
     let start = position * targets / seats;
--- a/load/src/vacancy.rs
+++ b/load/src/vacancy.rs
@@ -2,7 +2,7 @@
 //! and leaves unanswered.
 //!
 //! Answers the pattern that targets run out of connections: each holds a bounded number
-//! of flows, feeds stay for minutes, and one that is full answers neither openings nor
+//! of flows, feeds stay for minutes, and one that is full probe_answers neither openings nor
 //! questions, while it serves the flows that it has. No instance knows how many flows
 //! the others have there, and what operators write about it may be wrong or absent.
 //!
@@ -18,28 +18,28 @@
 //! which can't be repeated, found no place at all while feeds did. Where no end is seen,
 //! the target is asked after a pause that doubles, and tried by one opening at a time:
 //! when a place becomes free, all instances may see it, and would send a crowd for it. A
-//! feed waits for several answers in a row, since the place that one answer shows is mostly
+//! feed waits for several probe_answers in a row, since the place that one answer shows is mostly
 //! that of a request which has just ended at another instance.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 
 /// The first pause: a few requests end meanwhile, and a target that was only late for a
 /// moment is missed for no longer.
-const FIRST_PAUSE: Millis = Millis(500);
+const MIN_PAUSE: Millis = Millis(500);
 /// The longest pause of an instance of a small fleet. Of 25 feeds that stay for 17 s, one and
 /// a half end meanwhile.
-const LAST_PAUSE: Millis = Millis(1_000);
+const MAX_PAUSE: Millis = Millis(1_000);
 /// How many instances may ask a full target at that pace. Each question takes a connection of
 /// the target for a moment, so the instances of a larger fleet ask less often.
-const SMALL_FLEET: u64 = 8;
+const BASE_FLEET_SIZE: u64 = 8;
 /// How many openings in a row must be taken before the target counts as free again: a
-/// few may be places that somebody has just left.
-const TAKEN: u32 = 8;
+/// few may be freed that somebody has just left.
+const ACCEPTED_TO_FREE: u32 = 8;
 
 /// How many questions in a row a full target must answer before a request or a feed is
 /// tried there. Six seconds in which there is room are no place that somebody just left.
-const ANSWERS_REQUEST: u32 = 1;
-const ANSWERS_FEED: u32 = 6;
+const PROBES_FOR_REQUEST: u32 = 1;
+const PROBES_FOR_FEED: u32 = 6;
 
 /// Whether a target has room, as far as it is known.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
@@ -49,15 +49,15 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Full {
     /// When it is asked whether it has room.
-    retry: Millis,
+    next_probe: Millis,
     pause: Millis,
-    /// How many places were left since, and may be filled; of requests, by requests only.
-    places: u32,
-    short: u32,
+    /// How many freed were left since, and may be filled; of requests, by requests only.
+    freed: u32,
+    freed_by_requests: u32,
     /// How many questions it has answered since, so that one opening may be tried.
-    answers: u32,
+    probe_answers: u32,
     /// How many openings it has taken since.
-    taken: u32,
+    accepted: u32,
 }
 
 impl Vacancy {
@@ -68,20 +68,20 @@
             self.0 = Some(Full::new(now));
             return true;
         };
-        if full.answers > 0 || full.retry <= now {
-            full.back_off(now, LAST_PAUSE);
+        if full.probe_answers > 0 || full.next_probe <= now {
+            full.back_off(now, MAX_PAUSE);
         }
-        let Full { retry, pause, .. } = *full;
-        self.0 = Some(Full { retry, pause, ..Full::new(now) });
+        let Full { next_probe, pause, .. } = *full;
+        self.0 = Some(Full { next_probe, pause, ..Full::new(now) });
         false
     }
 
     /// An opening was taken. Answers whether the target counts as free again by that.
     pub fn record_accepted(&mut self, class: Class) -> bool {
         let Some(full) = &mut self.0 else { return false };
-        full.fill(class);
-        full.taken += 1;
-        let is_free = full.taken >= TAKEN;
+        full.use_connection(class);
+        full.accepted += 1;
+        let is_free = full.accepted >= ACCEPTED_TO_FREE;
         if is_free {
             self.0 = None;
         }
@@ -92,15 +92,15 @@
     pub fn record_flow_end(&mut self, class: Class) {
         let Some(full) = &mut self.0 else { return };
         match class {
-            Class::Request => full.short += 1,
-            Class::Feed | Class::Upload => full.places += 1,
+            Class::Request => full.freed_by_requests += 1,
+            Class::Feed | Class::Upload => full.freed += 1,
         }
     }
 
-    /// It answers questions again, so it has room for one at least.
+    /// It probe_answers questions again, so it has room for one at least.
     pub fn record_probe_answer(&mut self) {
         if let Some(full) = &mut self.0 {
-            full.answers += 1;
+            full.probe_answers += 1;
         }
     }
 
@@ -108,21 +108,22 @@
     /// is over once more.
     pub fn record_probe(&mut self, now: Millis, instances: usize) {
         let Some(full) = &mut self.0 else { return };
-        if full.retry <= now {
-            full.back_off(now, longest_pause(instances));
+        if full.next_probe <= now {
+            full.back_off(now, max_pause(instances));
         } else {
-            full.retry = now + full.pause;
+            full.next_probe = now + full.pause;
         }
     }
 
     /// Whether one more may be opened there while `opening` are under way.
     pub fn can_open(&self, class: Class, opening: u32) -> bool {
         let Some(full) = &self.0 else { return true };
-        let (short, answers) = match class {
-            Class::Request => (full.short, ANSWERS_REQUEST),
-            Class::Feed | Class::Upload => (0, ANSWERS_FEED),
+        let (freed_for_class, needed_answers) = match class {
+            Class::Request => (full.freed_by_requests, PROBES_FOR_REQUEST),
+            Class::Feed | Class::Upload => (0, PROBES_FOR_FEED),
         };
-        opening < full.places + short || full.answers >= answers && opening == 0
+        opening < full.freed + freed_for_class
+            || full.probe_answers >= needed_answers && opening == 0
     }
 
     /// Whether it has left openings unanswered since it was last known to have room.
@@ -132,34 +133,41 @@
 
     /// When a full target should be asked whether it has room.
     pub fn next_probe(&self) -> Option<Millis> {
-        self.0.map(|full| full.retry)
+        self.0.map(|full| full.next_probe)
     }
 }
 
 impl Full {
     fn new(now: Millis) -> Full {
-        let pause = FIRST_PAUSE;
-        Full { retry: now + pause, pause, places: 0, short: 0, answers: 0, taken: 0 }
+        let pause = MIN_PAUSE;
+        Full {
+            next_probe: now + pause,
+            pause,
+            freed: 0,
+            freed_by_requests: 0,
+            probe_answers: 0,
+            accepted: 0,
+        }
     }
 
     /// Has the pause that begins now be twice as long as the last one, up to the longest.
-    fn back_off(&mut self, now: Millis, longest: Millis) {
-        self.pause = longest.min(self.pause + self.pause).max(self.pause);
-        self.retry = now + self.pause;
+    fn back_off(&mut self, now: Millis, max_pause: Millis) {
+        self.pause = max_pause.min(self.pause + self.pause).max(self.pause);
+        self.next_probe = now + self.pause;
     }
 
     /// A flow of a class has taken a place.
-    fn fill(&mut self, class: Class) {
+    fn use_connection(&mut self, class: Class) {
         match class {
-            Class::Request if self.short > 0 => self.short -= 1,
-            _ if self.places > 0 => self.places -= 1,
+            Class::Request if self.freed_by_requests > 0 => self.freed_by_requests -= 1,
+            _ if self.freed > 0 => self.freed -= 1,
             Class::Request => {}
-            Class::Feed | Class::Upload => self.answers = 0,
+            Class::Feed | Class::Upload => self.probe_answers = 0,
         }
     }
 }
 
-fn longest_pause(instances: usize) -> Millis {
-    let instances = (instances as u64).max(SMALL_FLEET);
-    Millis(LAST_PAUSE.0 * instances / SMALL_FLEET)
+fn max_pause(instances: usize) -> Millis {
+    let instances = (instances as u64).max(BASE_FLEET_SIZE);
+    Millis(MAX_PAUSE.0 * instances / BASE_FLEET_SIZE)
 }
--- a/load/src/warmup.rs
+++ b/load/src/warmup.rs
@@ -22,7 +22,7 @@
 /// What an owner opens of what its target bears: one in so many. The users' bound is half as
 /// much again as a target bears and five, so that three owners with a half each stay below it,
 /// and one more each for where a second begins.
-const PART: u64 = 2;
+const SHARE_DIVISOR: u64 = 2;
 
 /// The position of an instance among those of its failure domain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
@@ -43,5 +43,5 @@
 /// How long an owner waits between two openings at a slow target that bears `rate` requests
 /// a second.
 pub fn opening_interval(rate: u32) -> Millis {
-    Millis((PART * 1_000).div_ceil(u64::from(rate.max(1))))
+    Millis((SHARE_DIVISOR * 1_000).div_ceil(u64::from(rate.max(1))))
 }
--- a/load/tests/model/host.rs
+++ b/load/tests/model/host.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
     pub work: usize,
-    pub by: usize,
+    pub instance: usize,
 }
 
 #[derive(Debug)]
@@ -19,7 +19,7 @@
     pub busy: u32,
     pub queue: VecDeque<Job>,
     /// What its endpoint says.
-    pub told: Report,
+    pub report: Report,
 }
 
 impl Host {
@@ -30,11 +30,11 @@
             connections: 0,
             busy: 0,
             queue: VecDeque::new(),
-            told: told(0, 0),
+            report: report(0, 0),
         }
     }
 
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.connections >= self.limit
     }
 
@@ -50,14 +50,14 @@
 
     /// Renews what its endpoint says.
     pub fn refresh(&mut self, fault: Option<Fault>) {
-        self.told = match fault {
-            Some(Fault::SaysIdle) => told(0, 0),
-            Some(Fault::SaysFull) => told(self.slots * 10, self.limit),
-            _ => told(self.busy + self.queue.len() as u32, self.connections),
+        self.report = match fault {
+            Some(Fault::SaysIdle) => report(0, 0),
+            Some(Fault::SaysFull) => report(self.slots * 10, self.limit),
+            _ => report(self.busy + self.queue.len() as u32, self.connections),
         };
     }
 }
 
-fn told(work: u32, connections: u32) -> Report {
+fn report(work: u32, connections: u32) -> Report {
     Report { healthy: true, draining: false, work, connections }
 }
--- a/load/tests/model/mod.rs
+++ b/load/tests/model/mod.rs
@@ -25,24 +25,24 @@
 /// Buckets of the model's table.
 const BUCKETS: usize = 1024;
 /// Buckets that the planner moves a second: about 1 %.
-const MOVES: usize = 10;
+const MOVES_PER_SECOND: usize = 10;
 /// From caller to instance to target and back, in milliseconds.
-const TRIP: u64 = 9;
+const ROUND_TRIP: u64 = 9;
 /// How many seconds the oldest table in use is behind the newest.
-const LAG: usize = 3;
+const MAX_TABLE_LAG: usize = 3;
 /// One in so many answers is lost, so that the caller repeats its opening.
-const LOST: u64 = 1000;
+const LOST_ANSWER_INTERVAL: u64 = 1000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive { load: usize },
-    Try { work: usize },
+    Attempt { work: usize },
     Repeat { work: usize, tries: u32 },
     Finish { target: usize },
-    Close { target: usize, work: usize, flow: u64, by: usize },
-    Follow { target: usize, by: usize },
+    Close { target: usize, work: usize, flow: u64, instance: usize },
+    Establish { target: usize, instance: usize },
     Refresh { target: usize },
-    Report { target: usize, by: usize },
+    Report { target: usize, instance: usize },
     Plan,
     Step,
 }
@@ -85,7 +85,7 @@
         for ix in 0..site.instances {
             let mut gate = Gate::new(Settings::default(), scene.seed * 1000 + u64::from(ix));
             gate.set_instances(if policy == Policy::NoShares { 1 } else { site.instances });
-            gate.set_services(Millis(0), vec![site.service(scene.requests())]);
+            gate.set_services(Millis(0), vec![site.service(scene.has_requests())]);
             gates.push(gate);
         }
         let hosts = (0..site.hosts).map(|_| Host::new(site.slots, site.connections)).collect();
@@ -108,20 +108,23 @@
 
     fn start(&mut self) {
         for load in 0..self.scene.loads.len() {
-            self.at(1, Event::Arrive { load });
+            self.schedule(1, Event::Arrive { load });
         }
         for target in 0..self.hosts.len() {
-            self.at(target as u64 * 37, Event::Refresh { target });
-            for by in 0..self.gates.len() {
-                let spread = if self.scene.stale { by * 119 } else { 0 };
-                self.at((target * 37 + spread) as u64 % 1000, Event::Report { target, by });
+            self.schedule(target as u64 * 37, Event::Refresh { target });
+            for instance in 0..self.gates.len() {
+                let spread = if self.scene.stale { instance * 119 } else { 0 };
+                self.schedule(
+                    (target * 37 + spread) as u64 % 1000,
+                    Event::Report { target, instance },
+                );
             }
         }
-        self.at(1000, Event::Plan);
-        self.at(1, Event::Step);
+        self.schedule(1000, Event::Plan);
+        self.schedule(1, Event::Step);
     }
 
-    fn at(&mut self, after: u64, event: Event) {
+    fn schedule(&mut self, after: u64, event: Event) {
         self.count += 1;
         self.events.push(Reverse((self.now + after, self.count, event)));
     }
@@ -129,20 +132,20 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Arrive { load } => self.arrive(load),
-            Event::Try { work } => self.attempt(work),
+            Event::Attempt { work } => self.attempt(work),
             Event::Repeat { work, tries } => {
-                if self.works[work].open && self.works[work].tries == tries {
+                if self.works[work].is_open && self.works[work].tries == tries {
                     self.send(work);
                 }
             }
             Event::Finish { target } => self.finish(target),
-            Event::Close { target, work, flow, by } => {
+            Event::Close { target, work, flow, instance } => {
                 self.hosts[target].connections -= 1;
-                self.close(target, work, flow, by);
+                self.close(target, work, flow, instance);
             }
-            Event::Follow { target, by } => {
+            Event::Establish { target, instance } => {
                 let signal = Signal::Established { after: None };
-                self.gates[by].record_signal(
+                self.gates[instance].record_signal(
                     Millis(self.now),
                     ServiceIx(0),
                     TargetIx(target as u16),
@@ -150,7 +153,7 @@
                 );
             }
             Event::Refresh { target } => self.refresh(target),
-            Event::Report { target, by } => self.report(target, by),
+            Event::Report { target, instance } => self.report(target, instance),
             Event::Plan => self.plan(),
             Event::Step => self.step(),
         }
@@ -171,9 +174,9 @@
                 tries: 0,
                 runs: 0,
                 state: State::Trying,
-                tried: self.now,
-                open: false,
-                sent: false,
+                last_try: self.now,
+                is_open: false,
+                reached_target: false,
                 target: 0,
             });
             self.attempt(self.works.len() - 1);
@@ -181,7 +184,7 @@
         let next = -(1.0 - self.random.fraction()).ln() * 1000.0 / rate.max(1.0);
         // Several may arrive in one millisecond; the fraction is carried by chance.
         let whole = next as u64 + u64::from(self.random.fraction() < next.fract());
-        self.at(whole, Event::Arrive { load: load_ix });
+        self.schedule(whole, Event::Arrive { load: load_ix });
     }
 
     /// A new connection for the work: another port, so another flow.
@@ -189,17 +192,17 @@
         let now = self.now;
         let next = &mut self.works[work];
         next.tries += 1;
-        next.tried = now;
-        next.open = true;
-        next.sent = false;
+        next.last_try = now;
+        next.is_open = true;
+        next.reached_target = false;
         self.send(work);
     }
 
     /// Sends the opening packet, which may be a repetition.
     fn send(&mut self, ix: usize) {
-        let by = (self.random.draw() % self.gates.len() as u64) as usize;
+        let instance = (self.random.draw() % self.gates.len() as u64) as usize;
         let flow = flow(ix, self.works[ix].tries);
-        let target = self.target(by, flow);
+        let target = self.target(instance, flow);
         self.works[ix].target = target;
         let work = &self.works[ix];
         let opening = Opening {
@@ -210,22 +213,22 @@
             target: TargetIx(target as u16),
         };
         let tries = work.tries;
-        match self.policy.admits(&mut self.gates[by], Millis(self.now), &opening) {
-            Verdict::Admit => self.deliver(ix, target, by),
-            Verdict::Wait { .. } => self.at(1000, Event::Repeat { work: ix, tries }),
+        match self.policy.admits(&mut self.gates[instance], Millis(self.now), &opening) {
+            Verdict::Admit => self.deliver(ix, target, instance),
+            Verdict::Wait { .. } => self.schedule(1000, Event::Repeat { work: ix, tries }),
             Verdict::Refuse { after } => self.refused(ix, after),
         }
     }
 
-    fn target(&mut self, by: usize, flow: u64) -> usize {
+    fn target(&mut self, instance: usize, flow: u64) -> usize {
         match self.policy {
             Policy::RoundRobin => {
-                self.turn[by] += 1;
-                self.turn[by] % self.hosts.len()
+                self.turn[instance] += 1;
+                self.turn[instance] % self.hosts.len()
             }
             Policy::HashOnly => flow as usize % self.hosts.len(),
             _ => {
-                let lag = if self.scene.stale { by % (LAG + 1) } else { 0 };
+                let lag = if self.scene.stale { instance % (MAX_TABLE_LAG + 1) } else { 0 };
                 let table = self.tables.len().saturating_sub(1 + lag);
                 usize::from(self.tables[table][flow as usize % BUCKETS])
             }
@@ -236,13 +239,13 @@
         let work = &mut self.works[ix];
         // A caller that is connected ignores a reset or a second handshake
         // answer, whose sequence numbers don't fit.
-        if !work.open {
+        if !work.is_open {
             self.outcome.ignored += 1;
             return;
         }
-        self.outcome.refusal(self.now - work.tried);
+        self.outcome.record_refusal(self.now - work.last_try);
         self.outcome.false_refusals += u64::from(work.runs > 0);
-        self.outcome.crossed += u64::from(work.sent);
+        self.outcome.crossed += u64::from(work.reached_target);
         let back = after.0 + self.random.draw() % 10;
         self.retry(ix, back);
     }
@@ -250,117 +253,126 @@
     /// Tries again after a while, if the caller has that long.
     fn retry(&mut self, ix: usize, after: u64) {
         let work = &mut self.works[ix];
-        work.open = false;
+        work.is_open = false;
         if self.now + after >= work.start + self.scene.patience(work.class) {
             work.state = State::Failed;
         } else {
-            self.at(after, Event::Try { work: ix });
+            self.schedule(after, Event::Attempt { work: ix });
         }
     }
 
-    fn deliver(&mut self, ix: usize, target: usize, by: usize) {
+    fn deliver(&mut self, ix: usize, target: usize, instance: usize) {
         let work = &self.works[ix];
         let (tries, class) = (work.tries, work.class);
-        if !work.open {
+        if !work.is_open {
             return;
         }
-        self.outcome.placed(self.now, target);
-        let sheds = self.scene.fault(self.now, target) == Some(Fault::Shed);
-        let lost = self.random.draw().is_multiple_of(LOST);
-        if sheds && self.random.draw().is_multiple_of(2) || self.hosts[target].full() {
+        self.outcome.record_placement(self.now, target);
+        let is_shedding = self.scene.fault(self.now, target) == Some(Fault::Shed);
+        let lost = self.random.draw().is_multiple_of(LOST_ANSWER_INTERVAL);
+        if is_shedding && self.random.draw().is_multiple_of(2) || self.hosts[target].is_full() {
             self.outcome.overrun += 1;
             self.retry(ix, 1000);
             return;
         }
-        self.works[ix].sent = true;
+        self.works[ix].reached_target = true;
         if lost {
-            self.at(1000, Event::Repeat { work: ix, tries });
+            self.schedule(1000, Event::Repeat { work: ix, tries });
             return;
         }
-        let seen = if self.scene.spray { self.any() } else { by };
-        self.at(TRIP, Event::Follow { target, by: seen });
+        let observer = if self.scene.spray { self.random_instance() } else { instance };
+        self.schedule(ROUND_TRIP, Event::Establish { target, instance: observer });
         self.hosts[target].connections += 1;
-        self.works[ix].open = false;
+        self.works[ix].is_open = false;
         self.works[ix].runs += 1;
         self.outcome.double_runs += u64::from(self.works[ix].runs > 1);
         if class == Class::Feed {
-            let wait = self.now + TRIP - self.works[ix].tried;
+            let wait = self.now + ROUND_TRIP - self.works[ix].last_try;
             self.works[ix].state = State::Done { wait };
-            let (flow, by) = (flow(ix, tries), if self.scene.spray { self.any() } else { by });
-            self.at(self.works[ix].size, Event::Close { target, work: ix, flow, by });
+            let (flow, instance) =
+                (flow(ix, tries), if self.scene.spray { self.random_instance() } else { instance });
+            self.schedule(self.works[ix].size, Event::Close { target, work: ix, flow, instance });
             return;
         }
-        self.hosts[target].queue.push_back(Job { work: ix, by });
-        self.work(target);
+        self.hosts[target].queue.push_back(Job { work: ix, instance });
+        self.start_work(target);
     }
 
     /// Starts as much queued work as there are free slots.
-    fn work(&mut self, target: usize) {
+    fn start_work(&mut self, target: usize) {
         while let Some(job) = self.hosts[target].take() {
             let speed = self.scene.speed(self.now, target);
             let work = &mut self.works[job.work];
-            let late = self.now + TRIP > work.start + self.scene.patience(work.class);
+            let late = self.now + ROUND_TRIP > work.start + self.scene.patience(work.class);
             if work.state == State::Trying {
-                let wait = self.now + TRIP - work.tried;
+                let wait = self.now + ROUND_TRIP - work.last_try;
                 work.state = if late { State::Failed } else { State::Done { wait } };
             }
             let took = ((work.size as f64 / speed) as u64).max(1);
-            self.outcome.worked(self.now, took, work);
-            let by = if self.scene.spray { self.any() } else { job.by };
+            self.outcome.record_work(self.now, took, work);
+            let instance = if self.scene.spray { self.random_instance() } else { job.instance };
             let flow = flow(job.work, self.works[job.work].tries);
-            self.at(took, Event::Finish { target });
-            self.at(took + TRIP, Event::Close { target, work: job.work, flow, by });
+            self.schedule(took, Event::Finish { target });
+            self.schedule(
+                took + ROUND_TRIP,
+                Event::Close { target, work: job.work, flow, instance },
+            );
         }
     }
 
     fn finish(&mut self, target: usize) {
         self.hosts[target].busy -= 1;
-        self.work(target);
+        self.start_work(target);
     }
 
-    fn close(&mut self, target: usize, work: usize, flow: u64, by: usize) {
+    fn close(&mut self, target: usize, work: usize, flow: u64, instance: usize) {
         let closing = Closing {
             flow: FlowId(flow),
             service: ServiceIx(0),
             class: self.works[work].class,
             target: TargetIx(target as u16),
         };
-        self.gates[by].record_closing(Millis(self.now), &closing);
+        self.gates[instance].record_closing(Millis(self.now), &closing);
     }
 
     /// What the endpoint of a target says changes once a second.
     fn refresh(&mut self, target: usize) {
         let fault = self.scene.fault(self.now, target);
         self.hosts[target].refresh(fault);
-        self.at(1000, Event::Refresh { target });
+        self.schedule(1000, Event::Refresh { target });
     }
 
     /// Each instance asks each endpoint once a second, at its own time.
-    fn report(&mut self, target: usize, by: usize) {
+    fn report(&mut self, target: usize, instance: usize) {
         if !self.scene.stale {
             let fault = self.scene.fault(self.now, target);
             self.hosts[target].refresh(fault);
         }
-        let told = match self.scene.fault(self.now, target) {
+        let signal = match self.scene.fault(self.now, target) {
             Some(Fault::SaysNothing) => Signal::NoReport,
-            _ => Signal::Report(self.hosts[target].told),
+            _ => Signal::Report(self.hosts[target].report),
         };
-        self.gates[by].record_signal(Millis(self.now), ServiceIx(0), TargetIx(target as u16), told);
-        self.at(1000, Event::Report { target, by });
+        self.gates[instance].record_signal(
+            Millis(self.now),
+            ServiceIx(0),
+            TargetIx(target as u16),
+            signal,
+        );
+        self.schedule(1000, Event::Report { target, instance });
     }
 
     /// The first instance plans by its own advice; the others follow late.
     fn plan(&mut self) {
         let weights = self.gates[0].weights(ServiceIx(0)).to_vec();
         let table = self.tables[self.tables.len() - 1].clone();
-        self.tables.push(site::rebalance(table, &weights, MOVES));
-        self.at(1000, Event::Plan);
+        self.tables.push(site::rebalance(table, &weights, MOVES_PER_SECOND));
+        self.schedule(1000, Event::Plan);
     }
 
     fn step(&mut self) {
         let mut out = Vec::new();
-        for by in 0..self.gates.len() {
-            self.gates[by].collect_verdicts(Millis(self.now), &mut out);
+        for instance in 0..self.gates.len() {
+            self.gates[instance].collect_verdicts(Millis(self.now), &mut out);
             for (flow, verdict) in out.drain(..) {
                 let ix = (flow.0 >> 16 & 0xffff_ffff) as usize;
                 if u64::from(self.works[ix].tries) != flow.0 >> 48 {
@@ -369,17 +381,17 @@
                 match verdict {
                     Verdict::Admit => {
                         let target = self.works[ix].target;
-                        self.deliver(ix, target, by);
+                        self.deliver(ix, target, instance);
                     }
                     Verdict::Refuse { after } => self.refused(ix, after),
                     Verdict::Wait { .. } => {}
                 }
             }
         }
-        self.at(1, Event::Step);
+        self.schedule(1, Event::Step);
     }
 
-    fn any(&mut self) -> usize {
+    fn random_instance(&mut self) -> usize {
         (self.random.draw() % self.gates.len() as u64) as usize
     }
 }
--- a/load/tests/model/scene.rs
+++ b/load/tests/model/scene.rs
@@ -70,7 +70,7 @@
     pub mean: f64,
     /// How many callers there are, from the first address on.
     pub callers: u32,
-    pub first: Ipv4Addr,
+    pub first_address: Ipv4Addr,
 }
 
 impl Load {
@@ -81,7 +81,7 @@
     /// Callers are spread over as many networks.
     pub fn caller(&self, random: &mut Random) -> Ipv4Addr {
         let ix = (random.draw() % u64::from(self.callers)) as u32;
-        Ipv4Addr::from(u32::from(self.first) + ix * 251)
+        Ipv4Addr::from(u32::from(self.first_address) + ix * 251)
     }
 }
 
@@ -104,7 +104,7 @@
 
 impl Scene {
     /// Whether the service has a request port.
-    pub fn requests(&self) -> bool {
+    pub fn has_requests(&self) -> bool {
         self.loads.iter().any(|l| l.class == Class::Request)
     }
 
@@ -120,7 +120,7 @@
         if !self.loaded.contains(&now) {
             return None;
         }
-        self.faults.iter().find(|(who, _)| who.contains(&target)).map(|(_, fault)| *fault)
+        self.faults.iter().find(|(targets, _)| targets.contains(&target)).map(|(_, fault)| *fault)
     }
 
     pub fn speed(&self, now: u64, target: usize) -> f64 {
--- a/load/tests/model/scenes.rs
+++ b/load/tests/model/scenes.rs
@@ -8,7 +8,7 @@
 use std::{net::Ipv4Addr, ops::Range};
 
 /// The first byte of the addresses of callers that take most.
-pub const HOGS: u32 = 77;
+pub const HEAVY_CALLER_NETWORK: u32 = 77;
 /// How long a request, an upload and a feed take on average, in milliseconds.
 const REQUEST: f64 = 20.0;
 const UPLOAD: f64 = 3_000.0;
@@ -16,36 +16,36 @@
 /// When loads and faults begin.
 const START: u64 = 10_000;
 /// How long a scene goes on after them.
-const AFTER: u64 = 40_000;
+const RECOVERY: u64 = 40_000;
 
 pub fn all() -> Vec<Scene> {
     let mut scenes = Vec::new();
     for site in [alertdesk(), ajanvaraus()] {
         for spray in [true, false] {
-            let at = |scene: Scene| Scene { spray, ..scene };
+            let with_fabric = |scene: Scene| Scene { spray, ..scene };
             scenes.extend([
-                at(requests("burst ×10", &site, 1_000, (0.3, 3.0))),
-                at(requests("saturation ×1.5", &site, 60_000, (0.6, 1.5))),
-                at(requests("saturation ×3", &site, 120_000, (0.6, 3.0))),
-                at(few_callers(&site)),
-                at(mixed(&site)),
-                at(silent(mixed(&site))),
-                at(feeds(&site)),
-                at(fault("slow target", &site, 1, Fault::Slow(20))),
-                at(fault("says idle", &site, 1, Fault::SaysIdle)),
-                at(fault("says full", &site, 1, Fault::SaysFull)),
-                at(fault("sheds", &site, 1, Fault::Shed)),
-                at(fault("all slow", &site, site.hosts, Fault::Slow(50))),
+                with_fabric(requests("burst ×10", &site, 1_000, (0.3, 3.0))),
+                with_fabric(requests("saturation ×1.5", &site, 60_000, (0.6, 1.5))),
+                with_fabric(requests("saturation ×3", &site, 120_000, (0.6, 3.0))),
+                with_fabric(few_callers(&site)),
+                with_fabric(mixed(&site)),
+                with_fabric(silent(mixed(&site))),
+                with_fabric(feeds(&site)),
+                with_fabric(fault("slow target", &site, 1, Fault::Slow(20))),
+                with_fabric(fault("says idle", &site, 1, Fault::SaysIdle)),
+                with_fabric(fault("says full", &site, 1, Fault::SaysFull)),
+                with_fabric(fault("sheds", &site, 1, Fault::Shed)),
+                with_fabric(fault("all slow", &site, site.hosts, Fault::Slow(50))),
             ]);
         }
     }
     for site in [ingest(), todisteet()] {
         for spray in [true, false] {
-            let at = |scene: Scene| Scene { spray, ..scene };
+            let with_fabric = |scene: Scene| Scene { spray, ..scene };
             scenes.extend([
-                at(uploads("uploads ×1.5", &site, 1.5)),
-                at(uploads("uploads ×3", &site, 3.0)),
-                at(fault("says full", &site, 1, Fault::SaysFull)),
+                with_fabric(uploads("uploads ×1.5", &site, 1.5)),
+                with_fabric(uploads("uploads ×3", &site, 3.0)),
+                with_fabric(fault("says full", &site, 1, Fault::SaysFull)),
             ]);
         }
     }
@@ -53,7 +53,7 @@
 }
 
 fn scene(name: &'static str, site: &Site, loaded: Range<u64>, loads: Vec<Load>) -> Scene {
-    let end = loaded.end + AFTER;
+    let end = loaded.end + RECOVERY;
     Scene {
         name,
         site: site.clone(),
@@ -67,8 +67,8 @@
     }
 }
 
-/// Callers of a class at `parts` of the capacity outside and inside `loaded`.
-fn load(class: Class, site: &Site, loaded: &Range<u64>, parts: (f64, f64)) -> Load {
+/// Callers of a class at `load_factors` of the capacity outside and inside `loaded`.
+fn load(class: Class, site: &Site, loaded: &Range<u64>, load_factors: (f64, f64)) -> Load {
     let (mean, full) = match class {
         Class::Request => (REQUEST, site.capacity(REQUEST)),
         Class::Upload => (UPLOAD, site.capacity(UPLOAD)),
@@ -76,17 +76,17 @@
     };
     Load {
         class,
-        rates: (parts.0 * full, parts.1 * full),
+        rates: (load_factors.0 * full, load_factors.1 * full),
         loaded: loaded.clone(),
         mean,
         callers: 20_000,
-        first: Ipv4Addr::new(10, 0, 0, 1),
+        first_address: Ipv4Addr::new(10, 0, 0, 1),
     }
 }
 
-pub fn requests(name: &'static str, site: &Site, span: u64, parts: (f64, f64)) -> Scene {
+pub fn requests(name: &'static str, site: &Site, span: u64, load_factors: (f64, f64)) -> Scene {
     let loaded = START..START + span;
-    scene(name, site, loaded.clone(), vec![load(Class::Request, site, &loaded, parts)])
+    scene(name, site, loaded.clone(), vec![load(Class::Request, site, &loaded, load_factors)])
 }
 
 pub fn few_callers(site: &Site) -> Scene {
@@ -94,7 +94,7 @@
     let others = load(Class::Request, site, &loaded, (0.4, 0.4));
     let few = Load {
         callers: 3,
-        first: Ipv4Addr::new(HOGS as u8, 0, 0, 1),
+        first_address: Ipv4Addr::new(HEAVY_CALLER_NETWORK as u8, 0, 0, 1),
         ..load(Class::Request, site, &loaded, (0.0, 1.6))
     };
     scene("few callers ×2", site, loaded, vec![others, few])
--- a/load/tests/model/work.rs
+++ b/load/tests/model/work.rs
@@ -15,11 +15,11 @@
     pub runs: u32,
     pub state: State,
     /// When its present connection was opened.
-    pub tried: u64,
+    pub last_try: u64,
     /// Whether that was neither answered nor given up.
-    pub open: bool,
+    pub is_open: bool,
     /// Whether its opening reached a target.
-    pub sent: bool,
+    pub reached_target: bool,
     /// The target that the table named for it last.
     pub target: usize,
 }
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -15,12 +15,12 @@
 };
 
 /// From caller to instance to target and back, in milliseconds.
-const TRIP: u64 = 6;
+const ROUND_TRIP: u64 = 6;
 /// How often a caller comes back.
 const RETRIES: u32 = 2;
 /// Which part of the requests of feeds open a flow; the others go to the target that
 /// their feed has.
-const REOPENED: f64 = 0.3;
+const NEW_FLOW_FRACTION: f64 = 0.3;
 
 /// What is asked of whom.
 #[derive(Debug, Clone, Copy)]
@@ -28,7 +28,7 @@
     pub instances: usize,
     pub targets: usize,
     /// How many of the targets are there while some are gone, and when that is.
-    pub left: usize,
+    pub remaining: usize,
     pub gone: (u64, u64),
     pub slots: usize,
     pub queue: usize,
@@ -37,7 +37,7 @@
     pub feeds: f64,
     /// The mean work of a request, in milliseconds.
     pub work: f64,
-    pub goal: u64,
+    pub objective: u64,
     /// When nobody is served: what is asked then comes at the end, spread over the
     /// time within which callers repeat themselves.
     pub outage: (u64, u64),
@@ -52,14 +52,14 @@
         Scene {
             instances: 7,
             targets: 14,
-            left: 14,
+            remaining: 14,
             gone: (0, 0),
             slots: 2,
             queue: 8,
             requests: 83.0,
             feeds: 292.0,
             work: 32.0,
-            goal: 150,
+            objective: 150,
             outage: (0, 0),
             length: 14_000,
             seed,
@@ -68,7 +68,7 @@
 
     /// Eight of its targets are gone for five seconds, and their successors aren't known.
     pub fn half_gone(seed: u64) -> Scene {
-        Scene { left: 6, gone: (4_000, 9_000), ..Scene::site(seed) }
+        Scene { remaining: 6, gone: (4_000, 9_000), ..Scene::site(seed) }
     }
 
     /// The same with a quarter more requests.
@@ -76,7 +76,7 @@
         Scene { requests: 104.0, feeds: 365.0, ..Scene::half_gone(seed) }
     }
 
-    /// A site whose requests take two thirds of their goal, at a load of 0.7.
+    /// A site whose requests take two thirds of their objective, at a load of 0.7.
     pub fn slow(seed: u64) -> Scene {
         Scene { work: 100.0, requests: 43.0, feeds: 153.0, ..Scene::site(seed) }
     }
@@ -95,39 +95,39 @@
             slots: 3,
             queue: 12,
             work: 60.0,
-            goal: 250,
+            objective: 250,
             outage: (4_000, 5_700),
             ..Scene::site(seed)
         }
     }
 }
 
-/// What callers got who asked in a span.
+/// What callers tally who asked in a span.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
-pub struct Got {
+pub struct Tally {
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
 }
 
-impl Got {
+impl Tally {
     /// The part that was turned away.
     #[allow(dead_code, reason = "the example measures without it")]
-    pub fn refused_part(&self) -> f64 {
+    pub fn fraction_refused(&self) -> f64 {
         f64::from(self.refused) / f64::from((self.in_time + self.late + self.refused).max(1))
     }
 
     /// The part that was answered in time.
-    pub fn part(&self) -> f64 {
+    pub fn fraction_in_time(&self) -> f64 {
         f64::from(self.in_time) / f64::from((self.in_time + self.late + self.refused).max(1))
     }
 }
 
-impl Add for Got {
-    type Output = Got;
+impl Add for Tally {
+    type Output = Tally;
 
-    fn add(self, other: Got) -> Got {
-        Got {
+    fn add(self, other: Tally) -> Tally {
+        Tally {
             in_time: self.in_time + other.in_time,
             late: self.late + other.late,
             refused: self.refused + other.refused,
@@ -140,33 +140,33 @@
     class: Class,
     asked: u64,
     /// When it came to its instance.
-    came: u64,
+    arrived: u64,
     instance: usize,
     tries: u32,
     /// Whether it goes to the target of its feed.
-    bound: bool,
-    span: u64,
+    on_feed: bool,
+    duration: u64,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Ask,
-    Come(usize),
+    Request,
+    Arrive(usize),
     Done(usize, usize),
     Answered(usize, usize),
     Expire(usize),
 }
 
-pub struct World {
+pub struct Simulation {
     scene: Scene,
-    limited: bool,
+    is_limited: bool,
     random: Random,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
     works: Vec<Work>,
     /// Requests under way, by instance and target, and those that are no feed's.
-    working: Vec<Vec<u32>>,
-    fresh: Vec<u32>,
+    in_flight: Vec<Vec<u32>>,
+    requests_in_flight: Vec<u32>,
     limits: Vec<ConcurrencyLimit>,
     backlogs: Vec<Backlog<usize>>,
     queues: Vec<VecDeque<usize>>,
@@ -174,53 +174,53 @@
     answers: Vec<(u64, Class, Option<u64>)>,
 }
 
-/// Plays a scene; with `limited` openings wait at the instances.
-pub fn play(scene: Scene, limited: bool) -> World {
-    let mut world = World {
+/// Plays a scene; with `is_limited` openings wait at the instances.
+pub fn play(scene: Scene, is_limited: bool) -> Simulation {
+    let mut simulation = Simulation {
         scene,
-        limited,
+        is_limited,
         random: Random::new(scene.seed),
         events: BinaryHeap::new(),
         count: 0,
         works: Vec::new(),
-        working: vec![vec![0; scene.targets]; scene.instances],
-        fresh: vec![0; scene.instances],
+        in_flight: vec![vec![0; scene.targets]; scene.instances],
+        requests_in_flight: vec![0; scene.instances],
         limits: vec![ConcurrencyLimit::default(); scene.instances],
         backlogs: vec![Backlog::default(); scene.instances],
         queues: vec![VecDeque::new(); scene.targets],
         busy: vec![0; scene.targets],
         answers: Vec::new(),
     };
-    world.push(0, Event::Ask);
-    while let Some(Reverse((now, _, event))) = world.events.pop() {
-        world.handle(event, now);
+    simulation.push(0, Event::Request);
+    while let Some(Reverse((now, _, event))) = simulation.events.pop() {
+        simulation.handle(event, now);
     }
-    world
+    simulation
 }
 
-impl World {
-    /// What callers got who asked from `from` to `to`.
-    pub fn got(&self, from: u64, to: u64) -> Got {
-        self.got_by(from, to, |_| true)
+impl Simulation {
+    /// What callers tally who asked from `from` to `to`.
+    pub fn tally(&self, from: u64, to: u64) -> Tally {
+        self.tally_where(from, to, |_| true)
     }
 
-    /// What callers of a class got.
+    /// What callers of a class tally.
     #[allow(dead_code, reason = "the example measures all classes together")]
-    pub fn got_of(&self, class: Class, from: u64, to: u64) -> Got {
-        self.got_by(from, to, |it| it == class)
+    pub fn tally_class(&self, class: Class, from: u64, to: u64) -> Tally {
+        self.tally_where(from, to, |it| it == class)
     }
 
-    fn got_by(&self, from: u64, to: u64, counts: impl Fn(Class) -> bool) -> Got {
-        let mut got = Got::default();
+    fn tally_where(&self, from: u64, to: u64, counts: impl Fn(Class) -> bool) -> Tally {
+        let mut tally = Tally::default();
         let asked = self.answers.iter().filter(|it| (from..to).contains(&it.0) && counts(it.1));
         for (.., span) in asked {
             match span {
-                Some(span) if *span <= self.scene.goal => got.in_time += 1,
-                Some(_) => got.late += 1,
-                None => got.refused += 1,
+                Some(span) if *span <= self.scene.objective => tally.in_time += 1,
+                Some(_) => tally.late += 1,
+                None => tally.refused += 1,
             }
         }
-        got
+        tally
     }
 
     fn push(&mut self, at: u64, event: Event) {
@@ -228,19 +228,19 @@
         self.events.push(Reverse((at, self.count, event)));
     }
 
-    fn wait(&mut self, mean: f64) -> f64 {
+    fn exponential(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.random.fraction()).ln()
     }
 
-    fn live(&self, now: u64) -> usize {
+    fn live_targets(&self, now: u64) -> usize {
         let (from, to) = self.scene.gone;
-        if (from..to).contains(&now) { self.scene.left } else { self.scene.targets }
+        if (from..to).contains(&now) { self.scene.remaining } else { self.scene.targets }
     }
 
     fn handle(&mut self, event: Event, now: u64) {
         match event {
-            Event::Ask => self.ask(now),
-            Event::Come(work) => self.come(work, now),
+            Event::Request => self.issue_request(now),
+            Event::Arrive(work) => self.arrive(work, now),
             Event::Done(target, work) => self.done(target, work, now),
             Event::Answered(target, work) => self.answered(target, work, now),
             Event::Expire(instance) => self.expire(instance, now),
@@ -248,23 +248,30 @@
     }
 
     /// The next caller asks, and the one after it is due.
-    fn ask(&mut self, now: u64) {
+    fn issue_request(&mut self, now: u64) {
         if now > self.scene.length {
             return;
         }
         let (requests, feeds) = (self.scene.requests, self.scene.feeds);
         let is_request = self.random.fraction() < requests / (requests + feeds);
-        let bound = !is_request && self.random.fraction() >= REOPENED;
-        let span = 0.3 * self.scene.work + self.wait(0.7 * self.scene.work);
+        let on_feed = !is_request && self.random.fraction() >= NEW_FLOW_FRACTION;
+        let duration = 0.3 * self.scene.work + self.exponential(0.7 * self.scene.work);
         let instance = (self.random.draw() % self.scene.instances as u64) as usize;
         let class = if is_request { Class::Request } else { Class::Feed };
-        let work =
-            Work { class, asked: now, came: now, instance, tries: 0, bound, span: span as u64 + 1 };
+        let work = Work {
+            class,
+            asked: now,
+            arrived: now,
+            instance,
+            tries: 0,
+            on_feed,
+            duration: duration as u64 + 1,
+        };
         self.works.push(work);
-        let come = self.first_seen(now);
-        self.push(come + TRIP / 2, Event::Come(self.works.len() - 1));
-        let next = now + self.wait(1000.0 / (requests + feeds)).round() as u64;
-        self.push(next, Event::Ask);
+        let arrival = self.first_seen(now);
+        self.push(arrival + ROUND_TRIP / 2, Event::Arrive(self.works.len() - 1));
+        let next = now + self.exponential(1000.0 / (requests + feeds)).round() as u64;
+        self.push(next, Event::Request);
     }
 
     /// When an instance first sees a request: callers repeat an opening after 200
@@ -279,26 +286,32 @@
         seen.unwrap_or(to)
     }
 
-    fn part(&self, now: u64) -> f32 {
-        (self.live(now) * self.scene.slots) as f32 / self.scene.instances as f32
+    fn own_slots(&self, now: u64) -> f32 {
+        (self.live_targets(now) * self.scene.slots) as f32 / self.scene.instances as f32
     }
 
-    fn under_way(&self, instance: usize) -> u32 {
-        self.working[instance].iter().sum()
+    fn count_in_flight(&self, instance: usize) -> u32 {
+        self.in_flight[instance].iter().sum()
     }
 
-    fn work(&self, instance: usize) -> limit::InFlight {
-        limit::InFlight { all: self.under_way(instance), requests: self.fresh[instance] }
+    fn in_flight(&self, instance: usize) -> limit::InFlight {
+        limit::InFlight {
+            all: self.count_in_flight(instance),
+            requests: self.requests_in_flight[instance],
+        }
     }
 
-    fn come(&mut self, id: usize, now: u64) {
+    fn arrive(&mut self, id: usize, now: u64) {
         let work = self.works[id];
         let at = work.instance;
-        let has_room = self.limits[at].admits(work.class, self.work(at), Millis(now));
-        if !self.limited || work.bound || has_room && self.backlogs[at].admits(work.class) {
+        let is_admitted = self.limits[at].admits(work.class, self.in_flight(at), Millis(now));
+        if !self.is_limited
+            || work.on_feed
+            || is_admitted && self.backlogs[at].can_bypass(work.class)
+        {
             return self.begin(id, now);
         }
-        let deadline = Millis(now) + max_wait(Millis(self.scene.goal));
+        let deadline = Millis(now) + max_wait(Millis(self.scene.objective));
         // A repeated opening says how long its caller has waited; one that is opened
         // anew doesn't.
         let known = now.saturating_sub(work.asked);
@@ -312,23 +325,23 @@
     }
 
     fn begin(&mut self, id: usize, now: u64) {
-        let live = self.live(now);
+        let live = self.live_targets(now);
         let work = &mut self.works[id];
-        work.came = now;
+        work.arrived = now;
         let at = work.instance;
         let draw = self.random.draw() as usize;
-        let target = match self.works[id].bound {
+        let target = match self.works[id].on_feed {
             true => draw % live,
             false => (0..live)
                 .map(|it| (it + draw) % live)
-                .min_by_key(|it| self.working[at][*it])
+                .min_by_key(|it| self.in_flight[at][*it])
                 .unwrap_or_default(),
         };
         if self.queues[target].len() >= self.scene.queue {
-            return self.refuse(id, now + TRIP);
+            return self.refuse(id, now + ROUND_TRIP);
         }
-        self.working[at][target] += 1;
-        self.fresh[at] += u32::from(self.works[id].class == Class::Request);
+        self.in_flight[at][target] += 1;
+        self.requests_in_flight[at] += u32::from(self.works[id].class == Class::Request);
         self.queues[target].push_back(id);
         self.serve(target, now);
     }
@@ -337,7 +350,7 @@
         while self.busy[target] < self.scene.slots {
             let Some(id) = self.queues[target].pop_front() else { return };
             self.busy[target] += 1;
-            let span = self.works[id].span;
+            let span = self.works[id].duration;
             self.push(now + span, Event::Done(target, id));
         }
     }
@@ -345,26 +358,26 @@
     fn done(&mut self, target: usize, id: usize, now: u64) {
         self.busy[target] -= 1;
         self.serve(target, now);
-        self.push(now + TRIP, Event::Answered(target, id));
+        self.push(now + ROUND_TRIP, Event::Answered(target, id));
     }
 
     fn answered(&mut self, target: usize, id: usize, now: u64) {
         let work = self.works[id];
         let at = work.instance;
-        self.working[at][target] -= 1;
-        let (span, goal) = (Millis(now - work.came), Millis(self.scene.goal));
-        if self.limits[at].record_answer(span, goal, Millis(now)) {
-            let (working, part) = (self.under_way(at), self.part(now));
-            self.limits[at].adjust(working, part, Millis(now));
+        self.in_flight[at][target] -= 1;
+        let (span, objective) = (Millis(now - work.arrived), Millis(self.scene.objective));
+        if self.limits[at].record_answer(span, objective, Millis(now)) {
+            let (in_flight, own_slots) = (self.count_in_flight(at), self.own_slots(now));
+            self.limits[at].adjust(in_flight, own_slots, Millis(now));
         }
-        self.fresh[at] -= u32::from(work.class == Class::Request);
+        self.requests_in_flight[at] -= u32::from(work.class == Class::Request);
         self.answers.push((work.asked, work.class, Some(now - work.asked)));
         self.release(at, now);
     }
 
     fn release(&mut self, at: usize, now: u64) {
         while let Some(next) = self.backlogs[at].peek() {
-            if !self.limits[at].admits(next.class, self.work(at), Millis(now)) {
+            if !self.limits[at].admits(next.class, self.in_flight(at), Millis(now)) {
                 return;
             }
             self.backlogs[at].remove(next.key);
@@ -373,7 +386,7 @@
     }
 
     fn expire(&mut self, at: usize, now: u64) {
-        while let Some(waiting) = self.backlogs[at].expire(Millis(now)) {
+        while let Some(waiting) = self.backlogs[at].pop_expired(Millis(now)) {
             self.refuse(waiting.key, now);
         }
         self.release(at, now);
@@ -382,11 +395,11 @@
     fn refuse(&mut self, id: usize, now: u64) {
         let work = &mut self.works[id];
         work.tries += 1;
-        work.bound = false;
+        work.on_feed = false;
         if work.tries > RETRIES {
             self.answers.push((work.asked, work.class, None));
         } else {
-            self.push(now + TRIP, Event::Come(id));
+            self.push(now + ROUND_TRIP, Event::Arrive(id));
         }
     }
 }
--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -21,12 +21,12 @@
 }
 
 #[test]
-fn nothing_is_chosen_from_nothing() {
+fn no_target_is_chosen_without_candidates() {
     assert_eq!(choose(&[], Class::Feed, 1), None);
 }
 
 #[test]
-fn the_target_with_the_least_work_a_slot_is_taken() {
+fn the_target_with_the_least_work_per_slot_is_chosen() {
     let busy = Candidate { in_flight: 2, ..idle() };
     let large = Candidate { in_flight: 2, slots: 8, ..idle() };
 
@@ -52,7 +52,7 @@
 
 /// A target that has just started takes longer for everything.
 #[test]
-fn a_cold_target_is_taken_later_but_not_never() {
+fn a_cold_target_is_chosen_only_when_others_are_busy() {
     let cold = Candidate { cold: true, ..idle() };
     let busy = Candidate { in_flight: 4, ..idle() };
 
@@ -75,7 +75,7 @@
 
 /// An upload carries 80 kB to its target; a feed's request hardly anything.
 #[test]
-fn uploads_stay_near_unless_it_is_crowded_there() {
+fn uploads_stay_in_their_domain_unless_it_is_crowded() {
     let far = Candidate { same_domain: false, ..idle() };
     let busy = Candidate { in_flight: 2, ..idle() };
     let crowded = Candidate { in_flight: 6, ..idle() };
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn equals_are_taken_evenly() {
+fn equal_targets_are_chosen_equally_often() {
     let candidates = [idle(); 10];
     let mut random = Random::new(5);
     let mut counts = [0; 10];
@@ -100,7 +100,7 @@
 /// Feeds that are open ask whatever is decided; where they are not, requests don't wait
 /// behind them.
 #[test]
-fn feeds_leave_kept_targets_to_requests_while_others_have_room() {
+fn feeds_leave_reserved_targets_to_requests_while_others_have_capacity() {
     let kept = Candidate { reserved: true, ..idle() };
     let busy = Candidate { in_flight: 2, ..idle() };
 
--- a/load/tests/test_estimate.rs
+++ b/load/tests/test_estimate.rs
@@ -3,27 +3,27 @@
 use medlarspur_lib::time::Millis;
 use medlarspur_load::estimate::Estimate;
 
-fn heard(spans: impl IntoIterator<Item = u64>) -> Estimate {
+fn estimate_of(spans: impl IntoIterator<Item = u64>) -> Estimate {
     let mut estimate = Estimate::default();
     spans.into_iter().for_each(|span| estimate.record(Millis(span)));
     estimate
 }
 
 #[test]
-fn nothing_is_usual_before_enough_was_heard() {
-    assert_eq!(heard([40; 7]).upper_bound(), None);
-    assert!(heard([40; 8]).upper_bound().is_some());
+fn there_is_no_bound_with_few_samples() {
+    assert_eq!(estimate_of([40; 7]).upper_bound(), None);
+    assert!(estimate_of([40; 8]).upper_bound().is_some());
 }
 
 #[test]
-fn what_is_always_the_same_leaves_no_room() {
-    assert_eq!(heard([40; 100]).upper_bound(), Some(Millis(40)));
+fn the_bound_of_constant_times_is_their_value() {
+    assert_eq!(estimate_of([40; 100]).upper_bound(), Some(Millis(40)));
 }
 
 /// Half of the requests are short and half are long; both are usual.
 #[test]
-fn what_varies_is_within_the_bound() {
-    let estimate = heard((0..100).map(|nth| if nth % 2 == 0 { 20 } else { 120 }));
+fn varying_times_are_within_the_bound() {
+    let estimate = estimate_of((0..100).map(|nth| if nth % 2 == 0 { 20 } else { 120 }));
 
     assert!(
         estimate.upper_bound().is_some_and(|bound| bound >= Millis(120) && bound < Millis(400))
@@ -32,8 +32,8 @@
 
 /// Queues fill. What was usual must follow before well targets look dead.
 #[test]
-fn it_follows_within_a_dozen_answers() {
-    let estimate = heard([60; 50].into_iter().chain([300; 12]));
+fn the_bound_follows_within_a_dozen_answers() {
+    let estimate = estimate_of([60; 50].into_iter().chain([300; 12]));
 
     assert!(estimate.upper_bound().is_some_and(|bound| bound >= Millis(300)));
 }
--- a/load/tests/test_gate.rs
+++ b/load/tests/test_gate.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn an_idle_service_lets_an_opening_in_at_once() {
+fn an_idle_service_admits_an_opening_at_once() {
     let mut gate = gate();
     assert_eq!(gate.open(Millis(1), &request(1)), Verdict::Admit);
 }
@@ -65,7 +65,7 @@
 /// A burst leaves openings in line. Each must get one final verdict within the
 /// patience, or its caller sits before a connection that never opens.
 #[test]
-fn whoever_waits_gets_one_final_verdict_in_time() {
+fn a_waiting_opening_gets_one_final_verdict_in_time() {
     let mut gate = gate();
     let waiting = (0..200)
         .filter(|&f| matches!(gate.open(Millis(1), &request(f)), Verdict::Wait { .. }))
@@ -154,7 +154,7 @@
 /// of one. Were the others still to be paid for at that assumption, it would
 /// turn callers away from an idle target for most of a minute.
 #[test]
-fn an_end_makes_work_let_in_before_it_cheaper() {
+fn an_end_lowers_the_cost_of_work_admitted_before_it() {
     let mut gate = ingest();
     let upload = |flow| Opening { class: Class::Upload, target: TargetIx(0), ..request(flow) };
     let open = |gate: &mut Gate, now, flow| {
--- a/load/tests/test_lines.rs
+++ b/load/tests/test_lines.rs
@@ -6,25 +6,25 @@
 /// A failure domain is lost and thousands of flows are reset in a second. The
 /// first lines tell what happened, and the number of the others is told.
 #[test]
-fn a_burst_is_bounded_and_what_is_left_out_is_counted() {
+fn a_burst_is_bounded_and_omitted_lines_are_counted() {
     let mut budget = LineBudget::new(Millis(0));
     let mut written = 0;
-    let mut told = 0;
+    let mut reported = 0;
     for nth in 0..5_000 {
         if let LineVerdict::Write { left_out } = budget.take(Millis(nth / 5)) {
             written += 1;
-            told += left_out;
+            reported += left_out;
         }
     }
     assert!((290..=300).contains(&written), "{written}");
 
     let LineVerdict::Write { left_out } = budget.take(Millis(5_000)) else { panic!("no room") };
 
-    assert_eq!(written + told + left_out, 5_000);
+    assert_eq!(written + reported + left_out, 5_000);
 }
 
 #[test]
-fn an_ordinary_day_loses_no_line() {
+fn no_line_is_omitted_under_ordinary_load() {
     let mut budget = LineBudget::new(Millis(0));
 
     let all = (0..10_000)
--- a/load/tests/test_many.rs
+++ b/load/tests/test_many.rs
@@ -10,13 +10,13 @@
 /// The targets of a failure domain, with one slot each.
 const TARGETS: usize = 30;
 /// How many of them are kept for requests, and how many were when the feeds were opened.
-const KEPT: usize = 16;
-const KEPT_FIRST: usize = 10;
+const RESERVED: usize = 16;
+const INITIALLY_RESERVED: usize = 10;
 /// How many requests come a second, and how long one takes.
-const REQUESTS: u64 = 146;
+const REQUESTS_PER_SECOND: u64 = 146;
 const WORK: Millis = Millis(72);
-const LENGTH: Millis = Millis::secs(20);
-const GOAL: Millis = Millis(600);
+const DURATION: Millis = Millis::secs(20);
+const OBJECTIVE: Millis = Millis(600);
 
 /// One request: where it waits, by which instance, and until when.
 struct Sent {
@@ -27,14 +27,14 @@
 
 /// Deals requests out, each instance by what it sees itself, where it has one open feed at
 /// each target that was not kept at first. Answers how many of 100 are in time.
-fn in_time(seed: u64) -> usize {
+fn percent_in_time(seed: u64) -> usize {
     let mut random = Random::new(seed);
-    let mut free = [Millis(0); TARGETS];
+    let mut free_at = [Millis(0); TARGETS];
     let mut sent: Vec<Sent> = Vec::new();
-    let (mut all, mut timely) = (0, 0);
-    for now in (0..LENGTH.0).map(Millis) {
+    let (mut all, mut in_time) = (0, 0);
+    for now in (0..DURATION.0).map(Millis) {
         sent.retain(|it| it.end > now);
-        if random.draw() % 1_000 >= REQUESTS {
+        if random.draw() % 1_000 >= REQUESTS_PER_SECOND {
             continue;
         }
         let instance = random.draw() as usize % INSTANCES;
@@ -45,28 +45,28 @@
                 slots: 1,
                 in_flight: own.count() as u32,
                 opening: 0,
-                idle_feeds: u32::from(target >= KEPT_FIRST),
+                idle_feeds: u32::from(target >= INITIALLY_RESERVED),
                 cold: false,
                 same_domain: true,
-                reserved: target < KEPT,
+                reserved: target < RESERVED,
                 outside_subset: false,
             }
         };
         let candidates: Vec<Candidate> = (0..TARGETS).map(candidate).collect();
         let target = choose(&candidates, Class::Request, random.draw()).expect("a target");
-        let end = free[target].max(now) + WORK;
-        free[target] = end;
+        let end = free_at[target].max(now) + WORK;
+        free_at[target] = end;
         sent.push(Sent { target, instance, end });
         all += 1;
-        timely += usize::from(end.since(now) <= GOAL);
+        in_time += usize::from(end.since(now) <= OBJECTIVE);
     }
-    100 * timely / all
+    100 * in_time / all
 }
 
 /// Guards against requests that all go to the few targets at which an instance has no feed.
 #[test]
-fn requests_are_dealt_to_all_targets_that_are_kept_for_them() {
+fn requests_use_all_targets_that_are_reserved_for_them() {
     for seed in 1..=3 {
-        assert!(in_time(seed) >= 95, "{} of 100", in_time(seed));
+        assert!(percent_in_time(seed) >= 95, "{} of 100", percent_in_time(seed));
     }
 }
--- a/load/tests/test_overload.rs
+++ b/load/tests/test_overload.rs
@@ -1,13 +1,13 @@
 //! A service that is asked for more than it can do for some seconds.
 
-use super::overload::{Got, Scene, play};
+use super::overload::{Scene, Tally, play};
 use medlarspur_lib::bundle::Class;
 
-/// What callers got over some seeds, without and with openings that wait.
-fn compare(scene: fn(u64) -> Scene, from: u64, to: u64) -> [Got; 2] {
+/// What callers tally over some seeds, without and with openings that wait.
+fn compare(scene: fn(u64) -> Scene, from: u64, to: u64) -> [Tally; 2] {
     [false, true].map(|limited| {
-        let got = (1..=6).map(|seed| play(scene(seed), limited).got(from, to));
-        got.fold(Got::default(), |sum, it| sum + it)
+        let tally = (1..=6).map(|seed| play(scene(seed), limited).tally(from, to));
+        tally.fold(Tally::default(), |sum, it| sum + it)
     })
 }
 
@@ -19,24 +19,30 @@
 fn more_are_answered_in_time_while_half_of_the_targets_are_gone() {
     let [without, with] = compare(Scene::half_gone, 4_000, 10_000);
 
-    assert!(with.part() > without.part() + 0.03, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() + 0.03,
+        "{without:?}, then {with:?}"
+    );
     assert!(with.refused < without.refused * 2, "{without:?}, then {with:?}");
 }
 
 /// The same with a quarter more requests than on an ordinary day: what can't be done
 /// must not make all the rest late.
 #[test]
-fn a_larger_excess_gains_more() {
+fn a_larger_overload_gains_more() {
     let [without, with] = compare(Scene::more_asked, 4_000, 10_000);
 
-    assert!(with.part() > without.part() + 0.12, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() + 0.12,
+        "{without:?}, then {with:?}"
+    );
     assert!(with.refused < without.refused, "{without:?}, then {with:?}");
 }
 
 /// Nobody is served for 1.7 s, and what was asked meanwhile comes within the next
 /// second. Fewer are told that they were not served, and no fewer are in time.
 #[test]
-fn a_crowd_after_an_outage_is_served_with_fewer_refusals() {
+fn a_burst_after_an_outage_is_served_with_fewer_refusals() {
     let [without, with] = compare(Scene::outage, 4_000, 8_000);
 
     assert!(with.in_time >= without.in_time, "{without:?}, then {with:?}");
@@ -45,33 +51,40 @@
 
 /// Nothing waits where targets keep up: the limit must cost nothing on all other days.
 #[test]
-fn an_ordinary_day_is_as_before() {
+fn ordinary_load_is_not_affected() {
     let [without, with] = compare(Scene::site, 0, 14_000);
 
     assert_eq!(with.refused, 0);
-    assert!(with.part() > without.part() - 0.001, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() - 0.001,
+        "{without:?}, then {with:?}"
+    );
 }
 
 /// Requests of another site take two thirds of their goal, so answers always look slow.
 /// Held back for that, they would be later still while targets stand idle.
 #[test]
-fn a_service_that_is_slow_by_nature_is_not_limited() {
+fn a_service_with_long_work_is_not_limited() {
     let [without, with] = compare(Scene::slow, 3_000, 14_000);
 
-    assert!(with.part() > without.part() - 0.01, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() - 0.01,
+        "{without:?}, then {with:?}"
+    );
 }
 
 /// A crowd comes, most of it on feeds that are open and go on whatever is decided. What is
 /// ranked first waits only for what is ranked as high, so that it is not late first.
 #[test]
-fn in_an_excess_of_feeds_requests_are_not_the_first_that_are_late() {
+fn requests_are_not_late_first_in_an_excess_of_feeds() {
     let of = |class| {
-        let got = (1..=6).map(|seed| play(Scene::excess(seed), true).got_of(class, 2_000, 14_000));
-        got.fold(Got::default(), |sum, it| sum + it)
+        let tally =
+            (1..=6).map(|seed| play(Scene::excess(seed), true).tally_class(class, 2_000, 14_000));
+        tally.fold(Tally::default(), |sum, it| sum + it)
     };
 
     let (requests, feeds) = (of(Class::Request), of(Class::Feed));
 
-    assert!(requests.part() > feeds.part(), "{requests:?} {feeds:?}");
-    assert!(requests.refused_part() < feeds.refused_part(), "{requests:?} {feeds:?}");
+    assert!(requests.fraction_in_time() > feeds.fraction_in_time(), "{requests:?} {feeds:?}");
+    assert!(requests.fraction_refused() < feeds.fraction_refused(), "{requests:?} {feeds:?}");
 }
--- a/load/tests/test_patterns.rs
+++ b/load/tests/test_patterns.rs
@@ -19,7 +19,7 @@
     for (scene, outcome) in &played {
         assert_eq!(outcome.false_refusals, 0, "{}", scene.name);
         assert_eq!(outcome.double_runs, 0, "{}", scene.name);
-        assert!(outcome.refused(0.99) <= 50, "{}", scene.name);
+        assert!(outcome.refusal_time(0.99) <= 50, "{}", scene.name);
     }
     played.into()
 }
@@ -28,29 +28,29 @@
     [small(), large()]
 }
 
-fn requests_through(scene: &Scene, outcome: &Outcome) -> f64 {
-    outcome.through(scene, Class::Request, |_| true)
+fn requests_done(scene: &Scene, outcome: &Outcome) -> f64 {
+    outcome.fraction_done(scene, Class::Request, |_| true)
 }
 
 /// Three times as many motorists as there is room for try to book for a
 /// minute. Let in all, they wait longer than they stay, and work is done for
 /// nobody: the site is busy and no one gets a booking.
 #[test]
-fn saturation_leaves_the_targets_useful() {
+fn saturation_keeps_goodput_high() {
     for site in both(alertdesk, ajanvaraus) {
         let scene = scenes::requests("saturation", &site, 60_000, (0.6, 3.0));
         for (scene, outcome) in play(scene) {
             let goodput = outcome.goodput(&scene);
             assert!(goodput >= 0.95, "{} {} {goodput}", site.name, scene.spray);
-            let normal = outcome.normal(&scene);
-            assert!(normal.is_some_and(|s| s <= 5), "{} {normal:?}", site.name);
+            let recovery = outcome.recovery_seconds(&scene);
+            assert!(recovery.is_some_and(|s| s <= 5), "{} {recovery:?}", site.name);
         }
     }
 }
 
 /// The same without admission, to show that the model has the failure.
 #[test]
-fn saturation_without_admission_does_work_for_nobody() {
+fn saturation_without_admission_wastes_work() {
     let scene = scenes::requests("saturation", &alertdesk(), 30_000, (0.6, 3.0));
     let outcome = Model::play(&scene, Policy::NoAdmission);
     assert!(outcome.goodput(&scene) < 0.6, "{}", outcome.goodput(&scene));
@@ -59,12 +59,12 @@
 /// A storm front: ten times the usual acknowledgements come in one second.
 /// Turned away, they would come back as a second burst.
 #[test]
-fn a_burst_of_a_second_gets_through() {
+fn a_burst_of_a_second_is_served() {
     for site in both(alertdesk, ajanvaraus) {
         for (scene, outcome) in play(scenes::requests("burst", &site, 1_000, (0.3, 3.0))) {
-            let through = requests_through(&scene, &outcome);
-            assert!(through >= 0.999, "{} {through}", site.name);
-            assert!(outcome.normal(&scene).is_some_and(|s| s <= 5), "{}", site.name);
+            let done = requests_done(&scene, &outcome);
+            assert!(done >= 0.999, "{} {done}", site.name);
+            assert!(outcome.recovery_seconds(&scene).is_some_and(|s| s <= 5), "{}", site.name);
         }
     }
 }
@@ -75,9 +75,9 @@
 fn a_few_callers_do_not_shut_out_the_others() {
     for site in both(alertdesk, ajanvaraus) {
         for (scene, outcome) in play(scenes::few_callers(&site)) {
-            let others = |w: &Work| u32::from(w.caller) >> 24 != scenes::HOGS;
-            let through = outcome.through(&scene, Class::Request, others);
-            assert!(through >= 0.98, "{} {through}", site.name);
+            let others = |w: &Work| u32::from(w.caller) >> 24 != scenes::HEAVY_CALLER_NETWORK;
+            let done = outcome.fraction_done(&scene, Class::Request, others);
+            assert!(done >= 0.98, "{} {done}", site.name);
         }
     }
 }
@@ -85,11 +85,11 @@
 /// Stations upload twice what the slots take while acknowledgements come.
 /// Without room kept for them, these wait behind uploads for seconds.
 #[test]
-fn requests_get_through_beside_long_uploads() {
+fn requests_are_served_beside_long_uploads() {
     for site in both(alertdesk, ajanvaraus) {
         for (scene, outcome) in play(scenes::mixed(&site)) {
-            let through = requests_through(&scene, &outcome);
-            assert!(through >= 0.999, "{} {} {through}", site.name, scene.spray);
+            let done = requests_done(&scene, &outcome);
+            assert!(done >= 0.999, "{} {} {done}", site.name, scene.spray);
         }
     }
 }
@@ -97,11 +97,11 @@
 /// The same while the targets' load endpoints don't answer. Shares that were
 /// saved up would be spent on uploads at once, and requests wait behind them.
 #[test]
-fn requests_get_through_beside_long_uploads_without_reports() {
+fn requests_are_served_beside_long_uploads_without_reports() {
     for site in both(alertdesk, ajanvaraus) {
         for (scene, outcome) in play(scenes::silent(scenes::mixed(&site))) {
-            let through = requests_through(&scene, &outcome);
-            assert!(through >= 0.95, "{} {} {through}", site.name, scene.spray);
+            let done = requests_done(&scene, &outcome);
+            assert!(done >= 0.95, "{} {} {done}", site.name, scene.spray);
         }
     }
 }
@@ -109,11 +109,11 @@
 /// Three times as many feeds come as there are connections. A target that is
 /// full of feeds drops the openings of acknowledgements.
 #[test]
-fn requests_get_through_beside_too_many_feeds() {
+fn requests_are_served_beside_too_many_feeds() {
     for site in both(alertdesk, ajanvaraus) {
         for (scene, outcome) in play(scenes::feeds(&site)) {
-            let through = requests_through(&scene, &outcome);
-            assert!(through >= 0.999, "{} {through}", site.name);
+            let done = requests_done(&scene, &outcome);
+            assert!(done >= 0.999, "{} {done}", site.name);
             assert_eq!(outcome.overrun, 0, "{}", site.name);
         }
     }
@@ -122,7 +122,7 @@
 /// A target's load endpoint always says idle, or always says full. Believed,
 /// the first draws all work and the second pushes its own onto the others.
 #[test]
-fn a_lying_endpoint_moves_little() {
+fn a_wrong_report_moves_little_load() {
     for site in [alertdesk(), ajanvaraus(), ingest(), todisteet()] {
         for lie in [Fault::SaysIdle, Fault::SaysFull] {
             for (scene, outcome) in play(scenes::fault("lie", &site, 1, lie)) {
@@ -140,8 +140,8 @@
     for site in both(alertdesk, ajanvaraus) {
         for fault in [Fault::Slow(20), Fault::Shed] {
             for (scene, outcome) in play(scenes::fault("bad", &site, 1, fault)) {
-                let through = requests_through(&scene, &outcome);
-                assert!(through >= 0.999, "{} {fault:?} {through}", site.name);
+                let done = requests_done(&scene, &outcome);
+                assert!(done >= 0.999, "{} {fault:?} {done}", site.name);
             }
         }
     }
@@ -150,12 +150,12 @@
 /// A database behind all targets halves their speed at once. Were the slowest
 /// looking ones taken out, the rest would be overrun one after the other.
 #[test]
-fn all_slow_at_once_takes_none_out() {
+fn no_target_is_removed_when_all_are_slow() {
     for site in both(alertdesk, ajanvaraus) {
         let all = site.hosts;
         for (scene, outcome) in play(scenes::fault("all slow", &site, all, Fault::Slow(50))) {
-            let through = requests_through(&scene, &outcome);
-            assert!(through >= 0.99, "{} {through}", site.name);
+            let done = requests_done(&scene, &outcome);
+            assert!(done >= 0.99, "{} {done}", site.name);
             assert!(outcome.imbalance(&scene).0 <= 1.25, "{}", site.name);
         }
     }
--- a/load/tests/test_placement.rs
+++ b/load/tests/test_placement.rs
@@ -1,92 +1,92 @@
 use medlarspur_lib::{bundle::TargetState, time::Millis};
 use medlarspur_load::{
     Report,
-    placement::{FULL, Seen, View, advise},
+    placement::{FULL_WEIGHT, TargetStats, TargetView, update_weights},
 };
 
 /// Renews the weights of so many seconds.
-fn weights(seen: &mut [Seen], from: u64, seconds: u64) -> Vec<u16> {
-    let mut weights = vec![0; seen.len()];
+fn weights(stats: &mut [TargetStats], from: u64, seconds: u64) -> Vec<u16> {
+    let mut weights = vec![0; stats.len()];
     for second in from..from + seconds {
-        let view = |seen| View {
+        let view = |stats| TargetView {
             state: TargetState::Active,
             weight: 100,
             slots: 2,
             hold: Some(40.0),
-            seen,
+            stats,
         };
-        let mut views: Vec<View> = seen.iter_mut().map(view).collect();
-        advise(Millis::secs(second), 100, &mut views, &mut weights);
+        let mut views: Vec<TargetView> = stats.iter_mut().map(view).collect();
+        update_weights(Millis::secs(second), 100, &mut views, &mut weights);
     }
     weights
 }
 
-fn targets(count: usize) -> Vec<Seen> {
-    vec![Seen::new(false); count]
+fn targets(count: usize) -> Vec<TargetStats> {
+    vec![TargetStats::new(false); count]
 }
 
-fn reset(seen: &mut Seen) {
+fn reset(stats: &mut TargetStats) {
     for _ in 0..200 {
-        seen.open(Millis(1));
-        seen.follow(Millis(1));
-        seen.reset(Millis(1));
+        stats.record_opening(Millis(1));
+        stats.record_established(Millis(1));
+        stats.record_reset(Millis(1));
     }
 }
 
-fn told(draining: bool) -> Report {
+fn report(draining: bool) -> Report {
     Report { healthy: true, draining, work: 0, connections: 0 }
 }
 
 #[test]
-fn a_target_that_resets_its_flows_gets_less() {
-    let mut seen = targets(14);
-    reset(&mut seen[3]);
-    let weights = weights(&mut seen, 0, 10);
-    assert!(weights[3] <= FULL * 6 / 10, "{weights:?}");
-    assert_eq!(weights[4], FULL);
+fn a_target_that_resets_its_flows_gets_less_work() {
+    let mut stats = targets(14);
+    reset(&mut stats[3]);
+    let weights = weights(&mut stats, 0, 10);
+    assert!(weights[3] <= FULL_WEIGHT * 6 / 10, "{weights:?}");
+    assert_eq!(weights[4], FULL_WEIGHT);
 }
 
 /// A firewall between instances and callers resets flows of ten of fourteen
 /// targets. Taken out, their work would overrun the other four.
 #[test]
-fn none_is_taken_out_when_most_look_bad() {
-    let mut seen = targets(14);
-    seen[..10].iter_mut().for_each(reset);
-    assert_eq!(weights(&mut seen, 0, 10), [FULL; 14]);
+fn no_target_is_removed_when_most_look_bad() {
+    let mut stats = targets(14);
+    stats[..10].iter_mut().for_each(reset);
+    assert_eq!(weights(&mut stats, 0, 10), [FULL_WEIGHT; 14]);
 }
 
 /// A target that has just started has cold caches; a full share at once makes
 /// its callers wait.
 #[test]
 fn a_new_target_gets_its_share_step_by_step() {
-    let mut seen = targets(13);
-    seen.push(Seen::new(true));
-    assert!(weights(&mut seen, 0, 1)[13] <= FULL / 4);
-    assert!(weights(&mut seen, 1, 5)[13] <= FULL / 2);
-    assert_eq!(weights(&mut seen, 6, 15)[13], FULL);
+    let mut stats = targets(13);
+    stats.push(TargetStats::new(true));
+    assert!(weights(&mut stats, 0, 1)[13] <= FULL_WEIGHT / 4);
+    assert!(weights(&mut stats, 1, 5)[13] <= FULL_WEIGHT / 2);
+    assert_eq!(weights(&mut stats, 6, 15)[13], FULL_WEIGHT);
 }
 
 /// Instances that flee a bad target at once all come back at once.
 #[test]
 fn a_weight_moves_in_small_steps() {
-    let mut seen = targets(14);
-    reset(&mut seen[0]);
-    assert!(weights(&mut seen, 0, 1)[0] >= FULL * 8 / 10);
+    let mut stats = targets(14);
+    reset(&mut stats[0]);
+    assert!(weights(&mut stats, 0, 1)[0] >= FULL_WEIGHT * 8 / 10);
 }
 
 #[test]
 fn a_draining_target_gets_nothing() {
-    let mut seen = targets(14);
-    seen[2].tell(Millis(1), told(true));
-    let weights = weights(&mut seen, 0, 1);
-    assert_eq!((weights[2], weights[3]), (0, FULL));
+    let mut stats = targets(14);
+    stats[2].record_report(Millis(1), report(true));
+    let weights = weights(&mut stats, 0, 1);
+    assert_eq!((weights[2], weights[3]), (0, FULL_WEIGHT));
 }
 
 /// A faulty release of the targets' health endpoint says on all that they
 /// drain. Believed, a whole service would stop.
 #[test]
-fn most_draining_at_once_is_not_believed() {
-    let mut seen = targets(14);
-    seen[..10].iter_mut().for_each(|seen| seen.tell(Millis(1), told(true)));
-    assert_eq!(weights(&mut seen, 0, 1), [FULL; 14]);
+fn reports_of_draining_from_most_targets_are_ignored() {
+    let mut stats = targets(14);
+    stats[..10].iter_mut().for_each(|stats| stats.record_report(Millis(1), report(true)));
+    assert_eq!(weights(&mut stats, 0, 1), [FULL_WEIGHT; 14]);
 }
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -6,7 +6,7 @@
 };
 use medlarspur_load::{
     Closing, Gate, Opening, Report, ServiceSpec, Settings, Signal, TargetSpec, Verdict, placement,
-    retry::{Decision, Memory},
+    retry::{Decision, DecisionCache},
 };
 use proptest::prelude::*;
 use std::net::Ipv4Addr;
@@ -62,12 +62,12 @@
     /// final verdict by the promised time, and a leaving target gets nothing
     /// new. Otherwise a caller hears *not run* of work that runs, or nothing.
     #[test]
-    fn every_opening_gets_one_lasting_answer(steps in proptest::collection::vec(step(), 1..300)) {
+    fn every_opening_gets_one_lasting_verdict(steps in proptest::collection::vec(step(), 1..300)) {
         let mut gate = Gate::new(Settings::default(), 1);
         let mut now = Millis(0);
         let mut waiting: Map<FlowId, Millis> = Map::default();
         let mut refused: Map<FlowId, Millis> = Map::default();
-        let mut left = None;
+        let mut leaving = None;
         gate.set_instances(2);
         gate.set_services(now, vec![service(None)]);
         for step in steps {
@@ -87,7 +87,7 @@
                     if refused.get(&flow).is_some_and(|&until| now < until) {
                         prop_assert!(is_refusal(verdict));
                     }
-                    if left == Some(target) && !again {
+                    if leaving == Some(target) && !again {
                         prop_assert!(is_refusal(verdict));
                     }
                     match verdict {
@@ -113,7 +113,7 @@
                     gate.record_signal(now, ServiceIx(0), TargetIx(target), Signal::Report(told));
                 }
                 Step::Leave(target) => {
-                    left = target;
+                    leaving = target;
                     gate.set_services(now, vec![service(target)]);
                 }
                 Step::Pass(span) => {
@@ -131,8 +131,8 @@
                     }
                     prop_assert!(waiting.values().all(|&until| until > now), "in time");
                     let weights = gate.weights(ServiceIx(0));
-                    prop_assert!(weights.iter().all(|&w| w <= placement::FULL));
-                    if let Some(target) = left {
+                    prop_assert!(weights.iter().all(|&w| w <= placement::FULL_WEIGHT));
+                    if let Some(target) = leaving {
                         prop_assert!(span < 1_001 || weights[usize::from(target)] == 0);
                     }
                 }
@@ -143,10 +143,10 @@
     /// The memory stays bounded whatever comes, or a flood of openings takes
     /// the instance down.
     #[test]
-    fn memory_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
-        let mut memory = Memory::default();
+    fn decision_cache_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
+        let mut memory = DecisionCache::default();
         for (at, &flow) in flows.iter().enumerate() {
-            memory.keep(Millis(at as u64 * 200), FlowId(flow), Decision::Admitted(Millis(0)));
+            memory.insert(Millis(at as u64 * 200), FlowId(flow), Decision::Admitted(Millis(0)));
         }
         prop_assert!(memory.len() <= 2 * 64_000 / 200 + 2);
     }
--- a/load/tests/test_refusal.rs
+++ b/load/tests/test_refusal.rs
@@ -1,36 +1,36 @@
 use medlarspur_lib::time::Millis;
-use medlarspur_load::{random::Random, refusal::Overload, retry::Budget};
+use medlarspur_load::{random::Random, refusal::Overload, retry::RetryBudget};
 
-/// The waits that 100 callers a second are told after so many seconds of an
+/// The wait_times that 100 callers a second are told after so many seconds of an
 /// overload in which twice as many come as fit.
-fn waits(seconds: u64) -> Vec<u64> {
+fn wait_times(seconds: u64) -> Vec<u64> {
     let (mut overload, mut random) = (Overload::default(), Random::new(1));
-    let mut waits = Vec::new();
+    let mut wait_times = Vec::new();
     for at in (0..seconds * 1_000).step_by(10) {
-        overload.admit(Millis(at));
-        waits.push(overload.refuse(Millis(at), true, &mut random).0);
+        overload.record_admission(Millis(at));
+        wait_times.push(overload.record_refusal(Millis(at), true, &mut random).0);
     }
-    waits.split_off(waits.len() - 100)
+    wait_times.split_off(wait_times.len() - 100)
 }
 
-fn mean(waits: &[u64]) -> u64 {
-    waits.iter().sum::<u64>() / waits.len() as u64
+fn mean(wait_times: &[u64]) -> u64 {
+    wait_times.iter().sum::<u64>() / wait_times.len() as u64
 }
 
 /// Callers that are all told the same come back as one crowd.
 #[test]
-fn callers_are_told_different_waits() {
-    let mut waits = waits(10);
-    let mean = mean(&waits);
-    waits.sort_unstable();
-    waits.dedup();
-    assert!(waits.len() > 90, "{}", waits.len());
-    assert!(waits[0] < mean * 7 / 10 && waits[waits.len() - 1] > mean * 13 / 10);
+fn callers_get_different_retry_times() {
+    let mut wait_times = wait_times(10);
+    let mean = mean(&wait_times);
+    wait_times.sort_unstable();
+    wait_times.dedup();
+    assert!(wait_times.len() > 90, "{}", wait_times.len());
+    assert!(wait_times[0] < mean * 7 / 10 && wait_times[wait_times.len() - 1] > mean * 13 / 10);
 }
 
 #[test]
-fn the_wait_grows_with_the_overload_and_is_bounded() {
-    let (short, long, longest) = (waits(1), waits(20), waits(600));
+fn the_retry_time_grows_with_the_overload_and_is_bounded() {
+    let (short, long, longest) = (wait_times(1), wait_times(20), wait_times(600));
     assert!(mean(&short) < 2_000);
     assert!(mean(&long) > 2 * mean(&short));
     assert!(longest.iter().all(|&wait| wait <= 45_000));
@@ -39,13 +39,13 @@
 /// All callers of a failed target repeat at once, again and again. Let in like
 /// new ones they hold the overload up after its cause has gone.
 #[test]
-fn early_repetitions_get_a_part_of_what_new_openings_get() {
-    let mut budget = Budget::new();
+fn early_repetitions_get_a_fraction_of_what_new_openings_get() {
+    let mut budget = RetryBudget::new();
     let mut early = 0;
     for _ in 0..1_000 {
-        budget.admit(false, 20);
-        while budget.allows() {
-            budget.admit(true, 20);
+        budget.record_admission(false, 20);
+        while budget.has_tokens() {
+            budget.record_admission(true, 20);
             early += 1;
         }
     }
--- a/load/tests/test_subset.rs
+++ b/load/tests/test_subset.rs
@@ -1,4 +1,4 @@
-//! Targets are dealt out among the instances of a failure domain.
+//! Targets are assigned out among the instances of a failure domain.
 
 use medlarspur_load::{subset::assigned_targets, warmup::Seat};
 use proptest::prelude::*;
@@ -11,35 +11,35 @@
     targets
 }
 
-fn all(count: u32, targets: &[u64]) -> Vec<Vec<u64>> {
+fn all_subsets(count: u32, targets: &[u64]) -> Vec<Vec<u64>> {
     (0..count).map(|position| assigned_targets(Seat { position, count }, targets)).collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against targets that nobody takes first, and against parts of unlike size.
+    /// Guards against targets that nobody takes first, and against subsets of unlike size.
     #[test]
-    fn each_target_is_dealt_and_parts_are_alike(count in 1..120u32, number in 0..1_000u64) {
+    fn each_target_is_assigned_and_subsets_are_of_similar_size(count in 1..120u32, number in 0..1_000u64) {
         let targets = targets(number);
 
-        let parts = all(count, &targets);
+        let subsets = all_subsets(count, &targets);
 
-        let dealt: BTreeSet<u64> = parts.iter().flatten().copied().collect();
-        prop_assert_eq!(dealt.len(), targets.len());
-        let sizes = parts.iter().map(Vec::len);
+        let assigned: BTreeSet<u64> = subsets.iter().flatten().copied().collect();
+        prop_assert_eq!(assigned.len(), targets.len());
+        let sizes = subsets.iter().map(Vec::len);
         let (least, most) = (sizes.clone().min().unwrap_or(0), sizes.max().unwrap_or(0));
         prop_assert!(most - least <= 4, "{least} to {most}");
     }
 
     /// Guards against one target that most instances take first, where targets are few.
     #[test]
-    fn as_many_instances_have_one_target_as_another(count in 1..120u32, number in 1..400u64) {
+    fn targets_have_similar_numbers_of_instances(count in 1..120u32, number in 1..400u64) {
         let targets = targets(number);
 
-        let parts = all(count, &targets);
+        let subsets = all_subsets(count, &targets);
 
-        let owners = |target: &u64| parts.iter().filter(|part| part.contains(target)).count();
+        let owners = |target: &u64| subsets.iter().filter(|subset| subset.contains(target)).count();
         let owners: Vec<usize> = targets.iter().map(owners).collect();
         let (least, most) = (owners.iter().min(), owners.iter().max());
         let mean = f64::from(count) / number as f64;
@@ -48,19 +48,19 @@
 
     /// Guards against instances whose targets are all kept for requests.
     #[test]
-    fn each_part_has_some_of_the_first_and_of_the_last(count in 1..100u32) {
+    fn each_subset_has_some_of_the_first_and_of_the_last_targets(count in 1..100u32) {
         let targets = targets(8 * u64::from(count));
         let middle = targets[targets.len() / 2];
 
-        for part in all(count, &targets) {
-            let first = part.iter().filter(|it| **it < middle).count();
-            prop_assert!(first >= 2 && part.len() - first >= 2, "{first} of {}", part.len());
+        for subset in all_subsets(count, &targets) {
+            let first = subset.iter().filter(|it| **it < middle).count();
+            prop_assert!(first >= 2 && subset.len() - first >= 2, "{first} of {}", subset.len());
         }
     }
 
     /// Guards against dealing everything anew whenever a target comes or goes.
     #[test]
-    fn most_targets_stay_when_one_goes(position in 0..100u32, gone in 0..800usize) {
+    fn most_assignments_stay_when_a_target_goes(position in 0..100u32, gone in 0..800usize) {
         let before = targets(800);
         let mut after = before.clone();
         after.remove(gone);
@@ -74,9 +74,9 @@
 
     /// Guards against a damaged seat that ends a thread.
     #[test]
-    fn any_seat_has_some_of_the_targets(position: u32, count: u32, number in 1..500u64) {
-        let dealt = assigned_targets(Seat { position, count }, &targets(number));
+    fn any_seat_gets_a_target(position: u32, count: u32, number in 1..500u64) {
+        let assigned = assigned_targets(Seat { position, count }, &targets(number));
 
-        prop_assert!(!dealt.is_empty());
+        prop_assert!(!assigned.is_empty());
     }
 }
--- a/load/tests/test_vacancy.rs
+++ b/load/tests/test_vacancy.rs
@@ -4,25 +4,25 @@
 use medlarspur_load::{random::Random, vacancy::Vacancy};
 
 #[test]
-fn a_target_that_leaves_an_opening_unanswered_takes_none() {
+fn a_target_that_leaves_an_opening_unanswered_gets_none() {
     let mut vacancy = Vacancy::default();
 
     assert!(vacancy.record_unanswered(Millis(100)));
 
     assert!(!vacancy.can_open(Class::Request, 0));
-    assert!(!vacancy.record_unanswered(Millis(150)), "that is known");
+    assert!(!vacancy.record_unanswered(Millis(150)), "already known");
     assert_eq!(vacancy.next_probe(), Some(Millis(600)));
 }
 
 #[test]
-fn each_question_without_room_doubles_the_pause_up_to_a_second() {
+fn each_unanswered_probe_doubles_the_pause_up_to_a_second() {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
-    let mut now = vacancy.next_probe().expect("it is full");
+    let mut now = vacancy.next_probe().expect("the target is full");
     let mut pauses = Vec::new();
     for _ in 0..3 {
         vacancy.record_unanswered(now);
-        let retry = vacancy.next_probe().expect("it is full");
+        let retry = vacancy.next_probe().expect("the target is full");
         pauses.push(retry.since(now).0);
         now = retry;
     }
@@ -31,31 +31,31 @@
 }
 
 /// When one of so many instances asks a full target within `span`, if it never has room.
-fn questions(instances: usize, span: Millis) -> Vec<u64> {
+fn probe_times(instances: usize, span: Millis) -> Vec<u64> {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
-    let mut asked = Vec::new();
+    let mut probes = Vec::new();
     while let Some(now) = vacancy.next_probe().filter(|at| *at <= span) {
-        asked.push(now.0);
+        probes.push(now.0);
         vacancy.record_probe(now, instances);
         vacancy.record_unanswered(now + Millis(1));
     }
-    asked
+    probes
 }
 
 /// Guards against questions that a full target ends one after the other at the first pause.
 #[test]
-fn questions_that_find_no_room_become_rarer() {
-    assert_eq!(questions(1, Millis(3_500)), [500, 1_500, 2_500, 3_500]);
+fn unanswered_probes_become_rarer() {
+    assert_eq!(probe_times(1, Millis(3_500)), [500, 1_500, 2_500, 3_500]);
 }
 
 /// Guards against a full target whose last connections go to instances' questions.
 #[test]
-fn a_large_fleet_asks_a_full_target_no_more_often_than_a_small_one() {
+fn a_large_fleet_probes_a_full_target_no_more_often_than_a_small_one() {
     let is_late = |at: &u64| *at >= 60_000;
     let in_second_minute = |instances| {
-        let asked = questions(instances, Millis::secs(120));
-        instances * asked.iter().copied().filter(is_late).count()
+        let probes = probe_times(instances, Millis::secs(120));
+        instances * probes.iter().copied().filter(is_late).count()
     };
 
     let small = in_second_minute(8);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_a_request_leaves_is_for_requests() {
+fn the_connection_of_an_ended_request_is_for_requests() {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
 
@@ -75,11 +75,11 @@
 
     assert!(!vacancy.can_open(Class::Feed, 0));
     assert!(vacancy.can_open(Class::Request, 0));
-    assert!(!vacancy.can_open(Class::Request, 1), "one for one");
+    assert!(!vacancy.can_open(Class::Request, 1), "one for each end");
 }
 
 #[test]
-fn what_a_feed_leaves_is_for_whoever_comes() {
+fn the_connection_of_an_ended_feed_is_for_any_class() {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
 
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn several_openings_in_a_row_make_it_free() {
+fn a_target_is_free_after_several_accepted_openings() {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
     vacancy.record_probe_answer();
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn after_one_answer_a_request_is_tried_and_after_six_a_feed() {
+fn a_request_is_tried_after_one_probe_answer_and_a_feed_after_six() {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
 
@@ -118,32 +118,32 @@
 
 /// How many targets and places, and how many instances.
 const TARGETS: usize = 14;
-const PLACES: usize = 25;
+const CONNECTIONS: usize = 25;
 const INSTANCES: usize = 8;
 /// How long a feed and a request stay, and how many come a second.
-const FEED: u64 = 17_000;
-const REQUEST: u64 = 100;
-const FEEDS: u64 = 32;
-const REQUESTS: u64 = 45;
+const FEED_DURATION: u64 = 17_000;
+const REQUEST_DURATION: u64 = 100;
+const FEEDS_PER_SECOND: u64 = 32;
+const REQUESTS_PER_SECOND: u64 = 45;
 /// How long is played, and from when on is counted: when the places have filled.
-const LENGTH: u64 = 60_000;
-const COUNTED: u64 = 20_000;
+const DURATION: u64 = 60_000;
+const COUNTED_FROM: u64 = 20_000;
 
 /// What callers of a class got.
 #[derive(Debug, Default, Clone, Copy)]
 struct Tally {
-    asked: u32,
+    opened: u32,
     served: u32,
 }
 
 impl Tally {
     fn percent(self) -> u32 {
-        100 * self.served / self.asked.max(1)
+        100 * self.served / self.opened.max(1)
     }
 }
 
 /// A place that is taken: until when, at which target, by which instance.
-struct Stay {
+struct OpenFlow {
     end: u64,
     target: usize,
     instance: usize,
@@ -151,55 +151,60 @@
 }
 
 /// Plays callers who come at random to instances that know only what they see. With
-/// `knows`, instances keep to [`Vacancy`]; without it any target is tried once.
-fn play(knows: bool, seed: u64) -> [Tally; 2] {
+/// `learns`, instances keep to [`Vacancy`]; without it any target is tried once.
+fn play(learns: bool, seed: u64) -> [Tally; 2] {
     let mut random = Random::new(seed);
     let mut tallies = [Tally::default(); 2];
     let mut vacancies = vec![[Vacancy::default(); TARGETS]; INSTANCES];
-    let mut stays: Vec<Stay> = Vec::new();
-    for now in 0..LENGTH {
-        for stay in stays.extract_if(.., |stay| stay.end <= now) {
-            vacancies[stay.instance][stay.target].record_flow_end(stay.class);
+    let mut flows: Vec<OpenFlow> = Vec::new();
+    for now in 0..DURATION {
+        for flow in flows.extract_if(.., |flow| flow.end <= now) {
+            vacancies[flow.instance][flow.target].record_flow_end(flow.class);
         }
-        let used = |stays: &[Stay], target| stays.iter().filter(|it| it.target == target).count();
+        let used =
+            |flows: &[OpenFlow], target| flows.iter().filter(|it| it.target == target).count();
         for vacancy in vacancies.iter_mut().flat_map(|it| it.iter_mut().enumerate()) {
             let (target, vacancy) = vacancy;
             if vacancy.next_probe().is_some_and(|at| at.0 <= now) {
                 vacancy.record_probe(Millis(now), INSTANCES);
-                match used(&stays, target) < PLACES {
+                match used(&flows, target) < CONNECTIONS {
                     true => vacancy.record_probe_answer(),
                     false => drop(vacancy.record_unanswered(Millis(now))),
                 }
             }
         }
-        let coming = [(Class::Feed, FEEDS, FEED), (Class::Request, REQUESTS, REQUEST)];
-        for (nth, (class, rate, stay)) in coming.into_iter().enumerate() {
+        let arrivals = [
+            (Class::Feed, FEEDS_PER_SECOND, FEED_DURATION),
+            (Class::Request, REQUESTS_PER_SECOND, REQUEST_DURATION),
+        ];
+        for (nth, (class, rate, duration)) in arrivals.into_iter().enumerate() {
             if random.draw() % 1_000 >= rate {
                 continue;
             }
             let instance = (random.draw() % INSTANCES as u64) as usize;
             let first = random.draw() as usize;
             let order = (0..TARGETS).map(|it| (first.wrapping_add(it)) % TARGETS);
-            let open = order.filter(|it| !knows || vacancies[instance][*it].can_open(class, 0));
-            let open: Vec<usize> = open.collect();
+            let candidates =
+                order.filter(|it| !learns || vacancies[instance][*it].can_open(class, 0));
+            let candidates: Vec<usize> = candidates.collect();
             let mut tries = 0;
             // A caller's opening goes on to two more targets before its goal has passed.
-            let target = open.into_iter().find(|target| {
+            let target = candidates.into_iter().find(|target| {
                 tries += 1;
-                let has_room = used(&stays, *target) < PLACES;
-                if !has_room {
+                let has_connection = used(&flows, *target) < CONNECTIONS;
+                if !has_connection {
                     vacancies[instance][*target].record_unanswered(Millis(now));
                 }
-                has_room || tries == 3
+                has_connection || tries == 3
             });
-            let target = target.filter(|it| used(&stays, *it) < PLACES);
-            if now >= COUNTED {
-                tallies[nth].asked += 1;
+            let target = target.filter(|it| used(&flows, *it) < CONNECTIONS);
+            if now >= COUNTED_FROM {
+                tallies[nth].opened += 1;
                 tallies[nth].served += u32::from(target.is_some());
             }
             if let Some(target) = target {
                 vacancies[instance][target].record_accepted(class);
-                stays.push(Stay { end: now + stay, target, instance, class });
+                flows.push(OpenFlow { end: now + duration, target, instance, class });
             }
         }
     }
@@ -208,7 +213,7 @@
 
 /// Guards against requests that find every place taken by feeds, which stay for long.
 #[test]
-fn requests_find_places_where_feeds_would_take_them_all() {
+fn requests_find_connections_where_feeds_would_take_them_all() {
     for seed in 1..=3 {
         let [feeds, requests] = play(true, seed);
         let [feeds_before, requests_before] = play(false, seed);
--- a/load/tests/test_warmup.rs
+++ b/load/tests/test_warmup.rs
@@ -4,12 +4,12 @@
 use proptest::prelude::*;
 
 /// What the users' pages allow a slow target in a second, of what it bears.
-fn allowed(rate: u32) -> u64 {
+fn allowed_per_second(rate: u32) -> u64 {
     u64::from(rate) * 3 / 2 + 5
 }
 
 /// The most openings within any second of owners that each open whenever they may.
-fn most(rate: u32, phases: &[u64]) -> usize {
+fn most_per_second(rate: u32, phases: &[u64]) -> usize {
     let pause = opening_interval(rate).0;
     let mut moments: Vec<u64> = phases
         .iter()
@@ -34,17 +34,17 @@
     /// Several instances take themselves for the owner of one target. What it gets from all of
     /// them together stays within what it may get.
     #[test]
-    fn owners_that_disagree_stay_within_the_bound(
+    fn several_owners_stay_within_the_bound(
         rate in 1..100u32, phases in proptest::collection::vec(0..10_000u64, 1..=MAX_OWNERS as usize)
     ) {
-        prop_assert!(most(rate, &phases) as u64 <= allowed(rate));
+        prop_assert!(most_per_second(rate, &phases) as u64 <= allowed_per_second(rate));
     }
 }
 
 /// All targets of a service are slow at once. Each bears four requests a second, and its owner
 /// opens two; without owners all callers would be refused.
 #[test]
-fn an_owner_opens_its_part_of_what_a_target_bears() {
-    assert_eq!(most(4, &[0]), 2);
-    assert_eq!(most(40, &[0]), 20);
+fn an_owner_opens_half_of_what_a_target_can_take() {
+    assert_eq!(most_per_second(4, &[0]), 2);
+    assert_eq!(most_per_second(40, &[0]), 20);
 }
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -96,7 +96,7 @@
         }
         let Load { work, .. } = self.load(&it.service);
         let room = self.rooms.entry(it.service.clone()).or_default();
-        if room.backlog.admits(it.class) && room.limit.admits(it.class, work, now) {
+        if room.backlog.can_bypass(it.class) && room.limit.admits(it.class, work, now) {
             return Some(it);
         }
         let deadline = now + max_wait(goal);
@@ -177,7 +177,7 @@
     fn expire(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
         loop {
             let Some(room) = self.rooms.get_mut(service) else { return };
-            let Some(late) = room.backlog.expire(now) else { return };
+            let Some(late) = room.backlog.pop_expired(now) else { return };
             if self.held.remove(&late.key).is_some() {
                 self.refuse(&late.key, Refusal::Busy, out);
             }
@@ -205,7 +205,7 @@
 
     /// When the first flow has waited too long.
     pub(super) fn patience(&self) -> Option<Millis> {
-        self.rooms.values().filter_map(|room| room.backlog.deadline()).min()
+        self.rooms.values().filter_map(|room| room.backlog.next_deadline()).min()
     }
 
     fn load(&self, service: &ServiceName) -> Load {
