--- a/load/examples/choice.rs
+++ b/load/examples/choice.rs
@@ -1,9 +1,9 @@
-//! Compares ways to choose the target of a new flow, in virtual time.
+//! Compares strategies for choosing the target of a new flow, in virtual time.
 //!
-//! Several instances place flows on the same targets, and each knows only what
-//! passes through itself. Feeds stay where they are placed and ask about once a
-//! second; requests open a flow each. Prints how long callers wait, by strategy and
-//! load. `docs/measures/marks.md` has a run.
+//! Several instances place flows on the same targets, and each knows only the flows that
+//! pass through it. Feeds stay where they are placed and send about one request a second;
+//! requests open a flow each. Prints how long callers wait, by strategy and load.
+//! `docs/measures/marks.md` has a run.
 
 use medlarspur_lib::bundle::Class;
 use medlarspur_load::{
@@ -12,31 +12,31 @@
 };
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-/// How many instances and targets there are, as at today's sites.
+/// Numbers of instances, targets and slots per target, as at today's sites.
 const INSTANCES: usize = 8;
 const TARGETS: usize = 14;
 const SLOTS: usize = 3;
-/// How many feeds are open.
+/// Number of open feeds.
 const FEEDS: usize = 300;
-/// The mean work of a request, in milliseconds.
+/// Mean work of a request, in milliseconds.
 const WORK: f64 = 60.0;
-/// How long is played, in milliseconds.
+/// Length of the simulation, in milliseconds.
 const DURATION: u64 = 120_000;
-/// What is late: the aim of the busier site.
+/// Latency objective of the busier site, in milliseconds.
 const OBJECTIVE: u64 = 250;
 
-/// A strategy to choose.
+/// A strategy for choosing a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Strategy {
     /// Any target.
     Random,
-    /// One after the other, each instance for itself.
+    /// The targets in turn, for each instance separately.
     RoundRobin,
-    /// The one of two drawn that has less work of this instance.
+    /// Of two random targets, the one with less work of this instance.
     TwoChoices,
-    /// The one with the least work of this instance, as the product chooses.
+    /// The target with the least work of this instance, as in the product.
     LeastOwn,
-    /// The one with the least work of all: what no instance can know.
+    /// The target with the least work of all instances, which no instance can know.
     LeastOfAll,
 }
 
@@ -50,11 +50,11 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A feed asks.
+    /// A feed sends a request.
     Feed(usize),
-    /// A request comes to an instance.
+    /// A request arrives at an instance.
     Request(usize),
-    /// A target has worked off one of an instance, for a feed or not.
+    /// A target has finished a request of an instance, of a feed or not.
     Done(usize, usize, bool),
 }
 
@@ -66,7 +66,8 @@
     in_flight: Vec<[u32; TARGETS]>,
     /// Open feeds without a request in flight, by instance and target.
     idle: Vec<[u32; TARGETS]>,
-    /// Requests at a target, those that wait included, with when each came.
+    /// Requests at a target, waiting ones included: arrival time, instance, whether of a
+    /// feed, and work.
     queues: Vec<Vec<(u64, usize, bool, u64)>>,
     turns: Vec<usize>,
     spans: Vec<u64>,
@@ -137,7 +138,7 @@
 }
 
 impl Simulation {
-    /// A span drawn with this mean, exponentially.
+    /// Returns a random span with an exponential distribution.
     fn exponential(&mut self, mean: f64) -> u64 {
         (-mean * (1.0 - self.random.fraction()).ln()) as u64
     }
--- a/load/examples/measure/cost.rs
+++ b/load/examples/measure/cost.rs
@@ -1,4 +1,4 @@
-//! How long a decision takes and what state it costs, on this machine.
+//! Measures the time of a decision and the cost of its state, on this machine.
 
 use crate::model::site;
 use medlarspur_lib::{
@@ -12,7 +12,7 @@
 /// Openings of one measurement: 100 s of 10,000 a second.
 const OPENINGS: u64 = 1_000_000;
 
-/// Prints nanoseconds for an opening, for its repetition and for an end.
+/// Prints nanoseconds for an opening, its repetition and an end.
 pub fn print() {
     let mut gate = Gate::new(Settings::default(), 1);
     gate.set_instances(8);
@@ -45,8 +45,8 @@
     println!("| renew the weights of 3,400 services, once a second | {tick:.0} |");
 }
 
-/// Time to take over a bundle and to renew all weights at the target size:
-/// 3,400 services with 5,600 targets.
+/// Returns the time to install a bundle and to update all weights at the target size: 3,400
+/// services with 5,600 targets.
 fn fleet() -> (f64, f64) {
     let mut gate = Gate::new(Settings::default(), 1);
     let services = || (0..3_400).map(fleet_service).collect();
--- a/load/examples/measure/main.rs
+++ b/load/examples/measure/main.rs
@@ -1,5 +1,5 @@
-//! Prints what callers get under each load pattern, with this crate's
-//! decisions and with the baselines: the table in `docs/measures/load.md`.
+//! Prints what callers get under each load pattern, with this crate's decisions and with
+//! the baselines: the table in `docs/measures/load.md`.
 //!
 //! `cargo run --release -p medlarspur-load --example measure [SCENE] [POLICY] [SEED]`
 
--- a/load/examples/overload.rs
+++ b/load/examples/overload.rs
@@ -1,12 +1,12 @@
-//! What callers get while targets are asked for more than they can do, with and
-//! without openings that wait at the instances. `docs/measures/marks.md` has a run.
+//! Prints what callers get from overloaded targets, with and without openings that wait at
+//! the instances. `docs/measures/marks.md` has a run.
 
 #[path = "../tests/overload.rs"]
 mod overload;
 
 use overload::{Scene, Tally, play};
 
-/// Over how many seeds the figures are means.
+/// Number of seeds over which the figures are averaged.
 const SEEDS: u64 = 10;
 
 fn main() {
@@ -29,7 +29,7 @@
     }
 }
 
-/// A name, a scene by seed, and the span whose callers are counted.
+/// A name, a scene by seed, and the span whose requests are counted.
 type Played = (&'static str, fn(u64) -> Scene, (u64, u64));
 
 const SCENES: [Played; 5] = [
--- a/load/tests/model/host.rs
+++ b/load/tests/model/host.rs
@@ -1,10 +1,10 @@
-//! A target: some slots, a queue before them, and connections.
+//! A simulated target: slots, a queue in front of them, and connections.
 
 use super::scene::Fault;
 use medlarspur_load::Report;
 use std::collections::VecDeque;
 
-/// Work that reached a target by an instance.
+/// Work that an instance sent to a target.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
     pub work: usize,
@@ -18,7 +18,7 @@
     pub connections: u32,
     pub busy: u32,
     pub queue: VecDeque<Job>,
-    /// What its endpoint says.
+    /// What its endpoint reports.
     pub report: Report,
 }
 
@@ -38,7 +38,7 @@
         self.connections >= self.limit
     }
 
-    /// The next job, if a slot is free for it.
+    /// Removes and returns the next job if a slot is free for it.
     pub fn take(&mut self) -> Option<Job> {
         if self.busy >= self.slots {
             return None;
@@ -48,7 +48,7 @@
         Some(job)
     }
 
-    /// Renews what its endpoint says.
+    /// Updates what its endpoint reports.
     pub fn refresh(&mut self, fault: Option<Fault>) {
         self.report = match fault {
             Some(Fault::SaysIdle) => report(0, 0),
--- a/load/tests/model/mod.rs
+++ b/load/tests/model/mod.rs
@@ -1,5 +1,5 @@
-//! A small model of callers, targets and instances that decide separately, in
-//! virtual time. It knows openings, answers, work and ends; no packets.
+//! A small model of callers, targets and instances that decide separately, in virtual time.
+//! It has openings, answers, work and ends, and no packets.
 
 pub mod host;
 pub mod outcome;
@@ -22,15 +22,15 @@
 use medlarspur_load::{Closing, Gate, Opening, Settings, Signal, Verdict, random::Random};
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-/// Buckets of the model's table.
+/// Number of buckets of the table.
 const BUCKETS: usize = 1024;
-/// Buckets that the planner moves a second: about 1 %.
+/// Number of buckets that the planner moves per second: about 1 %.
 const MOVES_PER_SECOND: usize = 10;
-/// From caller to instance to target and back, in milliseconds.
+/// Round trip from caller to instance to target and back, in milliseconds.
 const ROUND_TRIP: u64 = 9;
-/// How many seconds the oldest table in use is behind the newest.
+/// Lag of the oldest table in use behind the newest, in seconds.
 const MAX_TABLE_LAG: usize = 3;
-/// One in so many answers is lost, so that the caller repeats its opening.
+/// One of this many answers is lost, and the caller repeats its opening.
 const LOST_ANSWER_INTERVAL: u64 = 1000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -64,7 +64,7 @@
 }
 
 impl<'a> Model<'a> {
-    /// Plays the scene to its end.
+    /// Runs the scene to its end.
     pub fn play(scene: &'a Scene, policy: Policy) -> Outcome {
         let mut model = Model::new(scene, policy);
         model.start();
@@ -182,12 +182,12 @@
             self.attempt(self.works.len() - 1);
         }
         let next = -(1.0 - self.random.fraction()).ln() * 1000.0 / rate.max(1.0);
-        // Several may arrive in one millisecond; the fraction is carried by chance.
+        // Several may arrive in one millisecond. The fraction is rounded at random.
         let whole = next as u64 + u64::from(self.random.fraction() < next.fract());
         self.schedule(whole, Event::Arrive { load: load_ix });
     }
 
-    /// A new connection for the work: another port, so another flow.
+    /// Opens a new connection for the work, from another port and thus with another flow.
     fn attempt(&mut self, work: usize) {
         let now = self.now;
         let next = &mut self.works[work];
@@ -237,8 +237,8 @@
 
     fn refused(&mut self, ix: usize, after: Millis) {
         let work = &mut self.works[ix];
-        // A caller that is connected ignores a reset or a second handshake
-        // answer, whose sequence numbers don't fit.
+        // A connected caller ignores a reset or a second handshake answer, whose sequence
+        // numbers don't fit.
         if !work.is_open {
             self.outcome.ignored += 1;
             return;
@@ -250,7 +250,7 @@
         self.retry(ix, back);
     }
 
-    /// Tries again after a while, if the caller has that long.
+    /// Tries again after a while, unless the caller gives up before that.
     fn retry(&mut self, ix: usize, after: u64) {
         let work = &mut self.works[ix];
         work.is_open = false;
@@ -335,14 +335,14 @@
         self.gates[instance].record_closing(Millis(self.now), &closing);
     }
 
-    /// What the endpoint of a target says changes once a second.
+    /// Updates the report of a target's endpoint once a second.
     fn refresh(&mut self, target: usize) {
         let fault = self.scene.fault(self.now, target);
         self.hosts[target].refresh(fault);
         self.schedule(1000, Event::Refresh { target });
     }
 
-    /// Each instance asks each endpoint once a second, at its own time.
+    /// Each instance queries each endpoint once a second, at its own time.
     fn report(&mut self, target: usize, instance: usize) {
         if !self.scene.stale {
             let fault = self.scene.fault(self.now, target);
@@ -361,7 +361,7 @@
         self.schedule(1000, Event::Report { target, instance });
     }
 
-    /// The first instance plans by its own advice; the others follow late.
+    /// The first instance plans with its own weights; the others receive the table late.
     fn plan(&mut self) {
         let weights = self.gates[0].weights(ServiceIx(0)).to_vec();
         let table = self.tables[self.tables.len() - 1].clone();
--- a/load/tests/model/outcome.rs
+++ b/load/tests/model/outcome.rs
@@ -1,4 +1,4 @@
-//! What callers got.
+//! Results of a run.
 
 use super::{
     scene::Scene,
@@ -13,16 +13,16 @@
     refusals: Vec<u64>,
     /// Refusals of work that a target ran.
     pub false_refusals: u64,
-    /// Refusals whose opening, but no work, had reached a target.
+    /// Refusals whose opening reached a target that did not run the work.
     pub crossed: u64,
-    /// Refusals that came after the caller was connected by another copy.
+    /// Refusals that came after the caller was connected by another copy of its opening.
     pub ignored: u64,
     pub double_runs: u64,
-    /// Openings that a target itself turned away.
+    /// Openings that a target itself refused.
     pub overrun: u64,
-    /// When which target was placements an opening.
+    /// Times and targets of the openings that were sent.
     placed: Vec<(u64, usize)>,
-    /// When work that a caller still waited for duration how many slot-ms.
+    /// Times and durations, in slot-milliseconds, of work that a caller still waited for.
     useful: Vec<(u64, u64)>,
     hosts: usize,
 }
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Useful slot time while loaded, as a part of what there was.
+    /// Returns the useful slot time while loaded, as a fraction of the capacity.
     pub fn goodput(&self, scene: &Scene) -> f64 {
         let within = |&(at, duration): &(u64, u64)| {
             let start = at.max(scene.loaded.start);
@@ -67,8 +67,8 @@
         self.useful.iter().map(within).sum::<u64>() as f64 / scene.capacity()
     }
 
-    /// The part of the work that began while loaded and got through, of
-    /// callers that `who` picks.
+    /// Returns the fraction of the work started while loaded that was done, for callers
+    /// selected by `filter`.
     pub fn fraction_done(
         &self,
         scene: &Scene,
@@ -82,19 +82,19 @@
         if all == 0 { f64::NAN } else { done as f64 / all as f64 }
     }
 
-    /// A quantile of the wait from the last opening to a slot, in milliseconds.
+    /// Returns a quantile of the wait from the last opening to a slot, in milliseconds.
     pub fn wait(&self, scene: &Scene, class: Class, quantile: f64) -> u64 {
         let is_counted = |w: &&Work| w.class == class && scene.loaded.contains(&w.start);
         quantile_of(self.works.iter().filter(is_counted).filter_map(Work::wait).collect(), quantile)
     }
 
-    /// A quantile of the time to a refusal, in milliseconds.
+    /// Returns a quantile of the time to a refusal, in milliseconds.
     pub fn refusal_time(&self, quantile: f64) -> u64 {
         quantile_of(self.refusals.clone(), quantile)
     }
 
-    /// Largest over mean, and coefficient of variation, of what targets were
-    /// placements in the second half of the loaded time.
+    /// Returns the maximum over the mean, and the coefficient of variation, of the openings
+    /// per target in the second half of the loaded time.
     pub fn imbalance(&self, scene: &Scene) -> (f64, f64) {
         let half = (scene.loaded.start + scene.loaded.end) / 2..scene.loaded.end;
         let mut placements = vec![0.0; self.hosts];
@@ -107,8 +107,9 @@
         (most / mean, spread.sqrt() / mean)
     }
 
-    /// Seconds after the load until work that begins then gets through at the
-    /// first try in 300 ms, but for one in a hundred, for three seconds on.
+    /// Returns the number of seconds after the load until service is normal: for three
+    /// seconds, all but one in a hundred pieces of new work get a slot at the first try
+    /// within 300 ms.
     pub fn recovery_seconds(&self, scene: &Scene) -> Option<u64> {
         let seconds = (scene.end - scene.loaded.end) / 1000;
         let mut all = vec![0u32; seconds as usize + 1];
@@ -125,7 +126,7 @@
 }
 
 impl Work {
-    /// The wait from the last opening to a slot, once it got through.
+    /// Returns the wait from the last opening to a slot, if the work was done.
     pub fn wait(&self) -> Option<u64> {
         match self.state {
             State::Done { wait } => Some(wait),
--- a/load/tests/model/scene.rs
+++ b/load/tests/model/scene.rs
@@ -1,23 +1,22 @@
-//! What is played: loads over time, faults of targets, and the policies that
-//! are compared.
+//! Scenes: loads over time, faults of targets, and the policies that are compared.
 
 use super::site::Site;
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{Gate, Opening, Verdict, random::Random};
 use std::{net::Ipv4Addr, ops::Range};
 
-/// Who decides.
+/// How openings are placed and admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     /// All decisions of this crate.
     Gate,
-    /// Placement by this crate's advice, and everything is let in.
+    /// Placement by this crate's weights; everything is admitted.
     NoAdmission,
-    /// Each instance takes the targets in turn; everything is let in.
+    /// Each instance uses the targets in turn; everything is admitted.
     RoundRobin,
-    /// A hash names the target; everything is let in.
+    /// A hash selects the target; everything is admitted.
     HashOnly,
-    /// Each instance admits up to the whole of a target.
+    /// Each instance admits up to the whole capacity of a target.
     NoShares,
 }
 
@@ -35,7 +34,7 @@
         }
     }
 
-    /// Asks the gate, or lets everything in.
+    /// Asks the gate, or admits everything.
     pub fn admits(self, gate: &mut Gate, now: Millis, opening: &Opening) -> Verdict {
         match self {
             Policy::Gate | Policy::NoShares => gate.open(now, opening),
@@ -44,31 +43,31 @@
     }
 }
 
-/// What is wrong with a target.
+/// A fault of a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// Works at a part of its speed, in percent.
+    /// Works at this percentage of its speed.
     Slow(u8),
     /// Resets half of the openings.
     Shed,
-    /// Its endpoint always says that it is idle.
+    /// Its endpoint always reports idle.
     SaysIdle,
-    /// Its endpoint always says that it is full.
+    /// Its endpoint always reports full.
     SaysFull,
     /// Its endpoint does not answer.
     SaysNothing,
 }
 
-/// Callers of one kind.
+/// Callers of one class.
 #[derive(Debug, Clone)]
 pub struct Load {
     pub class: Class,
     /// Openings a second outside and inside the loaded time.
     pub rates: (f64, f64),
     pub loaded: Range<u64>,
-    /// Mean length of the work in milliseconds.
+    /// Mean duration of the work in milliseconds.
     pub mean: f64,
-    /// How many callers there are, from the first address on.
+    /// Number of callers, from the first address on.
     pub callers: u32,
     pub first_address: Ipv4Addr,
 }
@@ -78,7 +77,7 @@
         if self.loaded.contains(&now) { self.rates.1 } else { self.rates.0 }
     }
 
-    /// Callers are spread over as many networks.
+    /// Returns a random caller. Callers are spread over as many networks.
     pub fn caller(&self, random: &mut Random) -> Ipv4Addr {
         let ix = (random.draw() % u64::from(self.callers)) as u32;
         Ipv4Addr::from(u32::from(self.first_address) + ix * 251)
@@ -95,7 +94,7 @@
     /// When the load or fault is on, in milliseconds.
     pub loaded: Range<u64>,
     pub end: u64,
-    /// Whether each packet goes to any instance, or all of a flow to one.
+    /// Whether each packet goes to any instance, or all packets of a flow to one.
     pub spray: bool,
     /// Whether reports and tables reach the instances late.
     pub stale: bool,
@@ -103,12 +102,12 @@
 }
 
 impl Scene {
-    /// Whether the service has a request port.
+    /// Returns whether the service has a request port.
     pub fn has_requests(&self) -> bool {
         self.loads.iter().any(|l| l.class == Class::Request)
     }
 
-    /// How long a caller tries before it gives up.
+    /// Returns the time after which a caller gives up, in milliseconds.
     pub fn patience(&self, class: Class) -> u64 {
         match class {
             Class::Request | Class::Feed => 10_000,
@@ -130,7 +129,7 @@
         }
     }
 
-    /// Slot-milliseconds that the targets have while loaded.
+    /// Returns the slot-milliseconds of the targets while loaded.
     pub fn capacity(&self) -> f64 {
         let span = (self.loaded.end - self.loaded.start) as f64;
         self.site.hosts as f64 * f64::from(self.site.slots) * span
--- a/load/tests/model/scenes.rs
+++ b/load/tests/model/scenes.rs
@@ -1,4 +1,4 @@
-//! The patterns of load that are played, at the sizes of both sites.
+//! The simulated load patterns, at the sizes of both sites.
 
 use super::{
     scene::{Fault, Load, Scene},
@@ -7,15 +7,15 @@
 use medlarspur_lib::bundle::Class;
 use std::{net::Ipv4Addr, ops::Range};
 
-/// The first byte of the addresses of callers that take most.
+/// First byte of the addresses of heavy callers.
 pub const HEAVY_CALLER_NETWORK: u32 = 77;
-/// How long a request, an upload and a feed take on average, in milliseconds.
+/// Mean durations of a request, an upload and a feed, in milliseconds.
 const REQUEST: f64 = 20.0;
 const UPLOAD: f64 = 3_000.0;
 const FEED: f64 = 30_000.0;
-/// When loads and faults begin.
+/// When loads and faults begin, in milliseconds.
 const START: u64 = 10_000;
-/// How long a scene goes on after them.
+/// Time that a scene continues after them, in milliseconds.
 const RECOVERY: u64 = 40_000;
 
 pub fn all() -> Vec<Scene> {
@@ -67,7 +67,8 @@
     }
 }
 
-/// Callers of a class at `load_factors` of the capacity outside and inside `loaded`.
+/// Returns callers of a class at `load_factors` of the capacity outside and inside
+/// `loaded`.
 fn load(class: Class, site: &Site, loaded: &Range<u64>, load_factors: (f64, f64)) -> Load {
     let (mean, full) = match class {
         Class::Request => (REQUEST, site.capacity(REQUEST)),
@@ -107,13 +108,13 @@
     scene("long uploads ×2", site, loaded, vec![requests, uploads])
 }
 
-/// The same scene while no target's endpoint answers.
+/// Returns the scene with no target's endpoint answering.
 pub fn silent(scene: Scene) -> Scene {
     let faults = vec![(0..scene.site.hosts, Fault::SaysNothing)];
     Scene { name: "long uploads ×2, no reports", faults, ..scene }
 }
 
-/// Feeds at three times the connections, with requests in their room.
+/// Feeds at three times the connections, beside requests.
 pub fn feeds(site: &Site) -> Scene {
     let loaded = START..START + 120_000;
     let requests = load(Class::Request, site, &loaded, (0.2, 0.2));
--- a/load/tests/model/site.rs
+++ b/load/tests/model/site.rs
@@ -6,7 +6,7 @@
 };
 use medlarspur_load::{ServiceSpec, TargetSpec};
 
-/// One service of a site before its instances.
+/// One service of a site and its number of instances.
 #[derive(Debug, Clone)]
 pub struct Site {
     pub name: &'static str,
@@ -36,7 +36,7 @@
 }
 
 impl Site {
-    /// The service as the gate is told of it.
+    /// Returns the service as the gate receives it.
     pub fn service(&self, has_requests: bool) -> ServiceSpec {
         let target = |n| TargetSpec {
             name: TargetName::new(&format!("{}-{n}", self.name)),
@@ -53,14 +53,13 @@
         }
     }
 
-    /// Work of `mean` milliseconds a second that fills all slots.
+    /// Returns the rate of work of `mean` milliseconds that fills all slots, per second.
     pub fn capacity(&self, mean: f64) -> f64 {
         self.hosts as f64 * f64::from(self.slots) * 1000.0 / mean
     }
 }
 
-/// Moves at most `moves` buckets from targets above their weight to targets
-/// below it.
+/// Moves at most `moves` buckets from targets above their weight to targets below it.
 pub fn rebalance(mut table: Vec<u16>, weights: &[u16], moves: usize) -> Vec<u16> {
     let total: f64 = weights.iter().map(|&w| f64::from(w)).sum();
     if total <= 0.0 {
--- a/load/tests/model/work.rs
+++ b/load/tests/model/work.rs
@@ -14,13 +14,13 @@
     pub tries: u32,
     pub runs: u32,
     pub state: State,
-    /// When its present connection was opened.
+    /// When its current connection was opened.
     pub last_try: u64,
-    /// Whether that was neither answered nor given up.
+    /// Whether that connection was neither answered nor given up.
     pub is_open: bool,
     /// Whether its opening reached a target.
     pub reached_target: bool,
-    /// The target that the table named for it last.
+    /// The target that the table last assigned to it.
     pub target: usize,
 }
 
@@ -31,8 +31,8 @@
     Failed,
 }
 
-/// The id of a flow, from which the model finds the work again. The low bits
-/// choose the bucket, so they are spread.
+/// Returns the id of a flow, from which the model finds the work again. The low bits select
+/// the bucket, so they are random.
 pub fn flow(work: usize, tries: u32) -> u64 {
     let spread = Random::new((work as u64) << 8 | u64::from(tries)).draw() & 0xffff;
     u64::from(tries) << 48 | (work as u64) << 16 | spread
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -1,6 +1,6 @@
-//! A service that is asked for more than it can do, in virtual time: instances that
-//! see only their own work, targets that serve in order of arrival and turn away what
-//! their queues don't hold, callers that come back twice.
+//! Simulates a service under overload, in virtual time: instances that see only their own
+//! work, targets that serve in order of arrival and refuse what their queues can't hold,
+//! and callers that retry twice.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{
@@ -14,40 +14,40 @@
     ops::Add,
 };
 
-/// From caller to instance to target and back, in milliseconds.
+/// Round trip from caller to instance to target and back, in milliseconds.
 const ROUND_TRIP: u64 = 6;
-/// How often a caller comes back.
+/// Number of retries of a caller.
 const RETRIES: u32 = 2;
-/// Which part of the requests of feeds open a flow; the others go to the target that
-/// their feed has.
+/// Fraction of the feeds' requests that open a flow. The others go to the target of their
+/// feed.
 const NEW_FLOW_FRACTION: f64 = 0.3;
 
-/// What is asked of whom.
+/// The service, its load and its faults.
 #[derive(Debug, Clone, Copy)]
 pub struct Scene {
     pub instances: usize,
     pub targets: usize,
-    /// How many of the targets are there while some are gone, and when that is.
+    /// Number of targets that remain during `gone`, a span in milliseconds.
     pub remaining: usize,
     pub gone: (u64, u64),
     pub slots: usize,
     pub queue: usize,
-    /// Requests a second that open a flow each, and requests of feeds.
+    /// Requests a second that open a flow each, and requests a second of feeds.
     pub requests: f64,
     pub feeds: f64,
-    /// The mean work of a request, in milliseconds.
+    /// Mean work of a request, in milliseconds.
     pub work: f64,
     pub objective: u64,
-    /// When nobody is served: what is asked then comes at the end, spread over the
-    /// time within which callers repeat themselves.
+    /// Span in which nobody is served. What is sent then arrives at its end, spread over
+    /// the time in which callers repeat their openings.
     pub outage: (u64, u64),
     pub length: u64,
     pub seed: u64,
 }
 
 impl Scene {
-    /// The site with the shortest goals, on an ordinary day: seven instances, 14 targets
-    /// of two slots.
+    /// The site with the shortest latency objectives under ordinary load: seven instances
+    /// and 14 targets of two slots.
     pub fn site(seed: u64) -> Scene {
         Scene {
             instances: 7,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Eight of its targets are gone for five seconds, and their successors aren't known.
+    /// Eight of its targets are gone for five seconds, and their successors are not known.
     pub fn half_gone(seed: u64) -> Scene {
         Scene { remaining: 6, gone: (4_000, 9_000), ..Scene::site(seed) }
     }
@@ -76,19 +76,19 @@
         Scene { requests: 104.0, feeds: 365.0, ..Scene::half_gone(seed) }
     }
 
-    /// A site whose requests take two thirds of their objective, at a load of 0.7.
+    /// A site whose requests take two thirds of their latency objective, at a load of 0.7.
     pub fn slow(seed: u64) -> Scene {
         Scene { work: 100.0, requests: 43.0, feeds: 153.0, ..Scene::site(seed) }
     }
 
-    /// The site with the longest work a request; a fifth more is asked than can be done,
-    /// mostly on feeds that are open.
+    /// The site with the longest work per request, with a fifth more load than capacity,
+    /// mostly on open feeds.
     #[allow(dead_code, reason = "the example plays other scenes")]
     pub fn excess(seed: u64) -> Scene {
         Scene { outage: (0, 0), requests: 185.0, feeds: 655.0, ..Scene::outage(seed) }
     }
 
-    /// The site with the longest work a request; nobody is served for 1.7 s.
+    /// The site with the longest work per request; nobody is served for 1.7 s.
     pub fn outage(seed: u64) -> Scene {
         Scene {
             instances: 8,
@@ -102,7 +102,7 @@
     }
 }
 
-/// What callers tally who asked in a span.
+/// Results of the requests that were sent in a span.
 #[derive(Debug, Default, Clone, Copy, PartialEq)]
 pub struct Tally {
     pub in_time: u32,
@@ -111,13 +111,13 @@
 }
 
 impl Tally {
-    /// The part that was turned away.
+    /// Returns the refused fraction.
     #[allow(dead_code, reason = "the example measures without it")]
     pub fn fraction_refused(&self) -> f64 {
         f64::from(self.refused) / f64::from((self.in_time + self.late + self.refused).max(1))
     }
 
-    /// The part that was answered in time.
+    /// Returns the fraction that was answered in time.
     pub fn fraction_in_time(&self) -> f64 {
         f64::from(self.in_time) / f64::from((self.in_time + self.late + self.refused).max(1))
     }
@@ -139,7 +139,7 @@
 struct Work {
     class: Class,
     asked: u64,
-    /// When it came to its instance.
+    /// When it arrived at its instance.
     arrived: u64,
     instance: usize,
     tries: u32,
@@ -164,7 +164,8 @@
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
     works: Vec<Work>,
-    /// Requests under way, by instance and target, and those that are no feed's.
+    /// Requests in flight, by instance and target, and those that belong to no feed, by
+    /// instance.
     in_flight: Vec<Vec<u32>>,
     requests_in_flight: Vec<u32>,
     limits: Vec<ConcurrencyLimit>,
@@ -174,7 +175,7 @@
     answers: Vec<(u64, Class, Option<u64>)>,
 }
 
-/// Plays a scene; with `is_limited` openings wait at the instances.
+/// Runs a scene. With `is_limited`, openings wait at the instances.
 pub fn play(scene: Scene, is_limited: bool) -> Simulation {
     let mut simulation = Simulation {
         scene,
@@ -199,12 +200,12 @@
 }
 
 impl Simulation {
-    /// What callers tally who asked from `from` to `to`.
+    /// Returns the results of the requests sent from `from` to `to`.
     pub fn tally(&self, from: u64, to: u64) -> Tally {
         self.tally_where(from, to, |_| true)
     }
 
-    /// What callers of a class tally.
+    /// Returns the results for one class.
     #[allow(dead_code, reason = "the example measures all classes together")]
     pub fn tally_class(&self, class: Class, from: u64, to: u64) -> Tally {
         self.tally_where(from, to, |it| it == class)
@@ -247,7 +248,7 @@
         }
     }
 
-    /// The next caller asks, and the one after it is due.
+    /// Sends the next request and schedules the one after it.
     fn issue_request(&mut self, now: u64) {
         if now > self.scene.length {
             return;
@@ -274,8 +275,8 @@
         self.push(next, Event::Request);
     }
 
-    /// When an instance first sees a request: callers repeat an opening after 200
-    /// and 600 ms and open anew after 1.4 s.
+    /// Returns when an instance first sees a request. Callers repeat an opening after 200
+    /// and 600 ms and open a new flow after 1.4 s.
     fn first_seen(&self, asked: u64) -> u64 {
         let (from, to) = self.scene.outage;
         if !(from..to).contains(&asked) {
@@ -312,8 +313,7 @@
             return self.begin(id, now);
         }
         let deadline = Millis(now) + max_wait(Millis(self.scene.objective));
-        // A repeated opening says how long its caller has waited; one that is opened
-        // anew doesn't.
+        // A repeated opening shows how long its caller has waited; a new flow does not.
         let known = now.saturating_sub(work.asked);
         let asked = if known >= 1_400 { now - (known - 1_400) } else { work.asked };
         let waiting = Waiting { key: id, class: work.class, since: Millis(asked), deadline };
--- a/load/tests/runner.rs
+++ b/load/tests/runner.rs
@@ -1,4 +1,4 @@
-//! One runner, so that the integration tests link once.
+//! Runs all integration tests, so that they link once.
 
 #[allow(dead_code, reason = "the measure plays more of it")]
 mod model;
--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -1,4 +1,4 @@
-//! Where a new flow goes, by the work that is known.
+//! Tests the choice of a target for a new flow.
 
 use medlarspur_lib::bundle::Class;
 use medlarspur_load::{
@@ -40,8 +40,8 @@
     assert_eq!(choose(&[asked, idle()], Class::Request, 0), Some(1));
 }
 
-/// A request that is not idempotent is answered where a slot is free now; feeds
-/// that are open but idle hardly matter to it, a request under way does.
+/// A request that is not idempotent is answered where a slot is free now. Open idle feeds
+/// hardly delay it, a request in flight does.
 #[test]
 fn idle_feeds_count_less_than_work() {
     let feeds = Candidate { idle_feeds: 5, ..idle() };
@@ -50,7 +50,7 @@
     assert_eq!(choose(&[works, feeds], Class::Request, 0), Some(1));
 }
 
-/// A target that has just started takes longer for everything.
+/// A target that has just started takes longer for all work.
 #[test]
 fn a_cold_target_is_chosen_only_when_others_are_busy() {
     let cold = Candidate { cold: true, ..idle() };
@@ -60,8 +60,8 @@
     assert_eq!(choose(&[cold, busy], Class::Feed, 0), Some(0));
 }
 
-/// A failure domain is cut off, and its targets answer nobody here. However
-/// idle they look, nothing new must go there while others can take it.
+/// A failure domain is cut off, and its targets answer nobody here. However idle they look,
+/// new flows must not go there while other targets can take them.
 #[test]
 fn a_doubtful_target_is_the_last_choice() {
     let doubtful = Candidate { tier: Tier::Doubtful, ..idle() };
@@ -73,7 +73,7 @@
     assert_eq!(choose(&[doubtful], Class::Feed, 0), Some(0));
 }
 
-/// An upload carries 80 kB to its target; a feed's request hardly anything.
+/// An upload carries 80 kB to its target, a request of a feed hardly anything.
 #[test]
 fn uploads_stay_in_their_domain_unless_it_is_crowded() {
     let far = Candidate { same_domain: false, ..idle() };
@@ -97,8 +97,8 @@
     assert!(counts.iter().all(|count| (900..1100).contains(count)), "{counts:?}");
 }
 
-/// Feeds that are open ask whatever is decided; where they are not, requests don't wait
-/// behind them.
+/// Open feeds send requests whatever the instances decide. At targets without feeds,
+/// requests don't wait behind them.
 #[test]
 fn feeds_leave_reserved_targets_to_requests_while_others_have_capacity() {
     let kept = Candidate { reserved: true, ..idle() };
--- a/load/tests/test_estimate.rs
+++ b/load/tests/test_estimate.rs
@@ -1,4 +1,4 @@
-//! How long something usually takes.
+//! Tests the estimate of usual durations.
 
 use medlarspur_lib::time::Millis;
 use medlarspur_load::estimate::Estimate;
@@ -30,7 +30,7 @@
     );
 }
 
-/// Queues fill. What was usual must follow before well targets look dead.
+/// Queues fill. The estimate must follow before healthy targets look dead.
 #[test]
 fn the_bound_follows_within_a_dozen_answers() {
     let estimate = estimate_of([60; 50].into_iter().chain([300; 12]));
--- a/load/tests/test_limit.rs
+++ b/load/tests/test_limit.rs
@@ -1,4 +1,4 @@
-//! The concurrency limit and who waits for it, step by step.
+//! Tests the concurrency limit and its backlog step by step.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{
@@ -16,14 +16,15 @@
     InFlight { all: 100, requests }
 }
 
-/// Has a limit hear of an record_answer after `span`, with `in_flight` still under way.
+/// Records an answer after `span` milliseconds, with `in_flight` requests still in flight.
 fn record_answer(limit: &mut ConcurrencyLimit, span: u64, in_flight: u32, now: u64) {
     if limit.record_answer(Millis(span), OBJECTIVE, Millis(now)) {
         limit.adjust(in_flight, 2.0, Millis(now));
     }
 }
 
-/// A limit that has limit_after many answers of one length, with `in_flight` under way.
+/// Returns a limit after `count` answers of one duration, with `in_flight` requests in
+/// flight.
 fn limit_after(span: u64, in_flight: u32, count: u64) -> ConcurrencyLimit {
     let mut limit = ConcurrencyLimit::default();
     for number in 0..count {
@@ -32,8 +33,8 @@
     limit
 }
 
-/// A limit that has limit_after calm answers for three seconds, and then slow ones with `in_flight`
-/// under way until 8 s.
+/// Returns a limit after three seconds of calm answers and then slow ones until 8 s, with
+/// `in_flight` requests in flight.
 fn overloaded_limit(in_flight: u32) -> ConcurrencyLimit {
     let mut limit = limit_after(45, in_flight, 150);
     for number in 150..400 {
@@ -42,9 +43,9 @@
     limit
 }
 
-/// Answers are slow for seconds, and then a few in a row are quick. Feeds that are let in
-/// then stay open, and make the crowd last when the pause is over. A request that is let in
-/// has ended by then.
+/// Answers are slow for seconds, and then a few in a row are fast. A feed admitted then
+/// stays open and prolongs the overload after the pause. A request admitted then has ended
+/// by that time.
 #[test]
 fn a_short_pause_in_a_burst_admits_requests_and_no_feed() {
     let mut limit = overloaded_limit(10);
@@ -58,7 +59,7 @@
     assert!(!limit.admits(Class::Feed, all_classes(0), Millis(8_160)));
 }
 
-/// The crowd is over and answers stay quick. Feeds must not be kept off any longer.
+/// The burst is over and answers stay fast. Feeds must not be blocked any longer.
 #[test]
 fn feeds_are_admitted_once_a_burst_is_over() {
     let mut limit = overloaded_limit(10);
@@ -95,8 +96,8 @@
     assert!(!limit.admits(Class::Feed, all_classes(2), Millis(8_000)));
 }
 
-/// Feeds that are open go on whatever the limit. Requests, which operators rank first
-/// and callers can't repeat, would otherwise wait for them.
+/// Open feeds continue whatever the limit. Requests, which operators prioritize and callers
+/// can't repeat, would otherwise wait for them.
 #[test]
 fn requests_may_use_twice_the_limit() {
     let limit = overloaded_limit(10);
@@ -105,8 +106,8 @@
     assert!(!limit.admits(Class::Request, of_requests(4), Millis(8_000)));
 }
 
-/// The answers to some requests went by another instance, and they seem to be under way
-/// here for seconds. Callers must not be turned away for work that nobody does.
+/// The answers to some requests passed through another instance, so that they seem to be in
+/// flight here for seconds. Callers must not be refused for work that nobody does.
 #[test]
 fn the_limit_outgrows_work_that_only_seems_to_be_in_flight() {
     let mut limit = overloaded_limit(10);
@@ -127,7 +128,8 @@
     assert!(!limit.is_slow(Millis(10_000)));
 }
 
-/// A machine stood still for seconds, or one packet was lost. One such time is no queue.
+/// A machine froze for seconds, or one packet was lost. One such time does not show a
+/// queue.
 #[test]
 fn one_long_answer_does_not_show_a_queue() {
     let mut limit = limit_after(45, 10, 50);
@@ -184,8 +186,8 @@
     assert_eq!(backlog.len(), 1);
 }
 
-/// A caller gives an opening up after 1.4 s and should hear before that it wasn't served,
-/// however long its goal.
+/// A caller gives up an opening after 1.4 s and should be refused before that, however long
+/// its latency objective.
 #[test]
 fn no_opening_waits_longer_than_callers_do() {
     assert_eq!(max_wait(Millis(150)), Millis(600));
@@ -200,7 +202,8 @@
     assert_eq!(refused.count(), 2_000 - 1_024);
 }
 
-/// The answers of a service take 0.8 of their goal at all times. That is no queue.
+/// The answers of a service always take 0.8 of their latency objective. That does not show
+/// a queue.
 #[test]
 fn answers_that_always_take_long_are_not_slow() {
     let limit = limit_after(120, 10, 300);
@@ -209,9 +212,9 @@
     assert!(limit.admits(Class::Feed, all_classes(50), Millis(6_000)));
 }
 
-/// A service has a third of its usual targets from the moment at which the instance
-/// starts, and each record_answer waits for a whole queue. An instance that takes that for how the
-/// service always is would let all in, and nearly all would be late for as long as it lasts.
+/// A service has a third of its usual targets when the instance starts, and each answer
+/// waits for a whole queue. If the instance took that for normal, it would admit
+/// everything, and nearly all answers would be late until the overload ends.
 #[test]
 fn an_instance_that_starts_during_an_overload_limits_it() {
     let limit = limit_after(210, 10, 300);
@@ -232,8 +235,8 @@
     assert!(!limit.admits(Class::Feed, all_classes(10), Millis(3_400)));
 }
 
-/// Half of the targets of a service are gone for ten seconds. That is not to be taken for
-/// how the service always is.
+/// Half of the targets of a service are gone for ten seconds. That must not be taken for
+/// the normal state.
 #[test]
 fn a_long_overload_is_not_taken_for_normal() {
     let mut limit = limit_after(45, 10, 150);
--- a/load/tests/test_lines.rs
+++ b/load/tests/test_lines.rs
@@ -1,10 +1,10 @@
-//! How many lines are written in a burst.
+//! Tests the rate limit for log lines.
 
 use medlarspur_lib::time::Millis;
 use medlarspur_load::lines::{LineBudget, LineVerdict};
 
-/// A failure domain is lost and thousands of flows are reset in a second. The
-/// first lines tell what happened, and the number of the others is told.
+/// A failure domain is lost and thousands of flows are reset in a second. The first lines
+/// show what happened, and the number of the others is reported.
 #[test]
 fn a_burst_is_bounded_and_omitted_lines_are_counted() {
     let mut budget = LineBudget::new(Millis(0));
@@ -18,7 +18,9 @@
     }
     assert!((290..=300).contains(&written), "{written}");
 
-    let LineVerdict::Write { left_out } = budget.take(Millis(5_000)) else { panic!("no room") };
+    let LineVerdict::Write { left_out } = budget.take(Millis(5_000)) else {
+        panic!("the budget is empty")
+    };
 
     assert_eq!(written + reported + left_out, 5_000);
 }
--- a/load/tests/test_many.rs
+++ b/load/tests/test_many.rs
@@ -1,4 +1,5 @@
-//! Many instances that each see a small part of the requests.
+//! Tests the choice of targets by many instances that each see a small part of the
+//! requests.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{
@@ -7,26 +8,26 @@
 };
 
 const INSTANCES: usize = 71;
-/// The targets of a failure domain, with one slot each.
+/// Number of targets in a failure domain, with one slot each.
 const TARGETS: usize = 30;
-/// How many of them are kept for requests, and how many were when the feeds were opened.
+/// Number of targets reserved for requests, now and when the feeds were opened.
 const RESERVED: usize = 16;
 const INITIALLY_RESERVED: usize = 10;
-/// How many requests come a second, and how long one takes.
+/// Requests per second, and the duration of one.
 const REQUESTS_PER_SECOND: u64 = 146;
 const WORK: Millis = Millis(72);
 const DURATION: Millis = Millis::secs(20);
 const OBJECTIVE: Millis = Millis(600);
 
-/// One request: where it waits, by which instance, and until when.
+/// A request at a target, the instance that sent it, and when it ends.
 struct Sent {
     target: usize,
     instance: usize,
     end: Millis,
 }
 
-/// Deals requests out, each instance by what it sees itself, where it has one open feed at
-/// each target that was not kept at first. Answers how many of 100 are in time.
+/// Simulates requests that each instance places by what it sees itself, with one open feed
+/// at each target that was not reserved at first. Returns the percentage answered in time.
 fn percent_in_time(seed: u64) -> usize {
     let mut random = Random::new(seed);
     let mut free_at = [Millis(0); TARGETS];
--- a/load/tests/test_overload.rs
+++ b/load/tests/test_overload.rs
@@ -1,9 +1,9 @@
-//! A service that is asked for more than it can do for some seconds.
+//! Tests what callers get while a service is overloaded for some seconds.
 
 use super::overload::{Scene, Tally, play};
 use medlarspur_lib::bundle::Class;
 
-/// What callers tally over some seeds, without and with openings that wait.
+/// Returns the results over some seeds, without and with openings that wait.
 fn compare(scene: fn(u64) -> Scene, from: u64, to: u64) -> [Tally; 2] {
     [false, true].map(|limited| {
         let tally = (1..=6).map(|seed| play(scene(seed), limited).tally(from, to));
@@ -11,10 +11,9 @@
     })
 }
 
-/// Eight of 14 targets are gone for five seconds and their successors aren't known.
-/// The other six could answer nine of ten requests in time, but their queues fill and
-/// each request waits for the whole queue. A caller sees that nearly every answer is
-/// late.
+/// Eight of 14 targets are gone for five seconds and their successors are not known. The
+/// other six could answer nine of ten requests in time, but their queues fill, each request
+/// waits for the whole queue, and nearly every answer is late.
 #[test]
 fn more_are_answered_in_time_while_half_of_the_targets_are_gone() {
     let [without, with] = compare(Scene::half_gone, 4_000, 10_000);
@@ -26,8 +25,8 @@
     assert!(with.refused < without.refused * 2, "{without:?}, then {with:?}");
 }
 
-/// The same with a quarter more requests than on an ordinary day: what can't be done
-/// must not make all the rest late.
+/// The same with a quarter more requests than usual. Work that can't be done must not make
+/// all the rest late.
 #[test]
 fn a_larger_overload_gains_more() {
     let [without, with] = compare(Scene::more_asked, 4_000, 10_000);
@@ -39,8 +38,8 @@
     assert!(with.refused < without.refused, "{without:?}, then {with:?}");
 }
 
-/// Nobody is served for 1.7 s, and what was asked meanwhile comes within the next
-/// second. Fewer are told that they were not served, and no fewer are in time.
+/// Nobody is served for 1.7 s, and what was sent meanwhile arrives within the next second.
+/// Fewer callers are refused, and no fewer are answered in time.
 #[test]
 fn a_burst_after_an_outage_is_served_with_fewer_refusals() {
     let [without, with] = compare(Scene::outage, 4_000, 8_000);
@@ -49,7 +48,7 @@
     assert!(with.refused * 2 < without.refused, "{without:?}, then {with:?}");
 }
 
-/// Nothing waits where targets keep up: the limit must cost nothing on all other days.
+/// Nothing waits where targets keep up: the limit must cost nothing under ordinary load.
 #[test]
 fn ordinary_load_is_not_affected() {
     let [without, with] = compare(Scene::site, 0, 14_000);
@@ -61,8 +60,8 @@
     );
 }
 
-/// Requests of another site take two thirds of their goal, so answers always look slow.
-/// Held back for that, they would be later still while targets stand idle.
+/// Requests of a site take two thirds of their latency objective, so answers always look
+/// slow. Held back for that, they would be later still while targets are idle.
 #[test]
 fn a_service_with_long_work_is_not_limited() {
     let [without, with] = compare(Scene::slow, 3_000, 14_000);
@@ -73,8 +72,8 @@
     );
 }
 
-/// A crowd comes, most of it on feeds that are open and go on whatever is decided. What is
-/// ranked first waits only for what is ranked as high, so that it is not late first.
+/// A burst arrives, mostly on open feeds, which continue whatever the limit. Requests wait
+/// only for requests, so that they are not late first.
 #[test]
 fn requests_are_not_late_first_in_an_excess_of_feeds() {
     let of = |class| {
--- a/load/tests/test_patterns.rs
+++ b/load/tests/test_patterns.rs
@@ -1,6 +1,6 @@
-//! What callers get under each pattern of load, at both sites' sizes, with
-//! instances that decide separately. The bounds are those of the goals where
-//! they are met; `docs/measures/load.md` has the figures.
+//! Tests what callers get under each load pattern, at the sizes of both sites, with
+//! instances that decide separately. The bounds are those of the objectives where they are
+//! met; `docs/measures/load.md` has the figures.
 
 use crate::model::{
     Model,
@@ -12,7 +12,7 @@
 };
 use medlarspur_lib::bundle::Class;
 
-/// Plays a scene under both ways that a fabric spreads packets.
+/// Runs a scene under a spraying and a hashing fabric.
 fn play(scene: Scene) -> Vec<(Scene, Outcome)> {
     let fabrics = [true, false].map(|spray| Scene { spray, ..scene.clone() });
     let played = fabrics.map(|scene| (scene.clone(), Model::play(&scene, Policy::Gate)));
@@ -32,9 +32,9 @@
     outcome.fraction_done(scene, Class::Request, |_| true)
 }
 
-/// Three times as many motorists as there is room for try to book for a
-/// minute. Let in all, they wait longer than they stay, and work is done for
-/// nobody: the site is busy and no one gets a booking.
+/// For a minute, three times as many motorists try to book as the site can serve. If all
+/// were admitted, they would wait longer than they stay, and the targets would work for
+/// nobody: the site is busy and no booking succeeds.
 #[test]
 fn saturation_keeps_goodput_high() {
     for site in both(alertdesk, ajanvaraus) {
@@ -56,8 +56,8 @@
     assert!(outcome.goodput(&scene) < 0.6, "{}", outcome.goodput(&scene));
 }
 
-/// A storm front: ten times the usual acknowledgements come in one second.
-/// Turned away, they would come back as a second burst.
+/// A storm front: ten times the usual acknowledgements arrive in one second. If they were
+/// refused, they would return as a second burst.
 #[test]
 fn a_burst_of_a_second_is_served() {
     for site in both(alertdesk, ajanvaraus) {
@@ -69,8 +69,8 @@
     }
 }
 
-/// Three misconfigured callers open four times as much as all others together.
-/// Served in order of arrival, a town's callers find the site full.
+/// Three misconfigured callers open four times as much as all others together. Served in
+/// order of arrival, the callers of a whole town would find the site full.
 #[test]
 fn a_few_callers_do_not_shut_out_the_others() {
     for site in both(alertdesk, ajanvaraus) {
@@ -82,8 +82,8 @@
     }
 }
 
-/// Stations upload twice what the slots take while acknowledgements come.
-/// Without room kept for them, these wait behind uploads for seconds.
+/// Stations upload twice what the slots can take while acknowledgements arrive. Without
+/// reserved capacity these wait behind uploads for seconds.
 #[test]
 fn requests_are_served_beside_long_uploads() {
     for site in both(alertdesk, ajanvaraus) {
@@ -94,8 +94,8 @@
     }
 }
 
-/// The same while the targets' load endpoints don't answer. Shares that were
-/// saved up would be spent on uploads at once, and requests wait behind them.
+/// The same while the targets' load endpoints don't answer. Accumulated shares would be
+/// spent on uploads at once, and requests would wait behind them.
 #[test]
 fn requests_are_served_beside_long_uploads_without_reports() {
     for site in both(alertdesk, ajanvaraus) {
@@ -106,8 +106,8 @@
     }
 }
 
-/// Three times as many feeds come as there are connections. A target that is
-/// full of feeds drops the openings of acknowledgements.
+/// Three times as many feeds arrive as there are connections. A target that is full of
+/// feeds drops the openings of acknowledgements.
 #[test]
 fn requests_are_served_beside_too_many_feeds() {
     for site in both(alertdesk, ajanvaraus) {
@@ -119,8 +119,9 @@
     }
 }
 
-/// A target's load endpoint always says idle, or always says full. Believed,
-/// the first draws all work and the second pushes its own onto the others.
+/// A target's load endpoint always reports idle, or always reports full. If it were
+/// believed, the first would attract all work and the second would push its own onto the
+/// others.
 #[test]
 fn a_wrong_report_moves_little_load() {
     for site in [alertdesk(), ajanvaraus(), ingest(), todisteet()] {
@@ -133,8 +134,8 @@
     }
 }
 
-/// One target works at a fifth of its speed, or resets half of its openings.
-/// Callers that the table sends there wait or fail while the others idle.
+/// One target works at a fifth of its speed, or resets half of its openings. Callers that
+/// the table sends there wait or fail while the others are idle.
 #[test]
 fn a_bad_target_costs_no_request() {
     for site in both(alertdesk, ajanvaraus) {
@@ -147,8 +148,8 @@
     }
 }
 
-/// A database behind all targets halves their speed at once. Were the slowest
-/// looking ones taken out, the rest would be overrun one after the other.
+/// A database behind all targets halves their speed at once. If the slowest ones were
+/// removed, the rest would be overloaded one after the other.
 #[test]
 fn no_target_is_removed_when_all_are_slow() {
     for site in both(alertdesk, ajanvaraus) {
@@ -161,7 +162,8 @@
     }
 }
 
-/// Uploads come at three times the slots of a service that has nothing else.
+/// Uploads arrive at three times the slots of a service that has nothing else. Instances
+/// that each used all slots would overload the targets.
 #[test]
 fn uploads_share_slots_among_instances() {
     for (stale, least) in [(false, 0.93), (true, 0.9)] {
--- a/load/tests/test_placement.rs
+++ b/load/tests/test_placement.rs
@@ -4,7 +4,7 @@
     placement::{FULL_WEIGHT, TargetStats, TargetView, update_weights},
 };
 
-/// Renews the weights of so many seconds.
+/// Updates the weights once a second for `seconds` and returns the last ones.
 fn weights(stats: &mut [TargetStats], from: u64, seconds: u64) -> Vec<u16> {
     let mut weights = vec![0; stats.len()];
     for second in from..from + seconds {
@@ -46,8 +46,8 @@
     assert_eq!(weights[4], FULL_WEIGHT);
 }
 
-/// A firewall between instances and callers resets flows of ten of fourteen
-/// targets. Taken out, their work would overrun the other four.
+/// A firewall between instances and callers resets flows of ten of fourteen targets. If
+/// these were removed, their work would overload the other four.
 #[test]
 fn no_target_is_removed_when_most_look_bad() {
     let mut stats = targets(14);
@@ -55,8 +55,8 @@
     assert_eq!(weights(&mut stats, 0, 10), [FULL_WEIGHT; 14]);
 }
 
-/// A target that has just started has cold caches; a full share at once makes
-/// its callers wait.
+/// A target that has just started has cold caches; with a full share at once its callers
+/// would wait.
 #[test]
 fn a_new_target_gets_its_share_step_by_step() {
     let mut stats = targets(13);
@@ -66,7 +66,7 @@
     assert_eq!(weights(&mut stats, 6, 15)[13], FULL_WEIGHT);
 }
 
-/// Instances that flee a bad target at once all come back at once.
+/// Instances that leave a bad target at once would all return at once.
 #[test]
 fn a_weight_moves_in_small_steps() {
     let mut stats = targets(14);
@@ -82,8 +82,8 @@
     assert_eq!((weights[2], weights[3]), (0, FULL_WEIGHT));
 }
 
-/// A faulty release of the targets' health endpoint says on all that they
-/// drain. Believed, a whole service would stop.
+/// A faulty release of the targets' health endpoint reports draining on all of them. If
+/// that were believed, a whole service would stop.
 #[test]
 fn reports_of_draining_from_most_targets_are_ignored() {
     let mut stats = targets(14);
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -57,10 +57,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Instances forget nothing that a caller was told: while a decision is
-    /// remembered, a repeated opening gets the same one, whoever waits gets one
-    /// final verdict by the promised time, and a leaving target gets nothing
-    /// new. Otherwise a caller hears *not run* of work that runs, or nothing.
+    /// While a decision is stored, a repeated opening gets the same one; a waiting opening
+    /// gets one final verdict by the promised time; and a leaving target gets nothing new.
+    /// Otherwise a caller is told *not run* about work that runs, or gets no answer.
     #[test]
     fn every_opening_gets_one_lasting_verdict(steps in proptest::collection::vec(step(), 1..300)) {
         let mut gate = Gate::new(Settings::default(), 1);
@@ -140,8 +139,8 @@
         }
     }
 
-    /// The memory stays bounded whatever comes, or a flood of openings takes
-    /// the instance down.
+    /// The memory stays bounded for any input. Otherwise a flood of openings would take the
+    /// instance down.
     #[test]
     fn decision_cache_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
         let mut memory = DecisionCache::default();
--- a/load/tests/test_refusal.rs
+++ b/load/tests/test_refusal.rs
@@ -1,8 +1,8 @@
 use medlarspur_lib::time::Millis;
 use medlarspur_load::{random::Random, refusal::Overload, retry::RetryBudget};
 
-/// The wait_times that 100 callers a second are told after so many seconds of an
-/// overload in which twice as many come as fit.
+/// Returns the retry times of the last 100 refusals, at 100 a second, after so many seconds
+/// of an overload with twice as many openings as fit.
 fn wait_times(seconds: u64) -> Vec<u64> {
     let (mut overload, mut random) = (Overload::default(), Random::new(1));
     let mut wait_times = Vec::new();
@@ -17,7 +17,7 @@
     wait_times.iter().sum::<u64>() / wait_times.len() as u64
 }
 
-/// Callers that are all told the same come back as one crowd.
+/// Callers with the same retry time would return all at once.
 #[test]
 fn callers_get_different_retry_times() {
     let mut wait_times = wait_times(10);
@@ -36,8 +36,8 @@
     assert!(longest.iter().all(|&wait| wait <= 45_000));
 }
 
-/// All callers of a failed target repeat at once, again and again. Let in like
-/// new ones they hold the overload up after its cause has gone.
+/// All callers of a failed target repeat at once, again and again. Admitted like new ones,
+/// they would prolong the overload after its cause is gone.
 #[test]
 fn early_repetitions_get_a_fraction_of_what_new_openings_get() {
     let mut budget = RetryBudget::new();
--- a/load/tests/test_reserve.rs
+++ b/load/tests/test_reserve.rs
@@ -1,9 +1,10 @@
-//! Which targets feeds leave to requests.
+//! Tests the number of targets that feeds leave to requests.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::reserve::RequestShare;
 
-/// After answers to so many requests and feeds, with the work of each in milliseconds.
+/// Returns the share after answers to so many requests and feeds, with the work of each in
+/// milliseconds.
 fn share_after(requests: u64, request: u64, feeds: u64, feed: u64) -> RequestShare {
     let mut share = RequestShare::default();
     for nth in 0..(requests + feeds) {
@@ -24,14 +25,15 @@
     assert_eq!([4, 5, 14, 40].map(|targets| share.reserved_targets(targets)), [1, 2, 5, 13]);
 }
 
-/// A service of feeds only has nothing to leave, and one of requests only no feeds.
+/// A service with feeds only reserves no target, and one with requests only reserves all.
 #[test]
 fn a_service_of_one_class_is_not_split() {
     assert_eq!(share_after(0, 0, 2_000, 55).reserved_targets(14), 0);
     assert_eq!(share_after(2_000, 55, 0, 0).reserved_targets(14), 14);
 }
 
-/// Feeds open in the first seconds and stay; what is learnt later comes too late for them.
+/// Feeds open in the first seconds and stay; a share that is learnt later comes too late
+/// for them.
 #[test]
 fn some_targets_are_reserved_before_any_answer() {
     assert_eq!(
@@ -40,7 +42,7 @@
     );
 }
 
-/// A crowd of feeds lasts for seconds; feeds would move back and forth if it counted.
+/// A burst of feeds lasts for seconds; if it counted, feeds would move back and forth.
 #[test]
 fn a_short_burst_moves_little() {
     let mut share = share_after(830, 72, 2_920, 55);
--- a/load/tests/test_subset.rs
+++ b/load/tests/test_subset.rs
@@ -1,4 +1,4 @@
-//! Targets are assigned out among the instances of a failure domain.
+//! Tests how targets are split among the instances of a failure domain.
 
 use medlarspur_load::{subset::assigned_targets, warmup::Seat};
 use proptest::prelude::*;
@@ -18,7 +18,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against targets that nobody takes first, and against subsets of unlike size.
+    /// Guards against targets that no instance uses first, and against subsets of unequal
+    /// size.
     #[test]
     fn each_target_is_assigned_and_subsets_are_of_similar_size(count in 1..120u32, number in 0..1_000u64) {
         let targets = targets(number);
@@ -32,7 +33,7 @@
         prop_assert!(most - least <= 4, "{least} to {most}");
     }
 
-    /// Guards against one target that most instances take first, where targets are few.
+    /// Guards against one target that most instances use first, where targets are few.
     #[test]
     fn targets_have_similar_numbers_of_instances(count in 1..120u32, number in 1..400u64) {
         let targets = targets(number);
@@ -46,7 +47,7 @@
         prop_assert!(most.copied().unwrap_or(0) as f64 <= mean.max(1.0).ceil(), "{least:?} to {most:?}");
     }
 
-    /// Guards against instances whose targets are all kept for requests.
+    /// Guards against instances whose targets are all reserved for requests.
     #[test]
     fn each_subset_has_some_of_the_first_and_of_the_last_targets(count in 1..100u32) {
         let targets = targets(8 * u64::from(count));
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Guards against dealing everything anew whenever a target comes or goes.
+    /// Guards against new subsets for all instances whenever a target comes or goes.
     #[test]
     fn most_assignments_stay_when_a_target_goes(position in 0..100u32, gone in 0..800usize) {
         let before = targets(800);
--- a/load/tests/test_vacancy.rs
+++ b/load/tests/test_vacancy.rs
@@ -1,4 +1,4 @@
-//! Who gets in where targets run out of connections.
+//! Tests which flows are opened where targets run out of connections.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::{random::Random, vacancy::Vacancy};
@@ -30,7 +30,8 @@
     assert_eq!(pauses, [1_000, 1_000, 1_000]);
 }
 
-/// When one of so many instances asks a full target within `span`, if it never has room.
+/// Returns when one of `instances` instances probes a full target within `span`, if no
+/// connection becomes free.
 fn probe_times(instances: usize, span: Millis) -> Vec<u64> {
     let mut vacancy = Vacancy::default();
     vacancy.record_unanswered(Millis(0));
@@ -43,13 +44,13 @@
     probes
 }
 
-/// Guards against questions that a full target ends one after the other at the first pause.
+/// Guards against probes of a full target that all follow each other at the first pause.
 #[test]
 fn unanswered_probes_become_rarer() {
     assert_eq!(probe_times(1, Millis(3_500)), [500, 1_500, 2_500, 3_500]);
 }
 
-/// Guards against a full target whose last connections go to instances' questions.
+/// Guards against a full target whose last connections are taken by probes.
 #[test]
 fn a_large_fleet_probes_a_full_target_no_more_often_than_a_small_one() {
     let is_late = |at: &u64| *at >= 60_000;
@@ -116,20 +117,21 @@
     assert!(vacancy.can_open(Class::Feed, 0) && !vacancy.can_open(Class::Feed, 1));
 }
 
-/// How many targets and places, and how many instances.
+/// Numbers of targets, of connections per target, and of instances.
 const TARGETS: usize = 14;
 const CONNECTIONS: usize = 25;
 const INSTANCES: usize = 8;
-/// How long a feed and a request stay, and how many come a second.
+/// Durations of a feed and a request in milliseconds, and how many arrive a second.
 const FEED_DURATION: u64 = 17_000;
 const REQUEST_DURATION: u64 = 100;
 const FEEDS_PER_SECOND: u64 = 32;
 const REQUESTS_PER_SECOND: u64 = 45;
-/// How long is played, and from when on is counted: when the places have filled.
+/// Length of the simulation, and the time from which results count, when the connections
+/// are in use, in milliseconds.
 const DURATION: u64 = 60_000;
 const COUNTED_FROM: u64 = 20_000;
 
-/// What callers of a class got.
+/// Results of the callers of a class.
 #[derive(Debug, Default, Clone, Copy)]
 struct Tally {
     opened: u32,
@@ -142,7 +144,7 @@
     }
 }
 
-/// A place that is taken: until when, at which target, by which instance.
+/// An open flow at a target: its end, its instance and its class.
 struct OpenFlow {
     end: u64,
     target: usize,
@@ -150,8 +152,8 @@
     class: Class,
 }
 
-/// Plays callers who come at random to instances that know only what they see. With
-/// `learns`, instances keep to [`Vacancy`]; without it any target is tried once.
+/// Simulates callers that arrive at random at instances that know only what they see. With
+/// `learns`, instances follow [`Vacancy`]; without it, any target is tried.
 fn play(learns: bool, seed: u64) -> [Tally; 2] {
     let mut random = Random::new(seed);
     let mut tallies = [Tally::default(); 2];
@@ -188,7 +190,8 @@
                 order.filter(|it| !learns || vacancies[instance][*it].can_open(class, 0));
             let candidates: Vec<usize> = candidates.collect();
             let mut tries = 0;
-            // A caller's opening goes on to two more targets before its goal has passed.
+            // A caller's opening is sent to two more targets before its latency objective
+            // has passed.
             let target = candidates.into_iter().find(|target| {
                 tries += 1;
                 let has_connection = used(&flows, *target) < CONNECTIONS;
@@ -211,7 +214,7 @@
     tallies
 }
 
-/// Guards against requests that find every place taken by feeds, which stay for long.
+/// Guards against requests that find every connection taken by feeds, which stay for long.
 #[test]
 fn requests_find_connections_where_feeds_would_take_them_all() {
     for seed in 1..=3 {
--- a/load/tests/test_warmup.rs
+++ b/load/tests/test_warmup.rs
@@ -1,14 +1,15 @@
-//! Who opens flows at targets that are slow after their start.
+//! Tests which instances open flows at targets that are slow after their start.
 
 use medlarspur_load::warmup::{MAX_OWNERS, Seat, opening_interval};
 use proptest::prelude::*;
 
-/// What the users' pages allow a slow target in a second, of what it bears.
+/// Returns the maximum number of openings a second for a slow target, by the rate that it
+/// can take.
 fn allowed_per_second(rate: u32) -> u64 {
     u64::from(rate) * 3 / 2 + 5
 }
 
-/// The most openings within any second of owners that each open whenever they may.
+/// Returns the most openings within any second of owners that each open whenever they may.
 fn most_per_second(rate: u32, phases: &[u64]) -> usize {
     let pause = opening_interval(rate).0;
     let mut moments: Vec<u64> = phases
@@ -23,7 +24,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Seats that agree on their number share the targets out: each has one owner.
+    /// Seats that agree on their number split the targets: each has one owner.
     #[test]
     fn each_target_has_one_owner(count in 1..200u32, target in any::<u64>()) {
         let seats = (0..count).map(|position| Seat { position, count });
@@ -31,8 +32,8 @@
         prop_assert_eq!(seats.filter(|seat| seat.owns(target)).count(), 1);
     }
 
-    /// Several instances take themselves for the owner of one target. What it gets from all of
-    /// them together stays within what it may get.
+    /// Several instances act as owners of one target. The openings of all of them together
+    /// stay within the bound.
     #[test]
     fn several_owners_stay_within_the_bound(
         rate in 1..100u32, phases in proptest::collection::vec(0..10_000u64, 1..=MAX_OWNERS as usize)
@@ -41,8 +42,8 @@
     }
 }
 
-/// All targets of a service are slow at once. Each bears four requests a second, and its owner
-/// opens two; without owners all callers would be refused.
+/// All targets of a service are slow at once. Each can take four requests a second, of
+/// which its owner opens two; without owners all callers would be refused.
 #[test]
 fn an_owner_opens_half_of_what_a_target_can_take() {
     assert_eq!(most_per_second(4, &[0]), 2);
