--- a/load/examples/choice.rs
+++ b/load/examples/choice.rs
@@ -1,9 +1,9 @@
-//! Compares ways to choose the target of a new flow, in virtual time.
+//! Compares strategies for choosing the target of a new flow, in virtual time.
 //!
-//! Several instances place flows on the same targets, and each knows only what
-//! passes through itself. Feeds stay where they are placed and ask about once a
-//! second; requests open a flow each. Prints how long callers wait, by way and
-//! load. `docs/measures/marks.md` has a run.
+//! Several instances place flows on the same targets, and each knows only the flows that
+//! pass through it. Feeds stay where they are placed and send about one request a second;
+//! requests open a flow each. Prints how long callers wait, by strategy and load.
+//! `docs/measures/marks.md` has a run.
 
 use medlarspur_lib::bundle::Class;
 use medlarspur_load::{
@@ -12,55 +12,62 @@
 };
 use std::{cmp::Reverse, collections::BinaryHeap};
 
-/// How many instances and targets there are, as at today's sites.
+/// Numbers of instances, targets and slots per target, as at today's sites.
 const INSTANCES: usize = 8;
 const TARGETS: usize = 14;
 const SLOTS: usize = 3;
-/// How many feeds are open.
+/// Number of open feeds.
 const FEEDS: usize = 300;
-/// The mean work of a request, in milliseconds.
+/// Mean work of a request, in milliseconds.
 const WORK: f64 = 60.0;
-/// How long is played, in milliseconds.
-const LENGTH: u64 = 120_000;
-/// What is late: the aim of the busier site.
-const AIM: u64 = 250;
+/// Length of the simulation, in milliseconds.
+const DURATION: u64 = 120_000;
+/// Latency objective of the busier site, in milliseconds.
+const OBJECTIVE: u64 = 250;
 
-/// A way to choose.
+/// A strategy for choosing a target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Strategy {
     /// Any target.
     Random,
-    /// One after the other, each instance for itself.
-    Turns,
-    /// The one of two drawn that has less work of this instance.
+    /// The targets in turn, for each instance separately.
+    RoundRobin,
+    /// Of two random targets, the one with less work of this instance.
     TwoChoices,
-    /// The one with the least work of this instance, as the product chooses.
+    /// The target with the least work of this instance, as in the product.
     LeastOwn,
-    /// The one with the least work of all: what no instance can know.
+    /// The target with the least work of all instances, which no instance can know.
     LeastOfAll,
 }
 
-const WAYS: [Way; 5] = [Way::Random, Way::Turns, Way::TwoChoices, Way::LeastOwn, Way::LeastOfAll];
+const STRATEGIES: [Strategy; 5] = [
+    Strategy::Random,
+    Strategy::RoundRobin,
+    Strategy::TwoChoices,
+    Strategy::LeastOwn,
+    Strategy::LeastOfAll,
+];
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// A feed asks.
+    /// A feed sends a request.
     Feed(usize),
-    /// A request comes to an instance.
+    /// A request arrives at an instance.
     Request(usize),
-    /// A target has worked off one of an instance, for a feed or not.
+    /// A target has finished a request of an instance, of a feed or not.
     Done(usize, usize, bool),
 }
 
-struct World {
+struct Simulation {
     random: Random,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     count: u64,
-    /// Requests under way, by instance and target.
-    working: Vec<[u32; TARGETS]>,
-    /// Open feeds without a request under way, by instance and target.
+    /// Requests in flight, by instance and target.
+    in_flight: Vec<[u32; TARGETS]>,
+    /// Open feeds without a request in flight, by instance and target.
     idle: Vec<[u32; TARGETS]>,
-    /// Requests at a target, those that wait included, with when each came.
+    /// Requests at a target, waiting ones included: arrival time, instance, whether of a
+    /// feed, and work.
     queues: Vec<Vec<(u64, usize, bool, u64)>>,
     turns: Vec<usize>,
     spans: Vec<u64>,
@@ -73,18 +80,18 @@
         "way", "load", "p50", "p99", "late %", "imbalance"
     );
     for load in [0.4, 0.57, 0.75] {
-        for way in WAYS {
-            play(way, load);
+        for strategy in STRATEGIES {
+            play(strategy, load);
         }
     }
 }
 
-fn play(way: Way, load: f64) {
-    let mut world = World {
+fn play(strategy: Strategy, load: f64) {
+    let mut simulation = Simulation {
         random: Random::new(9),
         events: BinaryHeap::new(),
         count: 0,
-        working: vec![[0; TARGETS]; INSTANCES],
+        in_flight: vec![[0; TARGETS]; INSTANCES],
         idle: vec![[0; TARGETS]; INSTANCES],
         queues: vec![Vec::new(); TARGETS],
         turns: (0..INSTANCES).collect(),
@@ -97,42 +104,42 @@
     let mut feeds = Vec::new();
     for feed in 0..FEEDS {
         let instance = feed % INSTANCES;
-        let target = world.choose(way, instance, Class::Feed);
-        world.idle[instance][target] += 1;
+        let target = simulation.choose(strategy, instance, Class::Feed);
+        simulation.idle[instance][target] += 1;
         feeds.push((instance, target));
-        let at = world.wait(pause);
-        world.push(at, Event::Feed(feed));
+        let at = simulation.exponential(pause);
+        simulation.push(at, Event::Feed(feed));
     }
     for instance in 0..INSTANCES {
-        let at = world.wait(INSTANCES as f64 / (rate * 2.0 / 9.0));
-        world.push(at, Event::Request(instance));
+        let at = simulation.exponential(INSTANCES as f64 / (rate * 2.0 / 9.0));
+        simulation.push(at, Event::Request(instance));
     }
-    while let Some(Reverse((now, _, event))) = world.events.pop() {
-        if now > LENGTH {
+    while let Some(Reverse((now, _, event))) = simulation.events.pop() {
+        if now > DURATION {
             break;
         }
         match event {
             Event::Feed(feed) => {
                 let (instance, target) = feeds[feed];
-                world.begin(now, instance, target, true);
-                let at = now + world.wait(pause);
-                world.push(at, Event::Feed(feed));
+                simulation.begin(now, instance, target, true);
+                let at = now + simulation.exponential(pause);
+                simulation.push(at, Event::Feed(feed));
             }
             Event::Request(instance) => {
-                let target = world.choose(way, instance, Class::Request);
-                world.begin(now, instance, target, false);
-                let at = now + world.wait(INSTANCES as f64 / (rate * 2.0 / 9.0));
-                world.push(at, Event::Request(instance));
+                let target = simulation.choose(strategy, instance, Class::Request);
+                simulation.begin(now, instance, target, false);
+                let at = now + simulation.exponential(INSTANCES as f64 / (rate * 2.0 / 9.0));
+                simulation.push(at, Event::Request(instance));
             }
-            Event::Done(target, instance, feed) => world.end(now, target, instance, feed),
+            Event::Done(target, instance, feed) => simulation.finish(now, target, instance, feed),
         }
     }
-    world.report(way, load);
+    simulation.report(strategy, load);
 }
 
-impl World {
-    /// A span drawn with this mean, exponentially.
-    fn wait(&mut self, mean: f64) -> u64 {
+impl Simulation {
+    /// Returns a random span with an exponential distribution.
+    fn exponential(&mut self, mean: f64) -> u64 {
         (-mean * (1.0 - self.random.fraction()).ln()) as u64
     }
 
@@ -141,25 +148,25 @@
         self.events.push(Reverse((at, self.count, event)));
     }
 
-    fn choose(&mut self, way: Way, instance: usize, class: Class) -> usize {
+    fn choose(&mut self, strategy: Strategy, instance: usize, class: Class) -> usize {
         let draw = self.random.draw();
-        match way {
-            Way::Random => (draw % TARGETS as u64) as usize,
-            Way::Turns => {
+        match strategy {
+            Strategy::Random => (draw % TARGETS as u64) as usize,
+            Strategy::RoundRobin => {
                 self.turns[instance] = (self.turns[instance] + 1) % TARGETS;
                 self.turns[instance]
             }
-            Way::TwoChoices => {
+            Strategy::TwoChoices => {
                 let (a, b) = (draw as usize % TARGETS, (draw >> 32) as usize % TARGETS);
-                let load = |it: usize| (self.working[instance][it], self.idle[instance][it]);
+                let load = |it: usize| (self.in_flight[instance][it], self.idle[instance][it]);
                 if load(a) <= load(b) { a } else { b }
             }
-            Way::LeastOwn => {
+            Strategy::LeastOwn => {
                 let candidates: Vec<_> =
                     (0..TARGETS).map(|it| self.candidate(&[instance], it)).collect();
                 choose(&candidates, class, draw).unwrap_or_default()
             }
-            Way::LeastOfAll => {
+            Strategy::LeastOfAll => {
                 let all: Vec<usize> = (0..INSTANCES).collect();
                 let candidates: Vec<_> = (0..TARGETS).map(|it| self.candidate(&all, it)).collect();
                 choose(&candidates, class, draw).unwrap_or_default()
@@ -171,35 +178,35 @@
         Candidate {
             tier: Tier::Good,
             slots: SLOTS as u32,
-            working: instances.iter().map(|it| self.working[*it][target]).sum(),
+            in_flight: instances.iter().map(|it| self.in_flight[*it][target]).sum(),
             opening: 0,
-            feeds: instances.iter().map(|it| self.idle[*it][target]).sum(),
+            idle_feeds: instances.iter().map(|it| self.idle[*it][target]).sum(),
             cold: false,
-            near: true,
-            kept: false,
-            shared: false,
+            same_domain: true,
+            reserved: false,
+            outside_subset: false,
         }
     }
 
     fn begin(&mut self, now: u64, instance: usize, target: usize, feed: bool) {
-        self.working[instance][target] += 1;
+        self.in_flight[instance][target] += 1;
         if feed {
             self.idle[instance][target] = self.idle[instance][target].saturating_sub(1);
         }
-        let work = 10 + self.wait(WORK - 10.0);
+        let work = 10 + self.exponential(WORK - 10.0);
         self.queues[target].push((now, instance, feed, work));
         if self.queues[target].len() <= SLOTS {
             self.push(now + work, Event::Done(target, instance, feed));
         }
     }
 
-    fn end(&mut self, now: u64, target: usize, instance: usize, feed: bool) {
-        self.working[instance][target] -= 1;
+    fn finish(&mut self, now: u64, target: usize, instance: usize, feed: bool) {
+        self.in_flight[instance][target] -= 1;
         if feed {
             self.idle[instance][target] += 1;
         }
-        let is_it = |it: &(u64, usize, bool, u64)| it.1 == instance && it.2 == feed;
-        let Some(at) = self.queues[target].iter().take(SLOTS).position(is_it) else { return };
+        let is_finished = |it: &(u64, usize, bool, u64)| it.1 == instance && it.2 == feed;
+        let Some(at) = self.queues[target].iter().take(SLOTS).position(is_finished) else { return };
         let (since, ..) = self.queues[target].remove(at);
         self.spans.push(now - since);
         self.served[target] += 1;
@@ -208,16 +215,16 @@
         }
     }
 
-    fn report(&mut self, way: Way, load: f64) {
+    fn report(&mut self, strategy: Strategy, load: f64) {
         self.spans.sort_unstable();
         let part = |part: f64| self.spans[(self.spans.len() as f64 * part) as usize];
-        let late = self.spans.iter().filter(|span| **span > AIM).count();
+        let late = self.spans.iter().filter(|span| **span > OBJECTIVE).count();
         let late = late as f64 * 100.0 / self.spans.len() as f64;
         let mean = self.served.iter().sum::<u32>() as f64 / TARGETS as f64;
         let most = self.served.iter().copied().max().unwrap_or_default();
         let imbalance = f64::from(most) / mean;
         let (p50, p99) = (part(0.5), part(0.99));
-        let way = format!("{way:?}");
-        println!("{way:12} {load:5.2} {p50:6} {p99:6} {late:8.2} {imbalance:10.2}");
+        let strategy = format!("{strategy:?}");
+        println!("{strategy:12} {load:5.2} {p50:6} {p99:6} {late:8.2} {imbalance:10.2}");
     }
 }
--- a/load/examples/overload.rs
+++ b/load/examples/overload.rs
@@ -1,12 +1,12 @@
-//! What callers get while targets are asked for more than they can do, with and
-//! without openings that wait at the instances. `docs/measures/marks.md` has a run.
+//! Prints what callers get from overloaded targets, with and without openings that wait at
+//! the instances. `docs/measures/marks.md` has a run.
 
 #[path = "../tests/overload.rs"]
 mod overload;
 
-use overload::{Got, Scene, play};
+use overload::{Scene, Tally, play};
 
-/// Over how many seeds the figures are means.
+/// Number of seeds over which the figures are averaged.
 const SEEDS: u64 = 10;
 
 fn main() {
@@ -15,20 +15,21 @@
         "scene", "limit", "in time", "late", "refused", "%"
     );
     for (name, scene, span) in SCENES {
-        for limited in [false, true] {
-            let got = (1..=SEEDS).map(|seed| play(scene(seed), limited));
-            let got = got.map(|world| world.got(span.0, span.1));
-            let got = got.fold(Got::default(), |sum, it| sum + it);
-            let limit = if limited { "yes" } else { "no" };
+        for is_limited in [false, true] {
+            let tally = (1..=SEEDS).map(|seed| play(scene(seed), is_limited));
+            let tally = tally.map(|simulation| simulation.tally(span.0, span.1));
+            let tally = tally.fold(Tally::default(), |sum, it| sum + it);
+            let limit = if is_limited { "yes" } else { "no" };
             let mean = |count: u32| u64::from(count) / SEEDS;
-            let (in_time, late, refused) = (mean(got.in_time), mean(got.late), mean(got.refused));
-            let part = got.part() * 100.0;
+            let (in_time, late, refused) =
+                (mean(tally.in_time), mean(tally.late), mean(tally.refused));
+            let part = tally.fraction_in_time() * 100.0;
             println!("{name:25} {limit:5} {in_time:7} {late:5} {refused:7} {part:5.1}");
         }
     }
 }
 
-/// A name, a scene by seed, and the span whose callers are counted.
+/// A name, a scene by seed, and the span whose requests are counted.
 type Played = (&'static str, fn(u64) -> Scene, (u64, u64));
 
 const SCENES: [Played; 5] = [
--- a/marked/src/forwarder/estimates.rs
+++ b/marked/src/forwarder/estimates.rs
@@ -1,7 +1,7 @@
 //! Estimates derived from the answers that pass through this instance.
 
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
-use medlarspur_load::{estimate::Estimate, reserve::Mix};
+use medlarspur_load::{estimate::Estimate, reserve::RequestShare};
 
 /// Number of ambiguous handshakes in a row that are left out of the estimate. A few targets
 /// that are full at the same time cause fewer. A handshake is ambiguous if its opening was sent
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct ServiceEstimates {
     answers: Estimate,
-    mix: Mix,
+    mix: RequestShare,
 }
 
 impl Estimates {
@@ -34,15 +34,15 @@
         self.last_answered = self.last_answered.max(since);
         self.ambiguous = if is_resent { self.ambiguous + 1 } else { 0 };
         if !is_resent || self.ambiguous > MAX_AMBIGUOUS {
-            self.handshakes.hear(now.since(since));
+            self.handshakes.record(now.since(since));
         }
     }
 
     /// Adds the answer time of a request of a class.
     pub(super) fn add_answer(&mut self, service: &ServiceName, class: Class, span: Millis) {
         let service = self.services.entry(service.clone()).or_default();
-        service.answers.hear(span);
-        service.mix.hear(class, span);
+        service.answers.record(span);
+        service.mix.record(class, span);
     }
 
     /// Whether an opening that arrived later than `since` was answered.
@@ -52,16 +52,16 @@
 
     /// Upper bound of the usual handshake time, once known.
     pub(super) fn longest_handshake(&self) -> Option<Millis> {
-        self.handshakes.bound()
+        self.handshakes.upper_bound()
     }
 
     /// Upper bound of a service's usual answer time, once known.
     pub(super) fn longest_answer(&self, service: &ServiceName) -> Option<Millis> {
-        self.services.get(service)?.answers.bound()
+        self.services.get(service)?.answers.upper_bound()
     }
 
     /// Share of requests in the work of a service.
-    pub(super) fn mix(&self, service: &ServiceName) -> Mix {
+    pub(super) fn mix(&self, service: &ServiceName) -> RequestShare {
         self.services.get(service).map(|service| service.mix).unwrap_or_default()
     }
 
--- a/marked/src/forwarder/exclusion.rs
+++ b/marked/src/forwarder/exclusion.rs
@@ -90,7 +90,8 @@
     /// Whether this instance owns a target in slow start and may open a flow there now.
     fn may_open_at_warming(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
         let last = self.states.get(&entry.target.incarnation).and_then(|state| state.warmed_at);
-        self.owns(entry) && last.is_none_or(|at| now.since(at) >= warmup::pause(warmup.rate))
+        self.owns(entry)
+            && last.is_none_or(|at| now.since(at) >= warmup::opening_interval(warmup.rate))
     }
 
     /// Whether this instance owns a target of its failure domain in slow start.
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -54,7 +54,7 @@
         state.health.record_accepted(now);
         state.unanswered = 0;
         state.late_unanswered = false;
-        if state.vacancy.take(class) {
+        if state.vacancy.record_accepted(class) {
             self.mark_vacant(target, out);
         }
     }
@@ -62,7 +62,7 @@
     /// Records that a flow at a target ended.
     pub(super) fn record_flow_end(&mut self, target: Incarnation, class: Class) {
         if let Some(state) = self.states.get_mut(&target) {
-            state.vacancy.leave(class);
+            state.vacancy.record_flow_end(class);
         }
     }
 
@@ -76,7 +76,7 @@
         self.record_alive(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
         state.check_at = None;
-        state.vacancy.answer();
+        state.vacancy.record_probe_answer();
         if state.vacancy.is_full() && !state.declined {
             // The target was only silent and declined nothing: it was partitioned or late, and
             // is back.
@@ -173,7 +173,7 @@
     /// Excludes a target from new flows.
     fn mark_full(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        let is_new = state.vacancy.refuse(now);
+        let is_new = state.vacancy.record_unanswered(now);
         let health = state.health;
         if is_new && !self.full.contains(&target) {
             self.full.push(target);
@@ -247,13 +247,14 @@
         let instances = self.instance_count();
         let states = &self.states;
         self.full.retain(|it| states.contains_key(it));
-        let is_due = |it: &&Incarnation| states[*it].vacancy.retry().is_some_and(|at| at <= now);
+        let is_due =
+            |it: &&Incarnation| states[*it].vacancy.next_probe().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.full.iter().filter(is_due).copied().collect();
         for target in due {
             if self.should_probe_full(target) {
                 self.probe(target, now, out);
             } else if let Some(state) = self.states.get_mut(&target) {
-                state.vacancy.ask(now, instances);
+                state.vacancy.record_probe(now, instances);
             }
         }
     }
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -16,7 +16,7 @@
 };
 use medlarspur_load::{
     choice::{self, Candidate, Tier},
-    reserve::Mix,
+    reserve::RequestShare,
 };
 
 /// Minimum time without the end of the handshake after which an opening packet is sent again
@@ -172,12 +172,12 @@
         let mut options = Options::default();
         for entry in subset.own.iter().filter_map(|it| self.catalog.entry(*it)) {
             let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-            candidate.kept =
+            candidate.reserved =
                 class != Class::Upload && subset.is_reserved(entry.target.incarnation, mix);
             options.targets.push(entry.target.incarnation);
             options.candidates.push(candidate);
         }
-        options.candidates.iter().any(|it| it.is_first(class)).then_some(options)
+        options.candidates.iter().any(|it| it.is_cheapest_possible(class)).then_some(options)
     }
 
     /// Returns all targets that could take a flow.
@@ -199,7 +199,8 @@
                 None => {
                     let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
                     let is_own = |subset: &Subset| subset.contains(entry.target.incarnation);
-                    candidate.shared = candidate.near && subset.is_some_and(|it| !is_own(it));
+                    candidate.outside_subset =
+                        candidate.same_domain && subset.is_some_and(|it| !is_own(it));
                     entries.push(entry);
                     options.candidates.push(candidate);
                 }
@@ -236,7 +237,7 @@
                     target,
                     class,
                     tier: chosen.tier,
-                    work: chosen.working + chosen.opening,
+                    work: chosen.in_flight + chosen.opening,
                     candidates: count,
                 };
                 return Some((target, note));
@@ -269,12 +270,12 @@
         if entry.target.leaving || state.health.is_lost() {
             return None;
         }
-        if !state.vacancy.admits(class, state.opening) {
+        if !state.vacancy.can_open(class, state.opening) {
             return None;
         }
-        let near = entry.target.domain == self.options.domain;
+        let same_domain = entry.target.domain == self.options.domain;
         let is_suspected = state.suspected_at.is_some_and(|at| now.since(at) < SUSPECT_TIME);
-        let is_suspected = is_suspected || self.stranded && !near;
+        let is_suspected = is_suspected || self.stranded && !same_domain;
         let tier = match entry.presence {
             Presence::Removed(since)
                 if state.health.last_alive() <= since || now.since(since) > LAPSE_LIMIT =>
@@ -289,13 +290,13 @@
         Some(Candidate {
             tier,
             slots: entry.target.slots,
-            working: state.working,
+            in_flight: state.working,
             opening: state.opening,
-            feeds: state.feeds,
+            idle_feeds: state.feeds,
             cold: now < entry.cold_until,
-            near,
-            kept: false,
-            shared: false,
+            same_domain,
+            reserved: false,
+            outside_subset: false,
         })
     }
 
@@ -356,21 +357,21 @@
 
 /// Marks the candidates that feeds leave to requests: the first ones of each failure domain by
 /// incarnation, an order that is the same at all instances.
-fn reserve_for_requests(mix: Mix, entries: &[&Entry], candidates: &mut [Candidate]) {
+fn reserve_for_requests(mix: RequestShare, entries: &[&Entry], candidates: &mut [Candidate]) {
     let mut domains: Map<&DomainName, Vec<(Incarnation, usize)>> = Map::default();
     for (at, entry) in entries.iter().enumerate() {
         let domain = domains.entry(&entry.target.domain).or_default();
         domain.push((entry.target.incarnation, at));
     }
     for domain in domains.values_mut() {
-        let kept = mix.kept(domain.len());
+        let kept = mix.reserved_targets(domain.len());
         // Every opening of a feed runs this, and only membership in the first part is needed,
         // so a selection replaces a full sort.
         if kept < domain.len() {
             domain.select_nth_unstable(kept);
         }
         for (_, at) in &domain[..kept] {
-            candidates[*at].kept = true;
+            candidates[*at].reserved = true;
         }
     }
 }
--- a/marked/src/forwarder/subset.rs
+++ b/marked/src/forwarder/subset.rs
@@ -1,9 +1,9 @@
-//! The subset of a service's targets that an instance prefers; see [`dealing`].
+//! The subset of a service's targets that an instance prefers; see [`subset`](medlarspur_load::subset).
 
 use super::Forwarder;
 use crate::{Entry, Incarnation};
 use medlarspur_lib::ids::ServiceName;
-use medlarspur_load::{dealing, reserve::Mix, warmup::Seat};
+use medlarspur_load::{reserve::RequestShare, subset, warmup::Seat};
 use std::sync::Arc;
 
 /// Subset of a service's targets in this failure domain.
@@ -21,8 +21,8 @@
     }
 
     /// Whether feeds leave a target to requests, which get the first ones by incarnation.
-    pub(super) fn is_reserved(&self, target: Incarnation, mix: Mix) -> bool {
-        let kept = mix.kept(self.all.len());
+    pub(super) fn is_reserved(&self, target: Incarnation, mix: RequestShare) -> bool {
+        let kept = mix.reserved_targets(self.all.len());
         self.all[..kept].last().is_some_and(|last| target <= *last)
     }
 }
@@ -47,7 +47,7 @@
         let targets = self.catalog.targets(service).filter(is_eligible);
         let mut all: Vec<u64> = targets.map(|it| it.target.incarnation.0).collect();
         all.sort_unstable();
-        let own = dealing::deal(seat, &all).into_iter().map(Incarnation).collect();
+        let own = subset::assigned_targets(seat, &all).into_iter().map(Incarnation).collect();
         Subset { own, all: all.into_iter().map(Incarnation).collect() }
     }
 
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -12,14 +12,14 @@
     time::Millis,
 };
 use medlarspur_load::{
-    backlog::{Backlog, Waiting, patience},
-    limit::{Limit, Work},
+    backlog::{Backlog, Waiting, max_wait},
+    limit::{ConcurrencyLimit, InFlight},
 };
 
 /// Admission state of a service: its concurrency limit and the held flows.
 #[derive(Debug, Default)]
 pub(super) struct Admission {
-    limit: Limit,
+    limit: ConcurrencyLimit,
     backlog: Backlog<FlowKey>,
 }
 
@@ -41,7 +41,7 @@
 /// Work in progress at a service, as far as this instance sees it.
 #[derive(Debug, Clone, Copy)]
 struct Load {
-    work: Work,
+    work: InFlight,
     /// This instance's share of the slots of all targets.
     part: f32,
 }
@@ -87,20 +87,19 @@
         out: &mut impl Output,
     ) -> Option<NewFlow> {
         let Some(objective) = objective else { return Some(it) };
-        let is_open = self
-            .admissions
-            .get(&it.service)
-            .is_none_or(|admission| admission.backlog.is_empty() && admission.limit.is_open(now));
+        let is_open = self.admissions.get(&it.service).is_none_or(|admission| {
+            admission.backlog.is_empty() && admission.limit.is_unlimited(now)
+        });
         if is_open {
             return Some(it);
         }
         let Load { work, .. } = self.load(&it.service);
         let admission = self.admissions.entry(it.service.clone()).or_default();
-        if admission.backlog.admits(it.class) && admission.limit.admits(it.class, work, now) {
+        if admission.backlog.can_bypass(it.class) && admission.limit.admits(it.class, work, now) {
             return Some(it);
         }
-        let until = now + patience(objective);
-        let waiting = Waiting { key: it.key, class: it.class, asked: now, until };
+        let deadline = now + max_wait(objective);
+        let waiting = Waiting { key: it.key, class: it.class, since: now, deadline };
         let count = admission.backlog.len();
         if admission.backlog.push(waiting).is_some() {
             self.refuse(&it.key, Refusal::Busy, out);
@@ -137,7 +136,13 @@
     ) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let service = entry.target.service.clone();
-        if !self.admissions.entry(service.clone()).or_default().limit.hear(span, objective, now) {
+        if !self
+            .admissions
+            .entry(service.clone())
+            .or_default()
+            .limit
+            .record_answer(span, objective, now)
+        {
             return;
         }
         let Load { work, part } = self.load(&service);
@@ -163,13 +168,13 @@
         loop {
             let Load { work, .. } = self.load(service);
             let Some(admission) = self.admissions.get_mut(service) else { return };
-            let Some(next) = admission.backlog.next() else { return };
+            let Some(next) = admission.backlog.peek() else { return };
             if !admission.limit.admits(next.class, work, now) {
                 return;
             }
             admission.backlog.remove(next.key);
             if let Some(it) = self.held.remove(&next.key) {
-                self.place_held(it, next.asked, now, out);
+                self.place_held(it, next.since, now, out);
             }
         }
     }
@@ -177,7 +182,7 @@
     fn refuse_expired(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
         loop {
             let Some(admission) = self.admissions.get_mut(service) else { return };
-            let Some(late) = admission.backlog.expire(now) else { return };
+            let Some(late) = admission.backlog.pop_expired(now) else { return };
             if self.held.remove(&late.key).is_some() {
                 self.refuse(&late.key, Refusal::Busy, out);
             }
@@ -207,11 +212,11 @@
 
     /// The time at which the first held flow has waited too long.
     pub(super) fn held_deadline(&self) -> Option<Millis> {
-        self.admissions.values().filter_map(|admission| admission.backlog.deadline()).min()
+        self.admissions.values().filter_map(|admission| admission.backlog.next_deadline()).min()
     }
 
     fn load(&self, service: &ServiceName) -> Load {
-        let (mut work, mut slots) = (Work::default(), 0);
+        let (mut work, mut slots) = (InFlight::default(), 0);
         for entry in self.catalog.targets(service) {
             let Some(state) = self.states.get(&entry.target.incarnation) else { continue };
             // Work in an evacuated domain takes no capacity from the domains in use.
