--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -16,7 +16,7 @@
     bundle::{Class, Limits, Service, TargetState},
     collections::Map,
     control::DISTRUST,
-    flows::{Belief, Flow, FlowMap},
+    flows::{Certainty, Flow, FlowMap},
     forwarder::{Gate, Opening, Verdict as Opened},
     ids::{FlowId, ServiceIx, TargetIx, TargetName},
     members::MemberState,
@@ -238,7 +238,7 @@
     fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow) {
         // Packets of a flow may pass any instance; only the one that opened it
         // knows how long it lasted.
-        if flow.belief == Belief::Opened
+        if flow.certainty == Certainty::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
             recorder.length(span(flow.age(now)));
--- a/lib/src/flows.rs
+++ b/lib/src/flows.rs
@@ -12,14 +12,14 @@
 /// How sure an instance is of a flow's target. More certainty wins when two
 /// beliefs meet, whatever their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Belief {
+pub enum Certainty {
     /// Nobody could be asked; the bucket's earlier owner was taken.
     Guessed,
     /// Another instance said so.
-    Told,
+    Advertised,
     /// A packet of it passed here while its bucket had one owner only, or
     /// after asking.
-    Seen,
+    Observed,
     /// Its first packet was sent from here.
     Opened,
 }
@@ -30,7 +30,7 @@
     /// Where it goes.
     pub target: TargetId,
     /// How sure that is.
-    pub belief: Belief,
+    pub certainty: Certainty,
     /// Whether the caller has closed its half or given up.
     pub closing: bool,
     /// Whether only its first packet has passed here.
@@ -49,15 +49,15 @@
 
 impl Flow {
     /// Notes a flow now.
-    pub fn new(target: TargetId, belief: Belief, class: Class, now: Millis) -> Flow {
+    pub fn new(target: TargetId, certainty: Certainty, class: Class, now: Millis) -> Flow {
         let (closing, fresh) = (false, false);
         let seen = ticks(now);
-        Flow { target, belief, closing, fresh, class, seen, first: seen }
+        Flow { target, certainty, closing, fresh, class, seen, first: seen }
     }
 
     /// Notes a flow whose first packet is let in here now.
     pub fn admitted(target: TargetId, class: Class, now: Millis) -> Flow {
-        let flow = Flow::new(target, Belief::Opened, class, now);
+        let flow = Flow::new(target, Certainty::Opened, class, now);
         Flow { fresh: true, ..flow }
     }
 
@@ -140,7 +140,7 @@
     }
 
     /// Notes a flow. A surer belief is never replaced by a weaker one.
-    pub fn note(&mut self, id: FlowId, flow: Flow) {
+    pub fn record(&mut self, id: FlowId, flow: Flow) {
         match self.map.entry(id) {
             Entry::Vacant(vacant) => {
                 vacant.insert(flow);
@@ -148,7 +148,7 @@
             Entry::Occupied(mut known) => {
                 let known = known.get_mut();
                 known.seen = known.seen.max(flow.seen);
-                if flow.belief > known.belief {
+                if flow.certainty > known.certainty {
                     *known = Flow { seen: known.seen, first: known.first, ..flow };
                 }
             }
--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -9,7 +9,7 @@
 use super::Sink;
 use crate::{
     collections::{Map, Set},
-    flows::{Belief, Flows},
+    flows::{Certainty, Flows},
     ids::{FlowId, InstanceName, ServiceName, TargetName},
     keepers::Keepers,
     message::Advert,
@@ -135,13 +135,13 @@
             let Some(service) = position.map(|position| &view.services[position]) else {
                 continue;
             };
-            match flow.belief {
-                Belief::Opened => self.push(view, service, id, flow.target),
-                Belief::Seen | Belief::Guessed => later.push((service, id, flow.target)),
-                Belief::Told if moved.contains(&service.key) => {
+            match flow.certainty {
+                Certainty::Opened => self.push(view, service, id, flow.target),
+                Certainty::Observed | Certainty::Guessed => later.push((service, id, flow.target)),
+                Certainty::Advertised if moved.contains(&service.key) => {
                     later.push((service, id, flow.target));
                 }
-                Belief::Told => {}
+                Certainty::Advertised => {}
             }
         }
         for (service, id, target) in later {
--- a/lib/src/forwarder/held.rs
+++ b/lib/src/forwarder/held.rs
@@ -3,11 +3,11 @@
 use super::{Forwarder, Gate, Sink, Site, Verdict};
 use crate::{
     bundle::Protocol,
-    flows::{Belief, FlowMap},
+    flows::{Certainty, FlowMap},
     ids::FlowId,
     members::Member,
     packet::{Mark, Packet},
-    question::{Answer, Datagram, Question, Word},
+    question::{Answer, Datagram, LookupResult, Question},
     time::Millis,
     view::{TargetId, TargetKey, View},
 };
@@ -98,8 +98,8 @@
     /// Whether this instance keeps the bucket and knows all its exceptions.
     fn vouches(&self, now: Millis, site: &Site<'_>) -> bool {
         let question = Question { flow: site.id, service: site.service.key, nonce: 0 };
-        let word = self.keeping.word(site.view, &self.flows, &question, now);
-        matches!(word, Word::NoException { .. })
+        let result = self.keeping.look_up(site.view, &self.flows, &question, now);
+        matches!(result, LookupResult::NoException { .. })
     }
 
     /// Whether the keepers are unlikely to know all: the move is fresh, or this
@@ -128,9 +128,9 @@
         }
         asking.open -= 1;
         let open = asking.open;
-        asking.certain |= matches!(answer.word, Word::NoException { .. });
-        match answer.word {
-            Word::Known(key) => {
+        asking.certain |= matches!(answer.result, LookupResult::NoException { .. });
+        match answer.result {
+            LookupResult::Known(key) => {
                 let first = asking.packets[0].clone();
                 if let Some(target) = self.believe(&view, &first, key) {
                     self.counters.found += 1;
@@ -138,10 +138,10 @@
                     return;
                 }
             }
-            Word::NoException { empty: true } => {
+            LookupResult::NoException { empty: true } => {
                 with_site(&view, &asking.packets[0], |_, site| self.keeping.clear(site));
             }
-            Word::NoException { empty: false } | Word::Unknown => {}
+            LookupResult::NoException { empty: false } | LookupResult::Unknown => {}
         }
         if open == 0 {
             self.conclude(&view, now, answer.flow, true, sink);
@@ -172,7 +172,7 @@
         let Some(asking) = self.held.asking.remove(&id) else { return };
         for bytes in &asking.packets {
             with_site(view, bytes, |packet, site| {
-                self.adopt(now, packet, target, Belief::Seen, site, sink);
+                self.adopt(now, packet, target, Certainty::Observed, site, sink);
             });
         }
         self.adverts.exception(view, id, target);
@@ -238,7 +238,7 @@
         match site.bucket().fallback(orphaned) {
             Some(target) if packet.mark() != Mark::Open => {
                 self.counters.guessed += 1;
-                self.adopt(now, packet, target, Belief::Guessed, site, sink);
+                self.adopt(now, packet, target, Certainty::Guessed, site, sink);
                 // The keepers are told, so that all who are asked from now on
                 // send the flow the same way.
                 self.adverts.exception(site.view, site.id, target);
--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -13,7 +13,7 @@
     ids::{Bucket, Incarnation, InstanceName, ServiceName},
     keepers::Keepers,
     message::Advert,
-    question::{Question, Word},
+    question::{LookupResult, Question},
     time::Millis,
     view::{DETECTION, ServiceView, Stamp, View},
 };
@@ -138,21 +138,27 @@
     }
 
     /// What to answer to a question.
-    pub(super) fn word(&self, view: &View, flows: &Flows, q: &Question, now: Millis) -> Word {
+    pub(super) fn look_up(
+        &self,
+        view: &View,
+        flows: &Flows,
+        q: &Question,
+        now: Millis,
+    ) -> LookupResult {
         // A guess counts too: where it was wrong, the flow is broken already.
         if let Some(flow) = flows.get(q.flow) {
-            return Word::Known(view.registry.get(flow.target).key);
+            return LookupResult::Known(view.registry.get(flow.target).key);
         }
-        let Some(service) = view.keyed(q.service) else { return Word::Unknown };
+        let Some(service) = view.keyed(q.service) else { return LookupResult::Unknown };
         let bucket = service.bucket(q.flow);
         let keeps = service.keepers.of(bucket).any(|name| name == &view.me);
         if !keeps
             || service.is_pending()
             || !self.is_complete(service, service.state(bucket).stamp(), now)
         {
-            return Word::Unknown;
+            return LookupResult::Unknown;
         }
-        Word::NoException { empty: self.is_empty(service, bucket, now) }
+        LookupResult::NoException { empty: self.is_empty(service, bucket, now) }
     }
 
     /// Whether all have told their exceptions of what moved up to `stamp`.
--- a/lib/src/forwarder/opening.rs
+++ b/lib/src/forwarder/opening.rs
@@ -4,7 +4,7 @@
 use super::{Forwarder, Gate, Opening, Sink, Site, Verdict};
 use crate::{
     bundle::Protocol,
-    flows::{Belief, Flow},
+    flows::{Certainty, Flow},
     packet::{Mark, Packet},
     time::Millis,
     view::TargetId,
@@ -30,9 +30,9 @@
             Mark::Middle if packet.key().protocol == Protocol::Udp => {
                 self.open(now, packet, owner, site, sink);
             }
-            Mark::Middle => self.adopt(now, packet, owner, Belief::Seen, site, sink),
+            Mark::Middle => self.adopt(now, packet, owner, Certainty::Observed, site, sink),
             Mark::Close | Mark::Abort => {
-                let flow = Flow::new(owner, Belief::Seen, site.class, now);
+                let flow = Flow::new(owner, Certainty::Observed, site.class, now);
                 self.end(now, packet.mark(), site.id, &flow);
                 self.send(packet.bytes(), owner, site, sink);
             }
@@ -69,7 +69,7 @@
         sink: &mut impl Sink,
     ) {
         self.counters.opened += 1;
-        self.flows.note(site.id, Flow::admitted(owner, site.class, now));
+        self.flows.record(site.id, Flow::admitted(owner, site.class, now));
         if site.view.leaving {
             self.adverts.exception(site.view, site.id, owner);
         }
@@ -82,16 +82,16 @@
         now: Millis,
         packet: &Packet<'_>,
         target: TargetId,
-        belief: Belief,
+        certainty: Certainty,
         site: &Site<'_>,
         sink: &mut impl Sink,
     ) {
-        let mut flow = Flow::new(target, belief, site.class, now);
+        let mut flow = Flow::new(target, certainty, site.class, now);
         flow.closing = matches!(packet.mark(), Mark::Close | Mark::Abort);
         if site.bucket().owner != Some(target) {
             self.keeping.note_exception(site);
         }
-        self.flows.note(site.id, flow);
+        self.flows.record(site.id, flow);
         self.send(packet.bytes(), target, site, sink);
     }
 }
--- a/lib/src/forwarder/peers.rs
+++ b/lib/src/forwarder/peers.rs
@@ -3,9 +3,9 @@
 use super::{Forwarder, Gate, Sink};
 use crate::{
     bundle::Class,
-    flows::{Belief, Flow},
+    flows::{Certainty, Flow},
     message::Advert,
-    question::{Answer, Datagram, Question, QuestionError, Word},
+    question::{Answer, Datagram, LookupResult, Question, QuestionError},
     time::Millis,
 };
 use std::net::SocketAddrV4;
@@ -33,11 +33,11 @@
     fn reply(&mut self, now: Millis, from: SocketAddrV4, q: Question, sink: &mut impl Sink) {
         self.counters.questions += 1;
         // Silence would make the asker wait for its time limit.
-        let word = match &self.view {
-            Some(view) => self.keeping.word(view, &self.flows, &q, now),
-            None => Word::Unknown,
+        let result = match &self.view {
+            Some(view) => self.keeping.look_up(view, &self.flows, &q, now),
+            None => LookupResult::Unknown,
         };
-        let answer = Answer { flow: q.flow, nonce: q.nonce, word };
+        let answer = Answer { flow: q.flow, nonce: q.nonce, result };
         sink.ask(from, Datagram::Answer(answer));
     }
 
@@ -48,7 +48,7 @@
         for (id, name) in &advert.flows {
             if let Some(target) = view.registry.named(&advert.service, name) {
                 // The class matters only for flows that were admitted here.
-                self.flows.note(*id, Flow::new(target, Belief::Told, Class::Feed, now));
+                self.flows.record(*id, Flow::new(target, Certainty::Advertised, Class::Feed, now));
             }
         }
         self.keeping.note(view, advert);
--- a/lib/src/question.rs
+++ b/lib/src/question.rs
@@ -31,13 +31,13 @@
         /// The number of the question.
         pub nonce: u32,
         /// What the answering instance knows.
-        pub word: Word,
+        pub result: LookupResult,
     }
 }
 
 /// What an instance knows of a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Word {
+pub enum LookupResult {
     /// It goes to this target.
     Known(TargetKey),
     /// The instance never saw it and can't speak for others.
@@ -110,14 +110,14 @@
                 bytes.extend(q.service.0.to_be_bytes());
             }
             Datagram::Answer(a) => {
-                let kind = match a.word {
-                    Word::Known(_) => KIND_KNOWN,
-                    Word::Unknown => KIND_UNKNOWN,
-                    Word::NoException { empty: false } => KIND_NO_EXCEPTION,
-                    Word::NoException { empty: true } => KIND_EMPTY,
+                let kind = match a.result {
+                    LookupResult::Known(_) => KIND_KNOWN,
+                    LookupResult::Unknown => KIND_UNKNOWN,
+                    LookupResult::NoException { empty: false } => KIND_NO_EXCEPTION,
+                    LookupResult::NoException { empty: true } => KIND_EMPTY,
                 };
                 head(&mut bytes, kind, a.nonce, a.flow);
-                if let Word::Known(target) = a.word {
+                if let LookupResult::Known(target) = a.result {
                     bytes.extend(target.0.to_be_bytes());
                 }
             }
@@ -134,20 +134,20 @@
         ensure!(checksum(secret, body) == sum, ChecksumSnafu);
         let nonce = u32::from_be_bytes(array(&body[1..5]));
         let flow = FlowId(u64::from_be_bytes(array(&body[5..HEAD])));
-        let word = match (body[0], body.len()) {
+        let result = match (body[0], body.len()) {
             (KIND_QUESTION, length) if length == HEAD + 4 => {
                 let service = ServiceKey(u32::from_be_bytes(array(&body[HEAD..])));
                 return Ok(Datagram::Question(Question { flow, service, nonce }));
             }
-            (KIND_UNKNOWN, HEAD) => Word::Unknown,
-            (KIND_NO_EXCEPTION, HEAD) => Word::NoException { empty: false },
-            (KIND_EMPTY, HEAD) => Word::NoException { empty: true },
+            (KIND_UNKNOWN, HEAD) => LookupResult::Unknown,
+            (KIND_NO_EXCEPTION, HEAD) => LookupResult::NoException { empty: false },
+            (KIND_EMPTY, HEAD) => LookupResult::NoException { empty: true },
             (KIND_KNOWN, length) if length == HEAD + 8 => {
-                Word::Known(TargetKey(u64::from_be_bytes(array(&body[HEAD..]))))
+                LookupResult::Known(TargetKey(u64::from_be_bytes(array(&body[HEAD..]))))
             }
             _ => return KindSnafu.fail(),
         };
-        Ok(Datagram::Answer(Answer { flow, nonce, word }))
+        Ok(Datagram::Answer(Answer { flow, nonce, result }))
     }
 }
 
--- a/lib/tests/edge/test_input.rs
+++ b/lib/tests/edge/test_input.rs
@@ -4,7 +4,7 @@
     bundle::Protocol,
     ids::FlowId,
     packet::{FlowKey, Mark, Packet},
-    question::{Answer, Datagram, Question, QuestionError, Word},
+    question::{Answer, Datagram, LookupResult, Question, QuestionError},
     settings::Secret,
     view::{ServiceKey, TargetKey},
 };
@@ -29,11 +29,11 @@
     bytes
 }
 
-fn word() -> impl Strategy<Value = Word> {
+fn result() -> impl Strategy<Value = LookupResult> {
     prop_oneof![
-        any::<u64>().prop_map(|key| Word::Known(TargetKey(key))),
-        Just(Word::Unknown),
-        any::<bool>().prop_map(|empty| Word::NoException { empty }),
+        any::<u64>().prop_map(|key| LookupResult::Known(TargetKey(key))),
+        Just(LookupResult::Unknown),
+        any::<bool>().prop_map(|empty| LookupResult::NoException { empty }),
     ]
 }
 
@@ -43,10 +43,10 @@
         (flow.clone(), any::<u32>(), any::<u32>()).prop_map(|(flow, service, nonce)| {
             Datagram::Question(Question { flow, service: ServiceKey(service), nonce })
         }),
-        (flow, any::<u32>(), word()).prop_map(|(flow, nonce, word)| Datagram::Answer(Answer {
+        (flow, any::<u32>(), result()).prop_map(|(flow, nonce, result)| Datagram::Answer(Answer {
             flow,
             nonce,
-            word
+            result
         })),
     ]
 }
--- a/lib/tests/product/test_flows.rs
+++ b/lib/tests/product/test_flows.rs
@@ -2,7 +2,7 @@
 
 use medlarspur_lib::{
     bundle::Class,
-    flows::{Belief, Flow, Flows},
+    flows::{Certainty, Flow, Flows},
     ids::FlowId,
     time::Millis,
     view::TargetId,
@@ -16,13 +16,13 @@
 #[test]
 fn a_flow_keeps_its_age_when_its_target_becomes_surer() {
     let mut flows = Flows::default();
-    let flow = |belief, at| Flow::new(TargetId(1), belief, Class::Feed, at);
-    flows.note(FlowId(9), flow(Belief::Guessed, Millis::secs(10)));
-    flows.note(FlowId(9), flow(Belief::Seen, Millis::secs(40)));
+    let flow = |certainty, at| Flow::new(TargetId(1), certainty, Class::Feed, at);
+    flows.record(FlowId(9), flow(Certainty::Guessed, Millis::secs(10)));
+    flows.record(FlowId(9), flow(Certainty::Observed, Millis::secs(40)));
 
     let found = flows.get(FlowId(9)).expect("noted");
 
-    assert_eq!(found.belief, Belief::Seen);
+    assert_eq!(found.certainty, Certainty::Observed);
     assert_eq!(found.age(Millis::secs(70)), Millis::secs(60));
     assert_eq!(found.idle(Millis::secs(70)), Millis::secs(30));
 }
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -6,7 +6,7 @@
     ids::{InstanceName, ServiceName, TargetName},
     message::Advert,
     packet::FlowKey,
-    question::{Answer, Datagram, Question, Word},
+    question::{Answer, Datagram, LookupResult, Question},
 };
 use medlarspur_testutils::{
     bundles::{FEEDS, Site},
@@ -59,7 +59,8 @@
     forwarder.packet(now, &segment(&feed(), Part::Middle), &mut sent);
 
     let question = sent.questions[0].clone();
-    let answer = Answer { flow: question.flow, nonce: question.nonce, word: Word::Known(wrong) };
+    let answer =
+        Answer { flow: question.flow, nonce: question.nonce, result: LookupResult::Known(wrong) };
     forwarder.datagram(now, FEEDS, Datagram::Answer(answer), &mut sent);
     forwarder.packet(now, &segment(&feed(), Part::Middle), &mut sent);
     let before = std::mem::take(&mut sent.packets);
