--- a/daemon/examples/bench/memory.rs
+++ b/daemon/examples/bench/memory.rs
@@ -191,7 +191,7 @@
     for packet in packets.iter().filter_map(|it| Packet::parse(black_box(it)).ok()) {
         let key = packet.key();
         let id = view.hasher.id(&key);
-        if let Some((service, _)) = view.find(key.service, Protocol::Tcp) {
+        if let Some((service, _)) = view.service_at(key.service, Protocol::Tcp) {
             black_box(service.state(service.bucket(id)).owner);
         }
     }
--- a/daemon/examples/bench/site.rs
+++ b/daemon/examples/bench/site.rs
@@ -4,7 +4,7 @@
     bundle::{Bundle, Class, Limits, Port, Protocol, Seed, Service, Target, TargetState},
     ids::{DomainName, InstanceName, ServiceName, SiteName, TargetName, Version},
     time::Millis,
-    view::{Draft, START_TIME, View},
+    view::{Draft, PUBLISH_DELAY, View},
 };
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -32,7 +32,7 @@
     ];
     let bundle = bundle(services);
     let mut draft = Draft::first(InstanceName::new("entry-1"), &bundle, Millis(0));
-    draft.advance(START_TIME);
+    draft.advance(PUBLISH_DELAY);
     draft.commit().expect("the first view is a change")
 }
 
--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -22,7 +22,7 @@
     question::{Datagram, Question},
     settings::Secret,
     time::Millis,
-    view::{Draft, START_TIME, ServiceKey},
+    view::{Draft, PUBLISH_DELAY, ServiceKey},
 };
 use medlarspur_operator::Meters;
 use medlarspur_platform::{Etag, Http, Platform};
@@ -167,7 +167,7 @@
 
 fn begin(bundle: &Arc<Bundle>) -> Draft {
     let mut draft = Draft::first(InstanceName::new("entry-0"), bundle, NOW);
-    draft.advance(NOW + START_TIME);
+    draft.advance(NOW + PUBLISH_DELAY);
     draft
 }
 
@@ -229,13 +229,13 @@
 fn members_micros(services: usize, members: usize) -> f64 {
     let mut draft = draft(services);
     let mut all: Vec<_> = (0..members).map(member).collect();
-    draft.members(all.clone(), NOW);
+    draft.set_members(all.clone(), NOW);
     let mut next = members;
     median(|| {
         next += 1;
         all[0] = member(next);
         timed(|| {
-            draft.members(all.clone(), NOW);
+            draft.set_members(all.clone(), NOW);
             draft.commit()
         })
     }) / 1e3
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -201,7 +201,7 @@
             }
             Action::Members(members) => {
                 if let Some(draft) = &mut self.draft {
-                    draft.members(members.clone(), now);
+                    draft.set_members(members.clone(), now);
                 }
                 changes::members(&self.members, &members);
                 self.members = members;
@@ -209,7 +209,7 @@
             Action::Plan(plan) => {
                 self.show_plan(&plan);
                 if let Some(draft) = &mut self.draft {
-                    draft.plan(plan, now);
+                    draft.apply_plan(plan, now);
                 }
             }
             Action::ReadPlatform(reads) => self.reader.set_watching(reads),
@@ -236,9 +236,9 @@
             Some(draft) => draft.install(&bundle, now),
             None => {
                 let mut draft = Draft::first(self.name.clone(), &bundle, now);
-                draft.members(self.members.clone(), now);
+                draft.set_members(self.members.clone(), now);
                 for plan in self.controller.plans().iter() {
-                    draft.plan(plan.clone(), now);
+                    draft.apply_plan(plan.clone(), now);
                 }
                 self.draft = Some(draft);
             }
@@ -256,7 +256,7 @@
             }
             Message::History(history) => {
                 if let Some(draft) = &mut self.draft {
-                    draft.history(&history, now);
+                    draft.merge_history(&history, now);
                 }
             }
             _ => {}
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -114,7 +114,7 @@
                 self.recorders.insert((ServiceIx(at as u16), port.class), recorder);
             }
             for (position, target) in spec.targets.iter().enumerate() {
-                if let Some(id) = view.registry.named(&spec.name, &target.name) {
+                if let Some(id) = view.registry.find_by_name(&spec.name, &target.name) {
                     self.places.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
                     self.names.insert(target.name.clone(), id);
                 }
@@ -272,7 +272,7 @@
             if target.state == TargetState::Active {
                 continue;
             }
-            let id = view.registry.named(&service.spec.name, &target.name);
+            let id = view.registry.find_by_name(&service.spec.name, &target.name);
             if let Some(id) = id.filter(|id| owns(service, *id)) {
                 found.push(Holder {
                     service: ServiceIx(at as u16),
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -144,5 +144,5 @@
 
 fn moving(view: &View) -> u64 {
     let buckets = view.services.iter().flat_map(|service| &service.buckets);
-    buckets.filter(|bucket| bucket.in_doubt()).count() as u64
+    buckets.filter(|bucket| bucket.may_have_exceptions()).count() as u64
 }
--- a/daemon/src/sample.rs
+++ b/daemon/src/sample.rs
@@ -26,7 +26,7 @@
         let Some(view) = view.filter(|_| now != self.last) else { return };
         let Ok(packet) = Packet::parse(bytes) else { return };
         let key = packet.key();
-        let Some((service, class)) = view.find(key.service, key.protocol) else { return };
+        let Some((service, class)) = view.service_at(key.service, key.protocol) else { return };
         self.last = now;
         let meters = self.meters.class(&service.spec.name, class);
         self.sample = Some((Instant::now(), meters));
--- a/daemon/src/status.rs
+++ b/daemon/src/status.rs
@@ -122,7 +122,9 @@
         shown.bundle = Some(self.bundle(&view));
         shown.id = Some(flow_id(view.hasher.id(flow)));
         shown.reason = Reason::NoService;
-        let Some((service, class)) = view.find(flow.service, flow.protocol) else { return shown };
+        let Some((service, class)) = view.service_at(flow.service, flow.protocol) else {
+            return shown;
+        };
         let bucket = service.bucket(view.hasher.id(flow));
         let state = service.state(bucket);
         shown.service = Some(service.spec.name.clone());
@@ -135,7 +137,7 @@
         shown.plan = plan.map(|plan| plan_status(plan));
         let planned = plan.is_some_and(|plan| plan.moves.iter().any(|(b, _)| *b == bucket));
         let (target, reason) =
-            choose(known, state, planned, view.orphaned(service, self.clock.now()));
+            choose(known, state, planned, view.orphaned_since(service, self.clock.now()));
         shown.target = target.map(|id| view.registry.get(id).name.clone());
         shown.reason = reason;
         shown
@@ -181,7 +183,7 @@
         .targets
         .iter()
         .map(|target| {
-            let id = view.registry.named(&service.spec.name, &target.name);
+            let id = view.registry.find_by_name(&service.spec.name, &target.name);
             let buckets = service.buckets.iter().filter(|b| b.owner == id).count() as u16;
             TargetStatus {
                 name: target.name.clone(),
@@ -197,14 +199,14 @@
         name: service.spec.name.clone(),
         flows: targets.iter().map(|target| target.flows).sum(),
         buckets: service.buckets.len() as u16,
-        moving: service.buckets.iter().filter(|state| state.in_doubt()).count() as u16,
+        moving: service.buckets.iter().filter(|state| state.may_have_exceptions()).count() as u16,
         plan: None,
         targets,
     }
 }
 
 fn owners(state: &BucketView, registry: &Registry, now: Millis) -> Vec<Owner> {
-    let owner = |earlier: &medlarspur_lib::view::Earlier| Owner {
+    let owner = |earlier: &medlarspur_lib::view::EarlierOwner| Owner {
         target: registry.get(earlier.target).name.clone(),
         since: now.since(earlier.since),
     };
@@ -224,7 +226,7 @@
 ) -> (Option<TargetId>, Reason) {
     match (known, state.owner) {
         (Some(known), _) => (Some(known.flow.target), Reason::Known),
-        (None, _) if state.in_doubt() => (state.fallback(orphaned), Reason::History),
+        (None, _) if state.may_have_exceptions() => (state.fallback(orphaned), Reason::History),
         (None, Some(owner)) if planned => (Some(owner), Reason::Plan),
         (None, Some(owner)) => (Some(owner), Reason::Table),
         (None, None) => (None, Reason::NoTarget),
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -50,7 +50,7 @@
 /// What becomes of flow number `flow` if it opens at the second target.
 fn open(gate: &mut LoadGate, view: &View, now: Millis, flow: u64) -> Verdict {
     let service = &view.services[0].spec;
-    let target = view.registry.named(&service.name, &TargetName::new("alert-2"));
+    let target = view.registry.find_by_name(&service.name, &TargetName::new("alert-2"));
     let target = target.expect("a target of the bundle");
     let caller = Ipv4Addr::new(10, 64, 0, 1);
     let opening = Opening { flow: FlowId(flow), caller, class: Class::Request, target };
--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -98,7 +98,7 @@
         let changed: Vec<_> = view
             .services
             .iter()
-            .filter(|service| service.in_doubt() && !service.is_pending())
+            .filter(|service| service.may_have_exceptions() && !service.is_pending())
             .filter(|service| self.scanned.get(&service.spec.name) != Some(&scan_of(view, service)))
             .cloned()
             .collect();
@@ -128,7 +128,7 @@
     /// told as a keeper goes on only where the duty has `moved` to others: its
     /// openers may be gone, so that nobody else would tell the new keepers.
     fn scan(&mut self, view: &View, flows: &Flows, wanted: &[bool], moved: &Set<ServiceKey>) {
-        let positions = view.positions();
+        let positions = view.service_positions();
         let mut later = Vec::new();
         for (id, flow) in flows.iter() {
             let position = positions[flow.target.0 as usize].filter(|&position| wanted[position]);
@@ -155,7 +155,7 @@
         // One that leaves tells the flows at the present owner too. They are no
         // exceptions, but while an earlier departure makes keepers doubt, an
         // unknown flow is taken for one.
-        if !state.in_doubt() || state.owner == Some(target) && !view.leaving {
+        if !state.may_have_exceptions() || state.owner == Some(target) && !view.leaving {
             return;
         }
         for keeper in service.keepers.of(bucket).filter(|name| **name != view.me) {
--- a/lib/src/forwarder/held.rs
+++ b/lib/src/forwarder/held.rs
@@ -152,7 +152,7 @@
     /// noted for the flow, and all its packets would be dropped where they
     /// leave until it is forgotten; so such an answer counts as none.
     fn believe(&mut self, view: &View, packet: &[u8], key: TargetKey) -> Option<TargetId> {
-        let target = view.registry.find(key)?;
+        let target = view.registry.find_by_key(key)?;
         let mut serves = false;
         with_site(view, packet, |_, site| {
             serves = view.registry.get(target).service == site.service.spec.name;
@@ -234,7 +234,7 @@
         if self.known(now, packet, site, sink) {
             return;
         }
-        let orphaned = site.view.orphaned(site.service, now);
+        let orphaned = site.view.orphaned_since(site.service, now);
         match site.bucket().fallback(orphaned) {
             Some(target) if packet.mark() != Mark::Open => {
                 self.counters.guessed += 1;
@@ -292,7 +292,7 @@
 fn with_site(view: &View, bytes: &[u8], act: impl FnOnce(&Packet<'_>, &Site<'_>)) {
     let Ok(packet) = Packet::parse(bytes) else { return };
     let key = packet.key();
-    let Some((service, class)) = view.find(key.service, key.protocol) else { return };
+    let Some((service, class)) = view.service_at(key.service, key.protocol) else { return };
     let id = view.hasher.id(&key);
     act(&packet, &Site { view, service, class, id });
 }
--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -15,7 +15,7 @@
     message::Advert,
     question::{LookupResult, Question},
     time::Millis,
-    view::{DETECTION, ServiceView, Stamp, View},
+    view::{DETECTION_TIME, ServiceView, Stamp, View},
 };
 
 /// Up to which stamp an instance has told all, and in which of its lives.
@@ -82,7 +82,7 @@
             }
         }
         let longest = view.bundle.services.iter().map(|s| s.keepalive).max();
-        self.gone.retain(|gone| now.since(gone.at) < longest.unwrap_or_default() + DETECTION);
+        self.gone.retain(|gone| now.since(gone.at) < longest.unwrap_or_default() + DETECTION_TIME);
         self.forget_told(view);
         for told in self.told.values_mut() {
             told.retain(|name, told| lives.get(name) == Some(&told.life));
@@ -101,7 +101,7 @@
     /// not the exceptions of the buckets that it keeps now; it would deny them
     /// until they come.
     fn forget_told(&mut self, view: &View) {
-        for service in view.services.iter().filter(|service| service.in_doubt()) {
+        for service in view.services.iter().filter(|service| service.may_have_exceptions()) {
             let name = &service.spec.name;
             if self.keepers.get(name) != Some(&service.keepers) {
                 self.keepers.insert(name.clone(), service.keepers.clone());
@@ -149,7 +149,7 @@
         if let Some(flow) = flows.get(q.flow) {
             return LookupResult::Known(view.registry.get(flow.target).key);
         }
-        let Some(service) = view.keyed(q.service) else { return LookupResult::Unknown };
+        let Some(service) = view.service_by_key(q.service) else { return LookupResult::Unknown };
         let bucket = service.bucket(q.flow);
         let keeps = service.keepers.of(bucket).any(|name| name == &view.me);
         if !keeps
@@ -169,12 +169,12 @@
             told.and_then(|told| told.get(name)).is_some_and(|told| told.stamp >= stamp)
         });
         let orphan = |gone: &Gone| {
-            now.since(gone.at) < service.spec.keepalive + DETECTION
+            now.since(gone.at) < service.spec.keepalive + DETECTION_TIME
                 && gone.told.get(name).is_none_or(|told| *told < stamp)
         };
         // One that went before this instance came could have told it nothing.
         let is_young =
-            self.born.is_none_or(|born| now.since(born) < service.spec.keepalive + DETECTION);
+            self.born.is_none_or(|born| now.since(born) < service.spec.keepalive + DETECTION_TIME);
         by_all && !is_young && !self.gone.iter().any(orphan)
     }
 
@@ -196,7 +196,7 @@
         if self.swept.is_empty() {
             return;
         }
-        let positions = view.positions();
+        let positions = view.service_positions();
         for (id, flow) in flows.iter() {
             let Some(position) = positions[flow.target.0 as usize] else { continue };
             let service = &view.services[position];
@@ -210,7 +210,9 @@
     }
 
     fn may_clear(&self, service: &ServiceView, now: Millis) -> bool {
-        service.in_doubt() && !service.is_pending() && self.is_complete(service, service.stamp, now)
+        service.may_have_exceptions()
+            && !service.is_pending()
+            && self.is_complete(service, service.stamp, now)
     }
 
     /// Notes that a keeper said that a bucket has no exceptions left.
--- a/lib/src/forwarder/mod.rs
+++ b/lib/src/forwarder/mod.rs
@@ -199,7 +199,7 @@
 
     fn route_by(&mut self, view: &View, now: Millis, packet: &Packet<'_>, sink: &mut impl Sink) {
         let key = packet.key();
-        let Some((service, class)) = view.find(key.service, key.protocol) else {
+        let Some((service, class)) = view.service_at(key.service, key.protocol) else {
             self.counters.strangers += 1;
             if packet.mark() == Mark::Open {
                 self.turn_away(packet, sink);
@@ -279,7 +279,7 @@
         }
         self.distrust = None;
         let state = site.bucket();
-        state.in_doubt() && !self.keeping.is_clear(site)
+        state.may_have_exceptions() && !self.keeping.is_clear(site)
     }
 
     /// The one way out. A packet for one service must never reach a target of
--- a/lib/src/forwarder/peers.rs
+++ b/lib/src/forwarder/peers.rs
@@ -46,7 +46,7 @@
         let Some(view) = &self.view else { return };
         self.counters.adverts += 1;
         for (id, name) in &advert.flows {
-            if let Some(target) = view.registry.named(&advert.service, name) {
+            if let Some(target) = view.registry.find_by_name(&advert.service, name) {
                 // The class matters only for flows that were admitted here.
                 self.flows.record(*id, Flow::new(target, Certainty::Advertised, Class::Feed, now));
             }
--- a/lib/src/message/mod.rs
+++ b/lib/src/message/mod.rs
@@ -140,7 +140,7 @@
     }
 
     /// That a target lost a bucket.
-    pub struct Loss {
+    pub struct HistoryEntry {
         /// The bucket.
         pub bucket: Bucket,
         /// The target that may still hold flows of it.
@@ -156,7 +156,7 @@
         /// The service of the buckets.
         pub service: ServiceName,
         /// The earlier owners, bucket by bucket.
-        pub owners: Vec<Loss>,
+        pub owners: Vec<HistoryEntry>,
     }
 
     /// Says that an instance leaves by plan and hands over.
--- a/lib/src/view/bucket.rs
+++ b/lib/src/view/bucket.rs
@@ -16,14 +16,14 @@
 /// Why a flow of a bucket may go elsewhere than to its owner.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct Doubt {
-    pending: Option<Pending>,
-    history: Vec<Earlier>,
+    pending: Option<PendingMove>,
+    history: Vec<EarlierOwner>,
     stamp: Stamp,
 }
 
 /// A move that is known and not carried out yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Pending {
+pub struct PendingMove {
     /// The owner to be.
     pub target: TargetId,
     /// Since when it is known here.
@@ -35,7 +35,7 @@
 
 /// An earlier owner of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Earlier {
+pub struct EarlierOwner {
     /// The target.
     pub target: TargetId,
     /// When this instance saw it lose the bucket.
@@ -52,13 +52,13 @@
     }
 
     /// The move that is about to give its new flows to another target.
-    pub fn pending(&self) -> Option<Pending> {
+    pub fn pending(&self) -> Option<PendingMove> {
         self.doubt.as_ref()?.pending
     }
 
     /// Earlier owners that may hold flows, the latest last. A target appears
     /// more than once when the bucket went to and fro.
-    pub fn history(&self) -> &[Earlier] {
+    pub fn history(&self) -> &[EarlierOwner] {
         self.doubt.as_ref().map_or(&[], |doubt| &doubt.history)
     }
 
@@ -69,7 +69,7 @@
     }
 
     /// The targets of the history, each once.
-    pub fn distinct(&self) -> impl Iterator<Item = &Earlier> {
+    pub fn distinct_owners(&self) -> impl Iterator<Item = &EarlierOwner> {
         let history = self.history();
         let is_first = move |ix: usize| {
             let target = history[ix].target;
@@ -80,13 +80,13 @@
 
     /// Whether a flow that is not known here may go elsewhere than to the
     /// owner, so that others have to be asked.
-    pub fn in_doubt(&self) -> bool {
+    pub fn may_have_exceptions(&self) -> bool {
         self.doubt.is_some()
     }
 
     /// Whether the move is so fresh that the keepers can't know all.
     pub fn is_settling(&self, now: Millis) -> bool {
-        let fresh = |earlier: &Earlier| now.since(earlier.since) < SETTLE_TIME;
+        let fresh = |earlier: &EarlierOwner| now.since(earlier.since) < SETTLE_TIME;
         self.pending().is_some() || self.history().last().is_some_and(fresh)
     }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    pub(super) fn set_pending(&mut self, pending: Option<Pending>) {
+    pub(super) fn set_pending(&mut self, pending: Option<PendingMove>) {
         if self.pending() != pending {
             self.edit(|doubt| doubt.pending = pending);
         }
@@ -118,7 +118,7 @@
     /// Notes an earlier owner. When there are too many, the oldest that is
     /// named more than once goes first, since its flows are still found by the
     /// other.
-    pub(super) fn remember(&mut self, earlier: Earlier) {
+    pub(super) fn remember(&mut self, earlier: EarlierOwner) {
         self.edit(|doubt| {
             let history = &mut doubt.history;
             history.push(earlier);
--- a/lib/src/view/draft.rs
+++ b/lib/src/view/draft.rs
@@ -1,8 +1,8 @@
 //! The transaction that turns one view into the next.
 
 use super::{
-    BucketView, Departure, Earlier, PENDING_LIMIT, Pending, Ports, Registry, START_TIME,
-    ServiceKey, ServiceView, Stamp, TargetId, View,
+    BucketView, Departure, EarlierOwner, PENDING_LIMIT, PUBLISH_DELAY, PendingMove, Ports,
+    Registry, ServiceKey, ServiceView, Stamp, TargetId, View,
 };
 use crate::{
     bundle::{Bundle, Service, TargetState},
@@ -35,7 +35,7 @@
     /// their owners at once: this instance has moved nothing yet, and what the
     /// others moved before comes as history from them.
     ///
-    /// Nothing is published before [`START_TIME`] has passed. Otherwise a new
+    /// Nothing is published before [`PUBLISH_DELAY`] has passed. Otherwise a new
     /// instance would open flows at owners of which an instance that is behind
     /// has not heard, or before the others know it and can ask it, or would
     /// judge unknown flows before it knows which buckets have moved.
@@ -49,11 +49,11 @@
             members: Arc::from([]),
             me,
             leaving: false,
-            departed: vec![Departure { noticed: now, unseen: true }],
+            departed: vec![Departure { noticed: now, assumed: true }],
             ports: Arc::default(),
             keys: Arc::default(),
         };
-        let fresh = Some(now + START_TIME);
+        let fresh = Some(now + PUBLISH_DELAY);
         let mut draft = Draft { view, plans: Map::default(), changed: true, fresh };
         draft.install(bundle, now);
         draft
@@ -89,7 +89,7 @@
     }
 
     /// Follows the plan of a service.
-    pub fn plan(&mut self, plan: ServicePlan, now: Millis) {
+    pub fn apply_plan(&mut self, plan: ServicePlan, now: Millis) {
         let name = plan.service.clone();
         self.plans.insert(name.clone(), plan);
         let Some(position) = self.view.services.iter().position(|s| s.spec.name == name) else {
@@ -104,7 +104,7 @@
     }
 
     /// Takes over who takes part.
-    pub fn members(&mut self, members: Vec<Member>, now: Millis) {
+    pub fn set_members(&mut self, members: Vec<Member>, now: Millis) {
         // One that leaves by plan opens the time of orphans as well: what moves
         // after it has gone, it could tell nobody.
         let there = |members: &[Member]| -> Set<InstanceName> {
@@ -112,7 +112,7 @@
             there.map(|member| member.name.clone()).collect()
         };
         if !there(&self.view.members).is_subset(&there(&members)) {
-            self.view.departed.push(Departure { noticed: now, unseen: false });
+            self.view.departed.push(Departure { noticed: now, assumed: false });
             self.view.departed.retain(|d| now.since(d.noticed) < LONGEST_SILENCE);
         }
         let me = &self.view.me;
@@ -136,21 +136,23 @@
 
     /// Merges what a peer knows of earlier owners. The union does not depend
     /// on the order of messages.
-    pub fn history(&mut self, news: &History, now: Millis) {
+    pub fn merge_history(&mut self, news: &History, now: Millis) {
         let registry = self.view.registry.clone();
         let Some(service) =
             self.view.services.iter_mut().find(|service| service.spec.name == news.service)
         else {
             return;
         };
-        for loss in &news.owners {
-            let Some(target) = registry.named(&news.service, &loss.target) else { continue };
-            if is_news(service, loss.bucket, target) {
+        for entry in &news.owners {
+            let Some(target) = registry.find_by_name(&news.service, &entry.target) else {
+                continue;
+            };
+            if is_news(service, entry.bucket, target) {
                 let service = Arc::make_mut(service);
                 service.revision += 1;
-                let state = &mut service.buckets[usize::from(loss.bucket.0)];
-                let since = now.since(Millis(loss.age));
-                state.remember(Earlier { target, since, owned: loss.owned });
+                let state = &mut service.buckets[usize::from(entry.bucket.0)];
+                let since = now.since(Millis(entry.age));
+                state.remember(EarlierOwner { target, since, owned: entry.owned });
                 state.set_stamp(state.stamp().max(service.stamp));
                 self.changed = true;
             }
@@ -206,7 +208,7 @@
         now: Millis,
         cause: Option<Version>,
     ) -> Arc<ServiceView> {
-        let ids: Vec<_> = spec.targets.iter().map(|target| registry.enter(spec, target)).collect();
+        let ids: Vec<_> = spec.targets.iter().map(|target| registry.intern(spec, target)).collect();
         let wanted = self.wanted(spec, &ids);
         let old = old.filter(|old| old.buckets.len() == wanted.len());
         let keepers = Keepers::choose(&spec.name, &self.view.members);
@@ -293,7 +295,7 @@
     let under_way = state.pending().filter(|pending| Some(pending.target) == wanted);
     next.set_pending(match wanted {
         Some(target) if state.owner != wanted => {
-            Some(under_way.unwrap_or(Pending { target, since: now, version: cause }))
+            Some(under_way.unwrap_or(PendingMove { target, since: now, version: cause }))
         }
         // No target takes new flows: the old ones stay where they are.
         _ => None,
@@ -306,7 +308,7 @@
     if let Some(pending) = state.pending()
         && under_way.is_none()
     {
-        next.remember(Earlier { target: pending.target, since: now, owned: false });
+        next.remember(EarlierOwner { target: pending.target, since: now, owned: false });
     }
     if next != *state {
         next.set_stamp(stamp);
@@ -326,7 +328,7 @@
     if let Some(old) = state.owner
         && Some(old) != owner
     {
-        state.remember(Earlier { target: old, since: now, owned: true });
+        state.remember(EarlierOwner { target: old, since: now, owned: true });
     }
     state.owner = owner;
 }
--- a/lib/src/view/mod.rs
+++ b/lib/src/view/mod.rs
@@ -16,7 +16,7 @@
 mod draft;
 mod registry;
 
-pub use bucket::{BucketView, Earlier, Pending};
+pub use bucket::{BucketView, EarlierOwner, PendingMove};
 pub use draft::Draft;
 pub use registry::{Registry, ServiceKey, TargetEntry, TargetId, TargetKey};
 
@@ -26,7 +26,7 @@
     ids::{Bucket, InstanceName, ServiceName, Version},
     keepers::Keepers,
     members::{Member, MemberState},
-    message::{History, Loss},
+    message::{History, HistoryEntry},
     packet::Hasher,
     time::Millis,
 };
@@ -43,7 +43,7 @@
 /// How long a new instance serves nothing after its first bundle: a move may be
 /// pending for [`PENDING_LIMIT`], and the heartbeat that shows its history to
 /// differ comes within a second.
-pub const START_TIME: Millis = Millis(2_500);
+pub const PUBLISH_DELAY: Millis = Millis(2_500);
 
 /// How long after a move all members, and not only the keepers, are asked
 /// about an unknown flow: covers a handshake in flight and the time that the
@@ -53,7 +53,7 @@
 /// How long an instance may be gone before it is missed: some heartbeats and
 /// the time for refuting a suspicion. A bucket that moved meanwhile was another
 /// target's when the instance opened its flows.
-pub const DETECTION: Millis = Millis(12_000);
+pub const DETECTION_TIME: Millis = Millis(12_000);
 
 /// How many earlier owners a bucket remembers.
 pub const HISTORY_DEPTH: usize = 8;
@@ -96,7 +96,7 @@
         let mut owners = Vec::new();
         for (bucket, state) in service.buckets.iter().enumerate() {
             for earlier in state.history() {
-                owners.push(Loss {
+                owners.push(HistoryEntry {
                     bucket: Bucket(bucket as u16),
                     target: self.registry.get(earlier.target).name.clone(),
                     age: now.since(earlier.since).0,
@@ -113,7 +113,7 @@
         let mut digest = 0;
         for service in self.services.iter().filter(|service| service.revision > 0) {
             for (bucket, state) in service.buckets.iter().enumerate() {
-                for earlier in state.distinct() {
+                for earlier in state.distinct_owners() {
                     let key = self.registry.get(earlier.target).key.0;
                     digest ^= key.wrapping_add(bucket as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                 }
@@ -130,7 +130,7 @@
     pub noticed: Millis,
     /// Whether it can only be supposed, because this instance has just come:
     /// then it may have happened any time before.
-    pub unseen: bool,
+    pub assumed: bool,
 }
 
 /// The port of a service: its position in the bundle and the class of its work.
@@ -140,19 +140,23 @@
     /// The service at an address and port, looked up exactly: this alone keeps
     /// the traffic of one service from another's targets.
     #[inline]
-    pub fn find(&self, address: SocketAddrV4, protocol: Protocol) -> Option<(&ServiceView, Class)> {
+    pub fn service_at(
+        &self,
+        address: SocketAddrV4,
+        protocol: Protocol,
+    ) -> Option<(&ServiceView, Class)> {
         let &(position, class) = self.ports.get(&(*address.ip(), address.port(), protocol))?;
         Some((self.services[position].as_ref(), class))
     }
 
     /// The service that a question names.
-    pub fn keyed(&self, key: ServiceKey) -> Option<&ServiceView> {
+    pub fn service_by_key(&self, key: ServiceKey) -> Option<&ServiceView> {
         self.keys.get(&key).map(|&position| self.services[position].as_ref())
     }
 
     /// The position of each target's service in the bundle, by target id, for
     /// scans of all flows.
-    pub fn positions(&self) -> Vec<Option<usize>> {
+    pub fn service_positions(&self) -> Vec<Option<usize>> {
         let names: Map<_, _> =
             self.services.iter().enumerate().map(|(at, s)| (&s.spec.name, at)).collect();
         self.registry.iter().map(|entry| names.get(&entry.service).copied()).collect()
@@ -174,12 +178,12 @@
     /// a flow may be silent: flows may have been known only to that one.
     ///
     /// One may always have gone that is not missed yet.
-    pub fn orphaned(&self, service: &ServiceView, now: Millis) -> Millis {
+    pub fn orphaned_since(&self, service: &ServiceView, now: Millis) -> Millis {
         let keepalive = service.spec.keepalive;
         match self.departed.iter().find(|d| now.since(d.noticed) < keepalive) {
-            Some(departure) if departure.unseen => departure.noticed - keepalive,
-            Some(departure) => departure.noticed - DETECTION,
-            None => now - DETECTION,
+            Some(departure) if departure.assumed => departure.noticed - keepalive,
+            Some(departure) => departure.noticed - DETECTION_TIME,
+            None => now - DETECTION_TIME,
         }
     }
 }
@@ -227,8 +231,8 @@
     }
 
     /// Whether some bucket has an earlier owner or is about to move.
-    pub fn in_doubt(&self) -> bool {
-        self.revision > 0 && self.buckets.iter().any(BucketView::in_doubt)
+    pub fn may_have_exceptions(&self) -> bool {
+        self.revision > 0 && self.buckets.iter().any(BucketView::may_have_exceptions)
     }
 
     /// The bucket of a flow.
--- a/lib/src/view/registry.rs
+++ b/lib/src/view/registry.rs
@@ -62,12 +62,12 @@
     }
 
     /// The id of a target that a message names.
-    pub fn find(&self, key: TargetKey) -> Option<TargetId> {
+    pub fn find_by_key(&self, key: TargetKey) -> Option<TargetId> {
         self.ids.get(&key).copied()
     }
 
     /// The target of this name in a service that was last in a bundle here.
-    pub fn named(&self, service: &ServiceName, name: &TargetName) -> Option<TargetId> {
+    pub fn find_by_name(&self, service: &ServiceName, name: &TargetName) -> Option<TargetId> {
         self.names.get(&(service.clone(), name.clone())).copied()
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// The id of a target of the bundle, given now if it has none.
-    pub fn enter(&mut self, service: &Service, target: &Target) -> TargetId {
+    pub fn intern(&mut self, service: &Service, target: &Target) -> TargetId {
         let key = key(service, target);
         let next = TargetId(self.entries.len() as u32);
         let id = *self.ids.entry(key).or_insert(next);
--- a/lib/tests/edge/test_draft.rs
+++ b/lib/tests/edge/test_draft.rs
@@ -3,7 +3,7 @@
     ids::{DomainName, Incarnation, InstanceName, ServiceName, SiteName, TargetName, Version},
     members::{Addresses, Member, MemberState},
     time::Millis,
-    view::{BucketView, Departure, Draft, PENDING_LIMIT, START_TIME, View},
+    view::{BucketView, Departure, Draft, PENDING_LIMIT, PUBLISH_DELAY, View},
 };
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -82,7 +82,7 @@
 fn draft() -> Draft {
     let first = bundle(1, TargetState::Active);
     let mut draft = Draft::first(InstanceName::new("entry-1"), &first, NOW);
-    draft.advance(NOW + START_TIME);
+    draft.advance(NOW + PUBLISH_DELAY);
     draft
 }
 
@@ -114,7 +114,8 @@
     draft.advance(PENDING_LIMIT);
     let view = draft.commit().unwrap();
 
-    let first = view.registry.named(&view.services[0].spec.name, &TargetName::new("ajanvaraus-1"));
+    let first =
+        view.registry.find_by_name(&view.services[0].spec.name, &TargetName::new("ajanvaraus-1"));
     assert!(view.services[0].buckets.iter().all(|state| state.owner == first));
 }
 
@@ -123,10 +124,10 @@
 #[test]
 fn news_of_a_version_is_published_and_keeps_the_services() {
     let mut draft = draft();
-    draft.members(vec![member("entry-2", MemberState::Live, 1)], NOW);
+    draft.set_members(vec![member("entry-2", MemberState::Live, 1)], NOW);
     let before = draft.commit().unwrap();
 
-    draft.members(vec![member("entry-2", MemberState::Suspect, 2)], NOW);
+    draft.set_members(vec![member("entry-2", MemberState::Suspect, 2)], NOW);
     let after = draft.commit().unwrap();
 
     assert_eq!(after.members[0].version, Version(2));
@@ -139,15 +140,15 @@
 fn a_member_that_dies_keeps_nothing_any_more() {
     let mut draft = draft();
     let live = |name| member(name, MemberState::Live, 1);
-    draft.members(vec![live("entry-2"), live("entry-3")], NOW);
+    draft.set_members(vec![live("entry-2"), live("entry-3")], NOW);
     let before = keepers(&draft.commit().unwrap());
 
-    draft.members(vec![live("entry-2"), member("entry-3", MemberState::Dead, 1)], Millis(5));
+    draft.set_members(vec![live("entry-2"), member("entry-3", MemberState::Dead, 1)], Millis(5));
     let after = draft.commit().unwrap();
 
     assert_eq!(before.len(), 2);
     assert_eq!(keepers(&after), ["entry-2"]);
-    let departure = Departure { noticed: Millis(5), unseen: false };
+    let departure = Departure { noticed: Millis(5), assumed: false };
     assert_eq!(after.departed.last(), Some(&departure));
 }
 
@@ -167,7 +168,7 @@
     for (version, host) in [(2, 50), (3, 60), (4, 50)] {
         draft.install(&moved(version, host), NOW);
         let registry = &draft.view().registry;
-        let target = registry.named(&ServiceName::new("todisteet"), &name).unwrap();
+        let target = registry.find_by_name(&ServiceName::new("todisteet"), &name).unwrap();
         found.push(registry.get(target).address);
     }
 
--- a/peer/src/decode.rs
+++ b/peer/src/decode.rs
@@ -166,7 +166,12 @@
 fn history(m: &wire::History) -> Decoded<message::History> {
     let owner = |o: &wire::Owner| {
         let bucket = Bucket(small("bucket", o.bucket)?);
-        Ok(message::Loss { bucket, target: target(&o.target)?, age: o.age, owned: !o.called_off })
+        Ok(message::HistoryEntry {
+            bucket,
+            target: target(&o.target)?,
+            age: o.age,
+            owned: !o.called_off,
+        })
     };
     Ok(message::History {
         service: service(&m.service)?,
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -152,11 +152,11 @@
 
 fn history(m: &message::History) -> wire::History {
     let owners = m.owners.iter();
-    let owner = |loss: &message::Loss| wire::Owner {
-        bucket: loss.bucket.0.into(),
-        target: loss.target.to_string(),
-        age: loss.age,
-        called_off: !loss.owned,
+    let owner = |entry: &message::HistoryEntry| wire::Owner {
+        bucket: entry.bucket.0.into(),
+        target: entry.target.to_string(),
+        age: entry.age,
+        called_off: !entry.owned,
     };
     wire::History { service: m.service.to_string(), owners: owners.map(owner).collect() }
 }
--- a/peer/tests/test_wire.rs
+++ b/peer/tests/test_wire.rs
@@ -4,8 +4,8 @@
 use medlarspur_lib::{
     ids::{Bucket, FlowId, InstanceName, ServiceName, TargetName, Version},
     message::{
-        Advert, BundleDelta, BundleOutline, BundleRequest, History, HistoryRequest, Leave, Loss,
-        MembersAnswer, MembersRequest, Message, Piece, PieceRequest, Pieces, PlanRequest,
+        Advert, BundleDelta, BundleOutline, BundleRequest, History, HistoryEntry, HistoryRequest,
+        Leave, MembersAnswer, MembersRequest, Message, Piece, PieceRequest, Pieces, PlanRequest,
         ServicePlan,
     },
 };
@@ -66,7 +66,7 @@
     let author = || InstanceName::new("lozenets-1");
     let flows = proptest::collection::vec((any::<u64>().prop_map(FlowId), target()), 0..99);
     let loss = (bucket(), target(), 0..100_000u64, any::<bool>())
-        .prop_map(|(bucket, target, age, owned)| Loss { bucket, target, age, owned });
+        .prop_map(|(bucket, target, age, owned)| HistoryEntry { bucket, target, age, owned });
     let owners = proptest::collection::vec(loss, 0..99);
     prop_oneof![
         proptest::collection::vec(any::<u64>(), 64)
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -8,7 +8,7 @@
     message::Advert,
     question::Datagram,
     time::Millis,
-    view::{Draft, START_TIME, TargetId, View},
+    view::{Draft, PUBLISH_DELAY, TargetId, View},
 };
 use medlarspur_testutils::{
     bundles::{REQUESTS, Site},
@@ -84,7 +84,7 @@
             for packet in self.caller.poll(now) {
                 self.turn += 1;
                 let instance = &mut self.instances[self.turn % 2];
-                instance.packet(START_TIME + now, &packet, &mut self.sent);
+                instance.packet(PUBLISH_DELAY + now, &packet, &mut self.sent);
             }
             for packet in std::mem::take(&mut self.sent.answers) {
                 self.caller.receive(&packet);
@@ -101,9 +101,9 @@
 
 fn instance(name: &str, site: &Site) -> Forwarder<Closed> {
     let mut draft = Draft::first(InstanceName::new(name), &site.bundle(), Millis(0));
-    draft.advance(START_TIME);
+    draft.advance(PUBLISH_DELAY);
     let mut forwarder = Forwarder::new(Closed, 16);
-    forwarder.install(draft.commit().expect("a view"), START_TIME);
+    forwarder.install(draft.commit().expect("a view"), PUBLISH_DELAY);
     forwarder
 }
 
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -52,7 +52,7 @@
     let now = fleet.now;
     let forwarder = &mut fleet.nodes[0].forwarder;
     let registry = forwarder.view().expect("a view").registry.clone();
-    let ingest = registry.named(&ServiceName::new("ingest"), &TargetName::new("ingest-0"));
+    let ingest = registry.find_by_name(&ServiceName::new("ingest"), &TargetName::new("ingest-0"));
     let wrong = registry.get(ingest.expect("a target")).key;
     let mut sent = Sent::default();
     forwarder.distrust(now);
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -388,13 +388,13 @@
             Mail::Advert(advert) => self.nodes[ix].forwarder.advert(now, &advert),
             Mail::History(history) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
-                    draft.history(&history, now);
+                    draft.merge_history(&history, now);
                 }
             }
             Mail::Bundle(bundle) => self.install(ix, bundle),
             Mail::Plan(plan) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
-                    draft.plan(plan, now);
+                    draft.apply_plan(plan, now);
                 }
             }
             Mail::Members => self.refresh(ix),
@@ -433,7 +433,7 @@
             .collect();
         let now = self.now;
         if let Some(draft) = &mut self.nodes[ix].draft {
-            draft.members(members, now);
+            draft.set_members(members, now);
         }
         self.commit(ix);
     }
