--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -112,7 +112,7 @@
         sender: InstanceName::new("entry-1"),
         service: ServiceName::new("alertdesk"),
         flows: (start..start + count).map(|ix| (id(ix), target(ix))).collect(),
-        told: None,
+        advertised: None,
     }
 }
 
@@ -221,7 +221,7 @@
         state: MemberState::Live,
         addresses: Addresses { packets: address(1), questions: address(2), control: address(3) },
         version: Version(1),
-        told: 0,
+        advertised: 0,
     }
 }
 
--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -229,7 +229,7 @@
         state: MemberState::Live,
         addresses,
         version: Version(0),
-        told: 0,
+        advertised: 0,
     }
 }
 
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -377,7 +377,7 @@
         if self.shared.stage() == Stage::Starting {
             self.shared.enter(Stage::Serving);
         }
-        self.event(now, Event::SetProgress { told: 0, history });
+        self.event(now, Event::SetProgress { advertised: 0, history });
     }
 }
 
--- a/lib/src/control/event.rs
+++ b/lib/src/control/event.rs
@@ -26,7 +26,7 @@
     /// What the packet side has told keepers and knows of history.
     SetProgress {
         /// The table epoch up to which keepers were told all.
-        told: u64,
+        advertised: u64,
         /// The digest over the bucket history.
         history: u64,
     },
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -101,7 +101,7 @@
             Event::PlatformList(list) => self.candidates = list,
             Event::Peer(message) => self.peer(now, message),
             Event::SetLeaving => self.leave(),
-            Event::SetProgress { told, history } => self.set_progress(told, history),
+            Event::SetProgress { advertised, history } => self.set_progress(advertised, history),
             Event::Propose { service, moves } => self.propose(&service, moves),
         }
         std::mem::take(&mut self.actions)
@@ -252,7 +252,7 @@
         match offered {
             Ok(None) | Err(Refusal::Repeated) => {}
             Ok(Some(signed)) => {
-                self.roster.set_progress(signed.version, self.roster.me().told);
+                self.roster.set_progress(signed.version, self.roster.me().advertised);
                 self.actions.push(Action::Accepted(signed));
                 self.tell_neighbours();
             }
@@ -307,9 +307,9 @@
         self.follow(next);
     }
 
-    fn set_progress(&mut self, told: u64, history: u64) {
+    fn set_progress(&mut self, advertised: u64, history: u64) {
         self.history = history;
-        self.roster.set_progress(self.roster.me().version, told);
+        self.roster.set_progress(self.roster.me().version, advertised);
     }
 
     fn send(&mut self, to: SocketAddrV4, message: Message) {
--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -192,7 +192,7 @@
         }
         for ((keeper, service), flows) in batches {
             let sender = view.me.clone();
-            sink.advert(&keeper, Advert { sender, service, flows, told: None });
+            sink.advert(&keeper, Advert { sender, service, flows, advertised: None });
         }
         self.send_told(view, sink);
     }
@@ -209,9 +209,9 @@
             let Some(service) = view.service(&name) else { continue };
             for keeper in service.keepers.all().iter().filter(|keeper| **keeper != view.me) {
                 let (sender, service_name) = (view.me.clone(), name.clone());
-                let told = Some(service.stamp.0);
+                let advertised = Some(service.stamp.0);
                 let flows = Vec::new();
-                sink.advert(keeper, Advert { sender, service: service_name, flows, told });
+                sink.advert(keeper, Advert { sender, service: service_name, flows, advertised });
             }
         }
     }
--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -18,10 +18,10 @@
     view::{DETECTION_TIME, ServiceView, Stamp, View},
 };
 
-/// Up to which stamp an instance has told all, and in which of its lives.
+/// Up to which stamp an instance has told all, and in which of its incarnations.
 #[derive(Debug, Clone, Copy)]
-struct Told {
-    life: Incarnation,
+struct Progress {
+    incarnation: Incarnation,
     stamp: Stamp,
 }
 
@@ -29,7 +29,7 @@
 #[derive(Debug)]
 struct Gone {
     at: Millis,
-    told: Map<ServiceName, Stamp>,
+    progress: Map<ServiceName, Stamp>,
 }
 
 /// The buckets of a service that had exceptions at the last look.
@@ -54,8 +54,8 @@
 
 #[derive(Debug, Default)]
 pub(super) struct Keeping {
-    told: Map<ServiceName, Map<InstanceName, Told>>,
-    lives: Map<InstanceName, Incarnation>,
+    progress: Map<ServiceName, Map<InstanceName, Progress>>,
+    incarnations: Map<InstanceName, Incarnation>,
     gone: Vec<Gone>,
     missed: Map<InstanceName, Incarnation>,
     keepers: Map<ServiceName, Keepers>,
@@ -73,26 +73,26 @@
     /// two were cut off from each other.
     pub(super) fn follow(&mut self, view: &View, now: Millis) -> bool {
         self.born.get_or_insert(now);
-        let lives: Map<_, _> =
+        let incarnations: Map<_, _> =
             view.others().map(|member| (member.name.clone(), member.incarnation)).collect();
-        for (name, life) in &self.lives {
-            if lives.get(name) != Some(life) {
-                self.gone.push(Gone { at: now, told: told_by(&self.told, name) });
-                self.missed.insert(name.clone(), *life);
+        for (name, incarnation) in &self.incarnations {
+            if incarnations.get(name) != Some(incarnation) {
+                self.gone.push(Gone { at: now, progress: progress_of(&self.progress, name) });
+                self.missed.insert(name.clone(), *incarnation);
             }
         }
         let longest = view.bundle.services.iter().map(|s| s.keepalive).max();
         self.gone.retain(|gone| now.since(gone.at) < longest.unwrap_or_default() + DETECTION_TIME);
         self.forget_told(view);
-        for told in self.told.values_mut() {
-            told.retain(|name, told| lives.get(name) == Some(&told.life));
+        for progress in self.progress.values_mut() {
+            progress.retain(|name, progress| incarnations.get(name) == Some(&progress.incarnation));
         }
         let mut healed = false;
-        self.missed.retain(|name, life| {
-            healed |= lives.get(name) == Some(life);
-            !lives.contains_key(name)
+        self.missed.retain(|name, incarnation| {
+            healed |= incarnations.get(name) == Some(incarnation);
+            !incarnations.contains_key(name)
         });
-        self.lives = lives;
+        self.incarnations = incarnations;
         healed
     }
 
@@ -105,7 +105,7 @@
             let name = &service.spec.name;
             if self.keepers.get(name) != Some(&service.keepers) {
                 self.keepers.insert(name.clone(), service.keepers.clone());
-                self.told.remove(name);
+                self.progress.remove(name);
                 self.swept.remove(name);
             }
         }
@@ -129,12 +129,14 @@
     }
 
     /// Notes how far an instance has told all.
-    pub(super) fn told(&mut self, advert: &Advert) {
-        let (Some(stamp), Some(&life)) = (advert.told, self.lives.get(&advert.sender)) else {
+    pub(super) fn record_progress(&mut self, advert: &Advert) {
+        let (Some(stamp), Some(&incarnation)) =
+            (advert.advertised, self.incarnations.get(&advert.sender))
+        else {
             return;
         };
-        let service = self.told.entry(advert.service.clone()).or_default();
-        service.insert(advert.sender.clone(), Told { life, stamp: Stamp(stamp) });
+        let service = self.progress.entry(advert.service.clone()).or_default();
+        service.insert(advert.sender.clone(), Progress { incarnation, stamp: Stamp(stamp) });
     }
 
     /// What to answer to a question.
@@ -164,13 +166,15 @@
     /// Whether all have told their exceptions of what moved up to `stamp`.
     fn is_complete(&self, service: &ServiceView, stamp: Stamp, now: Millis) -> bool {
         let name = &service.spec.name;
-        let told = self.told.get(name);
-        let by_all = self.lives.keys().all(|name| {
-            told.and_then(|told| told.get(name)).is_some_and(|told| told.stamp >= stamp)
+        let progress = self.progress.get(name);
+        let by_all = self.incarnations.keys().all(|name| {
+            progress
+                .and_then(|progress| progress.get(name))
+                .is_some_and(|progress| progress.stamp >= stamp)
         });
         let orphan = |gone: &Gone| {
             now.since(gone.at) < service.spec.keepalive + DETECTION_TIME
-                && gone.told.get(name).is_none_or(|told| *told < stamp)
+                && gone.progress.get(name).is_none_or(|progress| *progress < stamp)
         };
         // One that went before this instance came could have told it nothing.
         let is_young =
@@ -235,10 +239,14 @@
     }
 }
 
-fn told_by(
-    told: &Map<ServiceName, Map<InstanceName, Told>>,
+fn progress_of(
+    progress: &Map<ServiceName, Map<InstanceName, Progress>>,
     name: &InstanceName,
 ) -> Map<ServiceName, Stamp> {
-    let stamp = |told: &Map<InstanceName, Told>| told.get(name).map(|told| told.stamp);
-    told.iter().filter_map(|(service, told)| Some((service.clone(), stamp(told)?))).collect()
+    let stamp =
+        |progress: &Map<InstanceName, Progress>| progress.get(name).map(|progress| progress.stamp);
+    progress
+        .iter()
+        .filter_map(|(service, progress)| Some((service.clone(), stamp(progress)?)))
+        .collect()
 }
--- a/lib/src/forwarder/peers.rs
+++ b/lib/src/forwarder/peers.rs
@@ -52,6 +52,6 @@
             }
         }
         self.keeping.note(view, advert);
-        self.keeping.told(advert);
+        self.keeping.record_progress(advert);
     }
 }
--- a/lib/src/members/mod.rs
+++ b/lib/src/members/mod.rs
@@ -46,7 +46,7 @@
         /// The bundle version that it last said to have in force.
         pub version: Version,
         /// The table epoch up to which it has told keepers all its exceptions.
-        pub told: u64,
+        pub advertised: u64,
     }
 
     /// One line of the platform's lagging list: a hint where to ask, no more.
--- a/lib/src/members/roster.rs
+++ b/lib/src/members/roster.rs
@@ -74,9 +74,9 @@
     }
 
     /// Records what this instance has in force and has told its keepers.
-    pub fn set_progress(&mut self, version: Version, told: u64) {
+    pub fn set_progress(&mut self, version: Version, advertised: u64) {
         self.me.version = version;
-        self.me.told = told;
+        self.me.advertised = advertised;
     }
 
     /// Records that this instance leaves; it never takes that back.
@@ -147,20 +147,20 @@
         match self.others.get_mut(&news.name) {
             Some(e) if news.order() > e.member.order() => {
                 let progress = if news.incarnation == e.member.incarnation {
-                    (news.version.max(e.member.version), news.told.max(e.member.told))
+                    (news.version.max(e.member.version), news.advertised.max(e.member.advertised))
                 } else {
-                    (news.version, news.told)
+                    (news.version, news.advertised)
                 };
                 self.groups.toggle(news.name.as_str(), fingerprint(&e.member) ^ fingerprint(news));
-                e.member = Member { version: progress.0, told: progress.1, ..news.clone() };
+                e.member = Member { version: progress.0, advertised: progress.1, ..news.clone() };
                 e.changed = now;
                 e.asked = None;
             }
             Some(e) => {
                 if news.incarnation == e.member.incarnation {
                     e.member.version = e.member.version.max(news.version);
-                    self.progress |= news.told > e.member.told;
-                    e.member.told = e.member.told.max(news.told);
+                    self.progress |= news.advertised > e.member.advertised;
+                    e.member.advertised = e.member.advertised.max(news.advertised);
                 }
                 return false;
             }
--- a/lib/src/members/rumours.rs
+++ b/lib/src/members/rumours.rs
@@ -16,7 +16,7 @@
 /// The names of members with news, each with how often it was passed on.
 #[derive(Debug, Default)]
 pub(super) struct Rumours {
-    told: Map<InstanceName, u32>,
+    sent: Map<InstanceName, u32>,
     /// The same, the least told first: a failure domain's worth of news must
     /// not be sorted anew for each heartbeat.
     order: BTreeSet<(u32, InstanceName)>,
@@ -29,7 +29,7 @@
     }
 
     fn put(&mut self, name: InstanceName, n: u32) {
-        if let Some(before) = self.told.insert(name.clone(), n) {
+        if let Some(before) = self.sent.insert(name.clone(), n) {
             self.order.remove(&(before, name.clone()));
         }
         self.order.insert((n, name));
@@ -43,15 +43,15 @@
     ) -> Vec<Member> {
         let picked: Vec<(u32, InstanceName)> =
             self.order.iter().take(MAX_RUMOURS).cloned().collect();
-        let told = picked.iter().filter_map(|(_, name)| find(name).cloned()).collect();
+        let updates = picked.iter().filter_map(|(_, name)| find(name).cloned()).collect();
         for (n, name) in picked {
             if n + 1 < REPEATS {
                 self.put(name, n + 1);
             } else {
-                self.told.remove(&name);
+                self.sent.remove(&name);
                 self.order.remove(&(n, name));
             }
         }
-        told
+        updates
     }
 }
--- a/lib/src/message/mod.rs
+++ b/lib/src/message/mod.rs
@@ -136,7 +136,7 @@
         /// The flows, each with the target that it goes to.
         pub flows: Vec<(FlowId, TargetName)>,
         /// The table epoch up to which the sender has told all, once it has.
-        pub told: Option<u64>,
+        pub advertised: Option<u64>,
     }
 
     /// That a target lost a bucket.
--- a/lib/src/message/size.rs
+++ b/lib/src/message/size.rs
@@ -67,7 +67,7 @@
 
 fn member(m: &Member) -> usize {
     let names = m.name.as_str().len() + m.domain.as_str().len() + 2 * FIELD;
-    let numbers = number(m.incarnation.0) + number(m.version.0) + number(m.told);
+    let numbers = number(m.incarnation.0) + number(m.version.0) + number(m.advertised);
     FIELD + names + numbers + FIELD + 3 * ADDR
 }
 
--- a/lib/tests/edge/test_draft.rs
+++ b/lib/tests/edge/test_draft.rs
@@ -74,7 +74,7 @@
             control: address(9, 3),
         },
         version: Version(version),
-        told: 0,
+        advertised: 0,
     }
 }
 
--- a/lib/tests/fleet/net.rs
+++ b/lib/tests/fleet/net.rs
@@ -106,7 +106,7 @@
             control: SocketAddrV4::new(ip, 3),
         },
         version: Version(0),
-        told: 0,
+        advertised: 0,
     }
 }
 
--- a/peer/src/decode.rs
+++ b/peer/src/decode.rs
@@ -112,7 +112,7 @@
             control: addr(m.control)?,
         },
         version: Version(m.version),
-        told: m.told,
+        advertised: m.told,
     })
 }
 
@@ -159,7 +159,7 @@
         sender: InstanceName::new(name("sender", &m.sender)?),
         service: service(&m.service)?,
         flows: m.flows.iter().map(flow).collect::<Decoded<_>>()?,
-        told: m.told,
+        advertised: m.told,
     })
 }
 
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -71,7 +71,7 @@
         questions: addr(m.addresses.questions),
         control: addr(m.addresses.control),
         version: m.version.0,
-        told: m.told,
+        told: m.advertised,
     }
 }
 
@@ -146,7 +146,7 @@
         service: m.service.to_string(),
         targets,
         flows,
-        told: m.told,
+        told: m.advertised,
     }
 }
 
--- a/peer/tests/fixtures.rs
+++ b/peer/tests/fixtures.rs
@@ -27,7 +27,7 @@
         state: MemberState::Live,
         addresses: Addresses { packets: addr(6080), questions: addr(6081), control: addr(6082) },
         version: Version(700 + ix),
-        told: ix,
+        advertised: ix,
     }
 }
 
--- a/peer/tests/test_fleet.rs
+++ b/peer/tests/test_fleet.rs
@@ -38,7 +38,7 @@
             state: MemberState::Live,
             addresses: Addresses { packets: addr(1), questions: addr(2), control: peers.addr() },
             version: Version(0),
-            told: 0,
+            advertised: 0,
         };
         let controller = Controller::new(ControlSettings { me, seeds }, TakeAll);
         Instance { controller, peers, ticked: None, born: Instant::now() }
--- a/peer/tests/test_wire.rs
+++ b/peer/tests/test_wire.rs
@@ -81,9 +81,9 @@
                 })
             }
         ),
-        (flows, any::<Option<u32>>()).prop_map(move |(flows, told)| {
-            let told = told.map(u64::from);
-            Message::Advert(Advert { sender: author(), service: service(), flows, told })
+        (flows, any::<Option<u32>>()).prop_map(move |(flows, advertised)| {
+            let advertised = advertised.map(u64::from);
+            Message::Advert(Advert { sender: author(), service: service(), flows, advertised })
         }),
         owners.prop_map(move |owners| Message::History(History { service: service(), owners })),
         Just(Message::HistoryRequest(HistoryRequest { sender: addr(6082) })),
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -209,7 +209,7 @@
             state: MemberState::Live,
             addresses: Addresses { packets: at(1), questions: at(2), control: at(3) },
             version: Version(0),
-            told: 0,
+            advertised: 0,
         };
         self.nodes.push(Node {
             forwarder: Forwarder::new(OpenGate, 1024),
