--- a/daemon/examples/bench/memory.rs
+++ b/daemon/examples/bench/memory.rs
@@ -7,7 +7,7 @@
 use medlarspur_fabric::{BATCH, Batch, Counts, Datagram, MemoryError, Outbox, Wire};
 use medlarspur_lib::{
     bundle::Protocol,
-    forwarder::{Forwarder, OpenGate, Sink},
+    forwarder::{AdmitAll, Forwarder, Sink},
     ids::InstanceName,
     message::Advert,
     packet::Packet,
@@ -43,11 +43,11 @@
         self.outbox.push(target, packet);
     }
 
-    fn answer(&mut self, _: Vec<u8>) {}
+    fn send_to_caller(&mut self, _: Vec<u8>) {}
 
-    fn ask(&mut self, _: SocketAddrV4, _: question::Datagram) {}
+    fn send_to_peer(&mut self, _: SocketAddrV4, _: question::Datagram) {}
 
-    fn advert(&mut self, _: &InstanceName, _: Advert) {}
+    fn send_advert(&mut self, _: &InstanceName, _: Advert) {}
 }
 
 /// A wire that repeats prepared packets and takes all that is sent.
@@ -89,8 +89,8 @@
     site::view(&targets())
 }
 
-fn forwarder(flows: usize) -> Forwarder<OpenGate> {
-    let mut forwarder = Forwarder::new(OpenGate, flows);
+fn forwarder(flows: usize) -> Forwarder<AdmitAll> {
+    let mut forwarder = Forwarder::new(AdmitAll, flows);
     forwarder.install(view(), NOW);
     forwarder
 }
@@ -110,13 +110,13 @@
 }
 
 /// Takes all packets through the whole path: receive, decide, send.
-fn pass(forwarder: &mut Forwarder<OpenGate>, packets: &[Vec<u8>]) {
+fn pass(forwarder: &mut Forwarder<AdmitAll>, packets: &[Vec<u8>]) {
     let mut wire = Repeat { packets, next: 0, counts: Counts::default() };
     let mut sent = Sent::default();
     let mut batch = Batch::new();
     while let Ok(1..) = wire.receive(&mut batch, Duration::ZERO) {
         for received in batch.iter() {
-            forwarder.packet(NOW, received.bytes, &mut sent);
+            forwarder.handle_packet(NOW, received.bytes, &mut sent);
         }
         sent.outbox.flush(&mut wire);
     }
@@ -204,7 +204,7 @@
     let mut sent = Sent::default();
     let before = resident();
     for flow in 0..flows {
-        forwarder.packet(NOW, &site::opening(flow), &mut sent);
+        forwarder.handle_packet(NOW, &site::opening(flow), &mut sent);
         sent.outbox.clear();
     }
     assert_eq!(forwarder.flows().len(), flows, "every flow is held");
--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -12,7 +12,7 @@
 use medlarspur_fabric::Outbox;
 use medlarspur_lib::{
     bundle::{Bundle, Keys, SecretKey, Signed, sign},
-    forwarder::{Forwarder, OpenGate},
+    forwarder::{AdmitAll, Forwarder},
     ids::{
         DomainName, FlowId, Incarnation, InstanceName, ServiceName, SiteName, TargetName, Version,
     },
@@ -88,14 +88,14 @@
 
 /// What a keeper spends on flows that others tell it: bytes and nanoseconds.
 fn kept(flows: usize) -> (f64, f64) {
-    let mut forwarder = Forwarder::new(OpenGate, 0);
+    let mut forwarder = Forwarder::new(AdmitAll, 0);
     let mut sent = memory::Sent::default();
     forwarder.install(memory::view(), NOW);
     let before = resident();
     let mut time = Duration::ZERO;
     for start in (0..flows).step_by(ADVERT) {
         let advert = advert(start, ADVERT.min(flows - start));
-        time += timed(|| forwarder.advert(NOW, &advert));
+        time += timed(|| forwarder.handle_advert(NOW, &advert));
     }
     sent.outbox = Outbox::new();
     assert_eq!(forwarder.flows().len(), flows, "every flow is kept");
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -218,24 +218,24 @@
         }
     }
 
-    fn after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
+    fn retry_after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
         let place = target.and_then(|target| self.places.get(&target));
         let wait = place.and_then(|(service, _)| self.waits.get(usize::from(service.0)));
         wait.copied().unwrap_or(FIRST_WAIT)
     }
 
-    fn followed(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
+    fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
             recorder.handshake(span(after));
         }
         self.signal(now, target, load::Signal::Followed { after: Some(after) });
     }
 
-    fn aborted(&mut self, now: Millis, target: TargetId) {
+    fn on_abort(&mut self, now: Millis, target: TargetId) {
         self.signal(now, target, load::Signal::Reset);
     }
 
-    fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow) {
+    fn on_close(&mut self, now: Millis, id: FlowId, flow: &Flow) {
         // Packets of a flow may pass any instance; only the one that opened it
         // knows how long it lasted.
         if flow.certainty == Certainty::Opened
@@ -249,7 +249,7 @@
         }
     }
 
-    fn follow(&mut self, view: &View, now: Millis) {
+    fn set_view(&mut self, view: &View, now: Millis) {
         let live = view.members.iter().filter(|member| member.state == MemberState::Live).count();
         self.gate.set_instances(live.max(1) as u16);
         if self.version != Some(view.bundle.version) {
--- a/daemon/src/outbox.rs
+++ b/daemon/src/outbox.rs
@@ -43,15 +43,15 @@
         self.packets.push(target, packet);
     }
 
-    fn answer(&mut self, packet: Vec<u8>) {
+    fn send_to_caller(&mut self, packet: Vec<u8>) {
         self.packets.push(self.returns, &packet);
     }
 
-    fn ask(&mut self, peer: SocketAddrV4, datagram: Datagram) {
+    fn send_to_peer(&mut self, peer: SocketAddrV4, datagram: Datagram) {
         self.questions.push(peer, &datagram.encode(&self.secret));
     }
 
-    fn advert(&mut self, keeper: &InstanceName, advert: Advert) {
+    fn send_advert(&mut self, keeper: &InstanceName, advert: Advert) {
         if self.adverts.push(Outgoing { keeper: keeper.clone(), advert }).is_err() {
             self.shared.overrun();
         }
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -136,7 +136,7 @@
 
     fn wake(&mut self, now: Millis) {
         self.forwarder.wake(now);
-        self.forwarder.gate().wake(now);
+        self.forwarder.gate_mut().wake(now);
     }
 
     fn follow(&mut self, now: Millis) {
@@ -156,9 +156,9 @@
     fn obey(&mut self, now: Millis) {
         while let Ok(command) = self.commands.pop() {
             match command {
-                Command::Advert(advert) => self.forwarder.advert(now, &advert),
+                Command::Advert(advert) => self.forwarder.handle_advert(now, &advert),
                 Command::Distrust => self.wake(now),
-                Command::Probed(event) => self.forwarder.gate().probed(now, &event),
+                Command::Probed(event) => self.forwarder.gate_mut().probed(now, &event),
             }
         }
         while let Ok(look) = self.looks.try_recv() {
@@ -202,9 +202,9 @@
         for received in batch.iter() {
             match Datagram::decode(received.bytes, &self.secret) {
                 Ok(datagram) => {
-                    self.forwarder.datagram(now, received.from, datagram, &mut self.outbox);
+                    self.forwarder.handle_datagram(now, received.from, datagram, &mut self.outbox);
                 }
-                Err(error) => self.forwarder.refuse_datagram(error),
+                Err(error) => self.forwarder.count_refused_datagram(error),
             }
         }
         Ok(())
@@ -216,7 +216,7 @@
             self.sampler.begin(now, first.bytes, self.forwarder.view());
         }
         for received in batch.iter() {
-            self.forwarder.packet(now, received.bytes, &mut self.outbox);
+            self.forwarder.handle_packet(now, received.bytes, &mut self.outbox);
         }
         Ok(received)
     }
@@ -226,7 +226,7 @@
             return;
         }
         self.published = now;
-        shared.told.store(self.forwarder.has_told(), Relaxed);
+        shared.told.store(self.forwarder.has_advertised_all(), Relaxed);
         shared.counters.store(Arc::new(self.forwarder.counters().clone()));
         shared.fabric.store(Arc::new(self.fabric.counts()));
         shared.questions.store(Arc::new(self.questions.counts()));
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -43,7 +43,7 @@
 fn follow(draft: &mut Draft, gate: &mut LoadGate, now: Millis) -> Arc<View> {
     draft.advance(now);
     let view = draft.commit().expect("a change");
-    gate.follow(&view, now);
+    gate.set_view(&view, now);
     view
 }
 
@@ -65,7 +65,7 @@
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("a change");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
 
     let before = open(&mut gate, &pending, START, 1);
     let carried = START + PENDING_LIMIT;
@@ -98,7 +98,7 @@
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("a change");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
 
     draft.install(&bundle(3, "active"), START);
     let view = follow(&mut draft, &mut gate, START + PENDING_LIMIT);
@@ -116,7 +116,7 @@
     gate.wake(START);
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("a change");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
 
     let verdict = open(&mut gate, &pending, START, 1);
 
@@ -131,7 +131,7 @@
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("a change");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
     let awake = START + Millis::secs(8);
 
     gate.wake(awake);
--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -30,21 +30,21 @@
 
 /// Bounds a rate without a clock of its own: earns with time, is spent by use.
 #[derive(Debug, Clone)]
-pub struct Paced {
+pub struct TokenBucket {
     rate: u64,
     burst: u64,
     credit: u64,
     last: Millis,
 }
 
-impl Paced {
+impl TokenBucket {
     /// Allows `rate` a second and `burst` at once.
-    pub fn new(rate: u64, burst: u64) -> Paced {
-        Paced { rate, burst, credit: burst * 1000, last: Millis(0) }
+    pub fn new(rate: u64, burst: u64) -> TokenBucket {
+        TokenBucket { rate, burst, credit: burst * 1000, last: Millis(0) }
     }
 
     /// Takes one if there is one.
-    pub fn take(&mut self, now: Millis) -> bool {
+    pub fn try_take(&mut self, now: Millis) -> bool {
         let earned = now.since(self.last).0.saturating_mul(self.rate);
         self.last = self.last.max(now);
         self.credit = self.credit.saturating_add(earned).min(self.burst * 1000);
@@ -76,7 +76,7 @@
     queue: VecDeque<Item>,
     scanned: Map<ServiceName, Scanned>,
     untold: Set<ServiceName>,
-    pace: Paced,
+    pace: TokenBucket,
     refreshed: Millis,
 }
 
@@ -86,7 +86,7 @@
             queue: VecDeque::new(),
             scanned: Map::default(),
             untold: Set::default(),
-            pace: Paced::new(FLOWS_PER_SECOND, BURST),
+            pace: TokenBucket::new(FLOWS_PER_SECOND, BURST),
             refreshed: Millis(0),
         }
     }
@@ -94,7 +94,7 @@
 
 impl Adverts {
     /// Looks through the flows of the services that have changed.
-    pub(super) fn follow(&mut self, view: &View, flows: &Flows) {
+    pub(super) fn queue_changed(&mut self, view: &View, flows: &Flows) {
         let changed: Vec<_> = view
             .services
             .iter()
@@ -182,7 +182,7 @@
     pub(super) fn send(&mut self, view: &View, flows: &Flows, now: Millis, sink: &mut impl Sink) {
         let mut batches: Map<(InstanceName, ServiceName), Vec<(FlowId, TargetName)>> =
             Map::default();
-        while !self.queue.is_empty() && self.pace.take(now) {
+        while !self.queue.is_empty() && self.pace.try_take(now) {
             let Some(item) = self.queue.pop_front() else { break };
             if flows.get(item.flow).is_none() {
                 continue;
@@ -192,7 +192,7 @@
         }
         for ((keeper, service), flows) in batches {
             let sender = view.me.clone();
-            sink.advert(&keeper, Advert { sender, service, flows, advertised: None });
+            sink.send_advert(&keeper, Advert { sender, service, flows, advertised: None });
         }
         self.send_told(view, sink);
     }
@@ -211,7 +211,10 @@
                 let (sender, service_name) = (view.me.clone(), name.clone());
                 let advertised = Some(service.stamp.0);
                 let flows = Vec::new();
-                sink.advert(keeper, Advert { sender, service: service_name, flows, advertised });
+                sink.send_advert(
+                    keeper,
+                    Advert { sender, service: service_name, flows, advertised },
+                );
             }
         }
     }
@@ -224,7 +227,7 @@
             self.refreshed = now;
             // The keepers stay noted, so that a change of them is still seen.
             self.scanned.values_mut().for_each(|scanned| scanned.revision = STALE);
-            self.follow(view, flows);
+            self.queue_changed(view, flows);
         }
     }
 }
--- a/lib/src/forwarder/counters.rs
+++ b/lib/src/forwarder/counters.rs
@@ -18,11 +18,11 @@
     /// Flows turned away here.
     pub refused: u64,
     /// Packets dropped because there was no bundle yet.
-    pub unready: u64,
+    pub no_bundle: u64,
     /// Packets to an address and port of no service.
-    pub strangers: u64,
+    pub no_service: u64,
     /// Packets of flows whose bucket has no owner.
-    pub ownerless: u64,
+    pub no_target: u64,
     /// Packets that were stopped on the way to another service's target.
     /// Anything but zero is a fault of ours.
     pub crossed: u64,
@@ -43,15 +43,15 @@
     /// Flows forgotten after silence or an end.
     pub expired: u64,
     /// Openings dropped because they carried data already.
-    pub loaded: u64,
+    pub syn_with_data: u64,
     /// Openings dropped after a sleep; their callers repeat them.
-    pub postponed: u64,
+    pub after_sleep: u64,
     /// How often instances came back that had been cut off.
     pub healed: u64,
     /// How often the process noticed that it had slept.
     pub slept: u64,
     /// Datagrams of peers that were refused by reason.
-    pub foreign: [u64; QuestionError::ALL.len()],
+    pub refused_datagrams: [u64; QuestionError::ALL.len()],
     /// Malformed packets by reason.
     pub malformed: [u64; PacketError::ALL.len()],
 }
--- a/lib/src/forwarder/gate.rs
+++ b/lib/src/forwarder/gate.rs
@@ -47,42 +47,42 @@
 
     /// When a caller that is turned away now may come back. It is asked again
     /// for each packet of a refusal in words, at any instance.
-    fn after(&self, flow: FlowId, target: Option<TargetId>) -> Millis;
+    fn retry_after(&self, flow: FlowId, target: Option<TargetId>) -> Millis;
 
     /// Hears that a packet followed the first one of an admitted flow, and how
     /// long after it.
-    fn followed(&mut self, now: Millis, target: TargetId, class: Class, after: Millis);
+    fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis);
 
     /// Hears that the caller gave up a flow that was admitted here.
-    fn aborted(&mut self, now: Millis, target: TargetId);
+    fn on_abort(&mut self, now: Millis, target: TargetId);
 
     /// Hears that a flow is over, whoever let it in.
-    fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow);
+    fn on_close(&mut self, now: Millis, id: FlowId, flow: &Flow);
 
     /// Hears of a new view.
-    fn follow(&mut self, view: &View, now: Millis);
+    fn set_view(&mut self, view: &View, now: Millis);
 }
 
 /// Lets everything in: the baseline without admission.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct OpenGate;
+pub struct AdmitAll;
 
-impl Gate for OpenGate {
+impl Gate for AdmitAll {
     fn open(&mut self, _: Millis, _: &Opening) -> Verdict {
         Verdict::Admit
     }
 
     fn due(&mut self, _: Millis, _: &mut Vec<(FlowId, Verdict)>) {}
 
-    fn after(&self, _: FlowId, _: Option<TargetId>) -> Millis {
+    fn retry_after(&self, _: FlowId, _: Option<TargetId>) -> Millis {
         Millis::secs(1)
     }
 
-    fn followed(&mut self, _: Millis, _: TargetId, _: Class, _: Millis) {}
+    fn on_second_packet(&mut self, _: Millis, _: TargetId, _: Class, _: Millis) {}
 
-    fn aborted(&mut self, _: Millis, _: TargetId) {}
+    fn on_abort(&mut self, _: Millis, _: TargetId) {}
 
-    fn closed(&mut self, _: Millis, _: FlowId, _: &Flow) {}
+    fn on_close(&mut self, _: Millis, _: FlowId, _: &Flow) {}
 
-    fn follow(&mut self, _: &View, _: Millis) {}
+    fn set_view(&mut self, _: &View, _: Millis) {}
 }
--- a/lib/src/forwarder/held.rs
+++ b/lib/src/forwarder/held.rs
@@ -112,7 +112,7 @@
         let question = Question { flow: site.id, service: site.service.key, nonce };
         let mut count = 0;
         for member in asked(site, wide) {
-            sink.ask(member.addresses.questions, Datagram::Question(question.clone()));
+            sink.send_to_peer(member.addresses.questions, Datagram::Question(question.clone()));
             count += 1;
         }
         count
--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -71,7 +71,7 @@
     ///
     /// Answers whether one has come back that was missed and had not ended: the
     /// two were cut off from each other.
-    pub(super) fn follow(&mut self, view: &View, now: Millis) -> bool {
+    pub(super) fn update_members(&mut self, view: &View, now: Millis) -> bool {
         self.born.get_or_insert(now);
         let incarnations: Map<_, _> =
             view.others().map(|member| (member.name.clone(), member.incarnation)).collect();
--- a/lib/src/forwarder/mod.rs
+++ b/lib/src/forwarder/mod.rs
@@ -22,9 +22,9 @@
 mod peers;
 mod refusal;
 
-pub use adverts::Paced;
+pub use adverts::TokenBucket;
 pub use counters::Counters;
-pub use gate::{Gate, OpenGate, Opening, Verdict};
+pub use gate::{AdmitAll, Gate, Opening, Verdict};
 pub use held::ASK_TIME;
 
 use crate::{
@@ -47,11 +47,11 @@
     /// Sends a caller's packet to a target.
     fn forward(&mut self, target: SocketAddrV4, packet: &[u8]);
     /// Sends a packet made here to its caller, by the fabric.
-    fn answer(&mut self, packet: Vec<u8>);
+    fn send_to_caller(&mut self, packet: Vec<u8>);
     /// Sends a datagram to a peer.
-    fn ask(&mut self, peer: SocketAddrV4, datagram: Datagram);
+    fn send_to_peer(&mut self, peer: SocketAddrV4, datagram: Datagram);
     /// Hands a message to the control thread, for the named keeper.
-    fn advert(&mut self, keeper: &InstanceName, advert: Advert);
+    fn send_advert(&mut self, keeper: &InstanceName, advert: Advert);
 }
 
 /// How long a repeated SYN may follow the first. After that, a SYN on a known
@@ -136,13 +136,13 @@
     }
 
     /// The decisions on openings.
-    pub fn gate(&mut self) -> &mut G {
+    pub fn gate_mut(&mut self) -> &mut G {
         &mut self.gate
     }
 
     /// Whether the keepers were told all that they have to know of this
     /// instance's flows, so that it may go.
-    pub fn has_told(&self) -> bool {
+    pub fn has_advertised_all(&self) -> bool {
         self.adverts.is_done()
     }
 
@@ -150,12 +150,12 @@
     pub fn install(&mut self, view: Arc<View>, now: Millis) {
         // Until those who were cut off have told each other what moved
         // meanwhile, either side's picture is old for the other's flows.
-        if self.keeping.follow(&view, now) {
+        if self.keeping.update_members(&view, now) {
             self.distrust = Some(now + DISTRUST_TIME);
             self.counters.healed += 1;
         }
-        self.adverts.follow(&view, &self.flows);
-        self.gate.follow(&view, now);
+        self.adverts.queue_changed(&view, &self.flows);
+        self.gate.set_view(&view, now);
         self.view = Some(view);
     }
 
@@ -178,7 +178,7 @@
     }
 
     /// Takes a datagram from the fabric.
-    pub fn packet(&mut self, now: Millis, bytes: &[u8], sink: &mut impl Sink) {
+    pub fn handle_packet(&mut self, now: Millis, bytes: &[u8], sink: &mut impl Sink) {
         self.counters.packets += 1;
         match &Packet::parse(bytes) {
             Ok(packet) => self.route(now, packet, sink),
@@ -190,7 +190,7 @@
         // The view is lent and given back. A clone would cost an atomic
         // operation, which waits for the memory of the packet before.
         let Some(view) = self.view.take() else {
-            self.counters.unready += 1;
+            self.counters.no_bundle += 1;
             return;
         };
         self.route_by(&view, now, packet, sink);
@@ -200,7 +200,7 @@
     fn route_by(&mut self, view: &View, now: Millis, packet: &Packet<'_>, sink: &mut impl Sink) {
         let key = packet.key();
         let Some((service, class)) = view.service_at(key.service, key.protocol) else {
-            self.counters.strangers += 1;
+            self.counters.no_service += 1;
             if packet.mark() == Mark::Open {
                 self.turn_away(packet, sink);
             }
@@ -212,11 +212,11 @@
             return;
         }
         if packet.mark() == Mark::Open && packet.length() > SYN_ALONE {
-            self.counters.loaded += 1;
+            self.counters.syn_with_data += 1;
             return;
         }
         if packet.mark() == Mark::Open && self.woken.is_some_and(|until| now < until) {
-            self.counters.postponed += 1;
+            self.counters.after_sleep += 1;
             return;
         }
         if self.must_ask(now, &site) {
@@ -246,7 +246,7 @@
             Mark::Open => {}
             Mark::Middle if flow.fresh => {
                 flow.fresh = false;
-                self.gate.followed(now, target, site.class, idle);
+                self.gate.on_second_packet(now, target, site.class, idle);
             }
             Mark::Middle => {}
             Mark::Close | Mark::Abort => {
@@ -267,9 +267,9 @@
     /// that pass here, whose flows they may be.
     fn end(&mut self, now: Millis, mark: Mark, id: FlowId, flow: &Flow) {
         if mark == Mark::Abort {
-            self.gate.aborted(now, flow.target);
+            self.gate.on_abort(now, flow.target);
         }
-        self.gate.closed(now, id, flow);
+        self.gate.on_close(now, id, flow);
     }
 
     /// Whether others may know more of an unknown flow than this instance.
--- a/lib/src/forwarder/opening.rs
+++ b/lib/src/forwarder/opening.rs
@@ -21,7 +21,7 @@
     ) {
         self.counters.misses += 1;
         let Some(owner) = site.bucket().owner else {
-            self.counters.ownerless += 1;
+            self.counters.no_target += 1;
             self.turn_away(packet, sink);
             return;
         };
--- a/lib/src/forwarder/peers.rs
+++ b/lib/src/forwarder/peers.rs
@@ -12,7 +12,7 @@
 
 impl<G: Gate> Forwarder<G> {
     /// Takes a datagram from a peer.
-    pub fn datagram(
+    pub fn handle_datagram(
         &mut self,
         now: Millis,
         from: SocketAddrV4,
@@ -26,8 +26,8 @@
     }
 
     /// Counts a datagram that is none of a peer's.
-    pub fn refuse_datagram(&mut self, error: QuestionError) {
-        self.counters.foreign[error as usize] += 1;
+    pub fn count_refused_datagram(&mut self, error: QuestionError) {
+        self.counters.refused_datagrams[error as usize] += 1;
     }
 
     fn reply(&mut self, now: Millis, from: SocketAddrV4, q: Question, sink: &mut impl Sink) {
@@ -38,11 +38,11 @@
             None => LookupResult::Unknown,
         };
         let answer = Answer { flow: q.flow, nonce: q.nonce, result };
-        sink.ask(from, Datagram::Answer(answer));
+        sink.send_to_peer(from, Datagram::Answer(answer));
     }
 
     /// Takes a peer's advert: this instance keeps these flows.
-    pub fn advert(&mut self, now: Millis, advert: &Advert) {
+    pub fn handle_advert(&mut self, now: Millis, advert: &Advert) {
         let Some(view) = &self.view else { return };
         self.counters.adverts += 1;
         for (id, name) in &advert.flows {
--- a/lib/src/forwarder/refusal.rs
+++ b/lib/src/forwarder/refusal.rs
@@ -30,7 +30,7 @@
         }
         self.counters.refused += 1;
         if let Some(bytes) = syn_ack(packet, cookie(site)) {
-            sink.answer(bytes);
+            sink.send_to_caller(bytes);
         }
     }
 
@@ -38,7 +38,7 @@
     pub(super) fn turn_away(&mut self, packet: &Packet<'_>, sink: &mut impl Sink) {
         self.counters.refused += 1;
         if let Some(bytes) = reset(packet) {
-            sink.answer(bytes);
+            sink.send_to_caller(bytes);
         }
     }
 
@@ -59,7 +59,7 @@
         let last = first.wrapping_add(words.len() as u32 + 1);
         if acknowledged == first && packet.mark() != Mark::Abort {
             if let Some(bytes) = answer(packet, &words) {
-                sink.answer(bytes);
+                sink.send_to_caller(bytes);
             }
             return true;
         }
@@ -69,13 +69,13 @@
             && packet.mark() != Mark::Abort
             && let Some(bytes) = acknowledge(packet)
         {
-            sink.answer(bytes);
+            sink.send_to_caller(bytes);
         }
         is_over
     }
 
     fn words(&self, text: &str, site: &Site<'_>) -> Vec<u8> {
-        let after = self.gate.after(site.id, site.bucket().owner);
+        let after = self.gate.retry_after(site.id, site.bucket().owner);
         let seconds = after.0.div_ceil(1000).clamp(1, LONGEST);
         text.replace(PLACE, &format!("{seconds:03}")).into_bytes()
     }
--- a/operator/src/meters/forwarder.rs
+++ b/operator/src/meters/forwarder.rs
@@ -19,12 +19,12 @@
     (Family::Flows, "opened", |counters| counters.opened),
     (Family::Flows, "refused", |counters| counters.refused),
     (Family::Flows, "expired", |counters| counters.expired),
-    (Family::Drops, "no-bundle", |counters| counters.unready),
-    (Family::Drops, "no-service", |counters| counters.strangers),
-    (Family::Drops, "no-target", |counters| counters.ownerless),
+    (Family::Drops, "no-bundle", |counters| counters.no_bundle),
+    (Family::Drops, "no-service", |counters| counters.no_service),
+    (Family::Drops, "no-target", |counters| counters.no_target),
     (Family::Drops, "crossed", |counters| counters.crossed),
-    (Family::Drops, "syn-with-data", |counters| counters.loaded),
-    (Family::Drops, "after-sleep", |counters| counters.postponed),
+    (Family::Drops, "syn-with-data", |counters| counters.syn_with_data),
+    (Family::Drops, "after-sleep", |counters| counters.after_sleep),
     (Family::Drops, "overflow", |counters| counters.overflow),
     (Family::Pauses, "healed", |counters| counters.healed),
     (Family::Questions, "asked", |counters| counters.asked),
@@ -48,7 +48,9 @@
         }
         for error in QuestionError::ALL {
             let read = read.clone();
-            self.observe(Family::Drops, foreign(error), move || read().foreign[error as usize]);
+            self.observe(Family::Drops, foreign(error), move || {
+                read().refused_datagrams[error as usize]
+            });
         }
         let (taken, slept) = (read.clone(), read);
         self.observe(Family::Messages, "advert-taken", move || taken().adverts);
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -285,7 +285,7 @@
     fleet.advance(Millis::secs(1));
 
     assert!(fleet.packets.is_empty());
-    assert_eq!(fleet.nodes[0].forwarder.counters().loaded, 1);
+    assert_eq!(fleet.nodes[0].forwarder.counters().syn_with_data, 1);
 }
 
 /// A target left some minutes ago and nothing has changed since. The feeds that
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -29,17 +29,17 @@
 
     fn due(&mut self, _: Millis, _: &mut Vec<(FlowId, Verdict)>) {}
 
-    fn after(&self, _: FlowId, _: Option<TargetId>) -> Millis {
+    fn retry_after(&self, _: FlowId, _: Option<TargetId>) -> Millis {
         Millis::secs(7)
     }
 
-    fn followed(&mut self, _: Millis, _: TargetId, _: Class, _: Millis) {}
+    fn on_second_packet(&mut self, _: Millis, _: TargetId, _: Class, _: Millis) {}
 
-    fn aborted(&mut self, _: Millis, _: TargetId) {}
+    fn on_abort(&mut self, _: Millis, _: TargetId) {}
 
-    fn closed(&mut self, _: Millis, _: FlowId, _: &Flow) {}
+    fn on_close(&mut self, _: Millis, _: FlowId, _: &Flow) {}
 
-    fn follow(&mut self, _: &View, _: Millis) {}
+    fn set_view(&mut self, _: &View, _: Millis) {}
 }
 
 #[derive(Default)]
@@ -53,13 +53,13 @@
         self.forwarded += 1;
     }
 
-    fn answer(&mut self, packet: Vec<u8>) {
+    fn send_to_caller(&mut self, packet: Vec<u8>) {
         self.answers.push(packet);
     }
 
-    fn ask(&mut self, _: SocketAddrV4, _: Datagram) {}
+    fn send_to_peer(&mut self, _: SocketAddrV4, _: Datagram) {}
 
-    fn advert(&mut self, _: &InstanceName, _: Advert) {}
+    fn send_advert(&mut self, _: &InstanceName, _: Advert) {}
 }
 
 /// Two instances before a closed gate, and a caller whose packets reach them
@@ -84,7 +84,7 @@
             for packet in self.caller.poll(now) {
                 self.turn += 1;
                 let instance = &mut self.instances[self.turn % 2];
-                instance.packet(PUBLISH_DELAY + now, &packet, &mut self.sent);
+                instance.handle_packet(PUBLISH_DELAY + now, &packet, &mut self.sent);
             }
             for packet in std::mem::take(&mut self.sent.answers) {
                 self.caller.receive(&packet);
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -27,15 +27,15 @@
         self.packets.push(target);
     }
 
-    fn answer(&mut self, _: Vec<u8>) {}
+    fn send_to_caller(&mut self, _: Vec<u8>) {}
 
-    fn ask(&mut self, _: SocketAddrV4, datagram: Datagram) {
+    fn send_to_peer(&mut self, _: SocketAddrV4, datagram: Datagram) {
         if let Datagram::Question(question) = datagram {
             self.questions.push(question);
         }
     }
 
-    fn advert(&mut self, _: &InstanceName, _: Advert) {}
+    fn send_advert(&mut self, _: &InstanceName, _: Advert) {}
 }
 
 fn feed() -> FlowKey {
@@ -56,13 +56,13 @@
     let wrong = registry.get(ingest.expect("a target")).key;
     let mut sent = Sent::default();
     forwarder.distrust(now);
-    forwarder.packet(now, &segment(&feed(), Part::Middle), &mut sent);
+    forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
 
     let question = sent.questions[0].clone();
     let answer =
         Answer { flow: question.flow, nonce: question.nonce, result: LookupResult::Known(wrong) };
-    forwarder.datagram(now, FEEDS, Datagram::Answer(answer), &mut sent);
-    forwarder.packet(now, &segment(&feed(), Part::Middle), &mut sent);
+    forwarder.handle_datagram(now, FEEDS, Datagram::Answer(answer), &mut sent);
+    forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
     let before = std::mem::take(&mut sent.packets);
     forwarder.tick(now + ASK_TIME, &mut sent);
 
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -4,7 +4,7 @@
 
 use medlarspur_lib::{
     bundle::Bundle,
-    forwarder::{Forwarder, OpenGate, Sink},
+    forwarder::{AdmitAll, Forwarder, Sink},
     ids::{DomainName, Incarnation, InstanceName, Version},
     members::{Addresses, Member, MemberState},
     message::{Advert, History, ServicePlan},
@@ -105,7 +105,7 @@
 /// One instance.
 pub struct Node {
     /// Its packet path.
-    pub forwarder: Forwarder<OpenGate>,
+    pub forwarder: Forwarder<AdmitAll>,
     /// Its control path, once it has a bundle.
     pub draft: Option<Draft>,
     /// How it fares.
@@ -130,15 +130,15 @@
         self.packets.push((target, packet.to_vec()));
     }
 
-    fn answer(&mut self, packet: Vec<u8>) {
+    fn send_to_caller(&mut self, packet: Vec<u8>) {
         self.answers.push(packet);
     }
 
-    fn ask(&mut self, peer: SocketAddrV4, datagram: Datagram) {
+    fn send_to_peer(&mut self, peer: SocketAddrV4, datagram: Datagram) {
         self.asks.push((peer, datagram));
     }
 
-    fn advert(&mut self, keeper: &InstanceName, advert: Advert) {
+    fn send_advert(&mut self, keeper: &InstanceName, advert: Advert) {
         self.adverts.push((keeper.clone(), advert));
     }
 }
@@ -212,7 +212,7 @@
             advertised: 0,
         };
         self.nodes.push(Node {
-            forwarder: Forwarder::new(OpenGate, 1024),
+            forwarder: Forwarder::new(AdmitAll, 1024),
             draft: None,
             state: State::Up,
             side: 0,
@@ -268,7 +268,7 @@
 
     /// Ends an instance that leaves, as soon as it has told its keepers all.
     pub fn retire(&mut self, ix: usize) {
-        while !self.nodes[ix].forwarder.has_told() {
+        while !self.nodes[ix].forwarder.has_advertised_all() {
             self.advance(Millis(50));
         }
         self.advance(self.network.delay);
@@ -323,7 +323,7 @@
         if !self.awake(ix) {
             return;
         }
-        self.run(ix, |node, sent| node.forwarder.packet(now, packet, sent));
+        self.run(ix, |node, sent| node.forwarder.handle_packet(now, packet, sent));
     }
 
     /// Whether the instance takes packets.
@@ -383,9 +383,11 @@
         }
         match letter.mail {
             Mail::Datagram(from, datagram) => {
-                self.run(ix, |node, sent| node.forwarder.datagram(now, from, datagram, sent));
+                self.run(ix, |node, sent| {
+                    node.forwarder.handle_datagram(now, from, datagram, sent)
+                });
             }
-            Mail::Advert(advert) => self.nodes[ix].forwarder.advert(now, &advert),
+            Mail::Advert(advert) => self.nodes[ix].forwarder.handle_advert(now, &advert),
             Mail::History(history) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
                     draft.merge_history(&history, now);
