--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -247,7 +247,7 @@
     let services: Vec<_> =
         (0..SERVICES).map(|ix| ServiceName::new(&format!("service-{ix}"))).collect();
     let me = &all[0].name;
-    let count = || services.iter().filter(|it| plan::authors(me, it, all.iter())).count();
+    let count = || services.iter().filter(|it| plan::is_author(me, it, all.iter())).count();
     median(|| timed(count)) / 1e3
 }
 
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -220,7 +220,7 @@
                 self.command(Command::Distrust);
             }
             Action::Refreshed => log::info!("refreshed=true"),
-            Action::Pass(message) => self.pass(now, message),
+            Action::ToForwarder(message) => self.pass(now, message),
             Action::HistoryDiffers(peer) => self.ask_history(now, peer),
         }
     }
@@ -303,7 +303,7 @@
         let specs: Vec<_> = draft.view().services.iter().map(|s| s.spec.clone()).collect();
         let mut probed = Vec::new();
         for spec in specs {
-            let authors = plan::authors(&self.name, &spec.name, self.members.iter());
+            let authors = plan::is_author(&self.name, &spec.name, self.members.iter());
             for target in &spec.targets {
                 if let Some(address) = target.probe
                     && (authors || self.probes(&target.name))
@@ -319,7 +319,7 @@
     }
 
     fn probes(&self, target: &TargetName) -> bool {
-        let domain = self.members.iter().filter(|m| m.domain == self.domain && m.eligible());
+        let domain = self.members.iter().filter(|m| m.domain == self.domain && m.is_eligible());
         is_prober(&self.name, domain.map(|member| &member.name), target)
     }
 
@@ -334,7 +334,7 @@
             self.verdicts.get(name).is_some_and(|verdict| *verdict != Verdict::Healthy)
         };
         let bad = judged.map(|target| target.name.clone()).filter(is_bad).collect();
-        let Some(moves) = planner::evade(spec, &bad) else { return };
+        let Some(moves) = planner::avoid_targets(spec, &bad) else { return };
         let present = self.controller.plans().get(&spec.name);
         if present.map_or(moves.is_empty(), |plan| plan.moves == moves) {
             return;
@@ -367,7 +367,7 @@
 
     fn publish(&mut self, now: Millis) {
         let Some(draft) = &mut self.draft else { return };
-        if !self.controller.ready() {
+        if !self.controller.is_ready() {
             return;
         }
         draft.advance(now);
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -15,7 +15,7 @@
 use medlarspur_lib::{
     bundle::{Class, Limits, Service, TargetState},
     collections::Map,
-    control::DISTRUST,
+    control::STALE_TIME,
     flows::{Certainty, Flow, FlowMap},
     forwarder::{Gate, Opening, Verdict as Opened},
     ids::{FlowId, ServiceIx, TargetIx, TargetName},
@@ -87,7 +87,7 @@
 
     /// Says that this process slept.
     pub fn wake(&mut self, now: Millis) {
-        self.waking = now + DISTRUST;
+        self.waking = now + STALE_TIME;
         for holder in self.holders.drain(..) {
             self.gate.leave(holder.service, holder.target);
         }
--- a/lib/examples/table_cost.rs
+++ b/lib/examples/table_cost.rs
@@ -51,7 +51,7 @@
 }
 
 fn maglev(service: &Service) -> Vec<usize> {
-    let dealt = table::deal(service).unwrap_or_default();
+    let dealt = table::assign_buckets(service).unwrap_or_default();
     dealt.into_iter().map(|target| usize::from(target.0)).collect()
 }
 
--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -12,7 +12,7 @@
 use std::net::SocketAddrV4;
 
 /// How often each neighbour gets a heartbeat.
-pub const HEARTBEAT: Millis = Millis(1_000);
+pub const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
 /// How often one who is not a neighbour is asked: a seed, one of the
 /// platform's list or a dead one. It is how the sides of a healed partition
 /// find each other, and costs about a hundred bytes a second.
@@ -35,7 +35,7 @@
 
 impl Beat {
     pub(super) fn new(me: &InstanceName) -> Beat {
-        let phase = rank("phase", me.as_str()) % HEARTBEAT.0;
+        let phase = rank("phase", me.as_str()) % HEARTBEAT_INTERVAL.0;
         Beat { next: None, probe: None, phase, turn: phase, claims: Map::default() }
     }
 
@@ -57,7 +57,7 @@
     fn due(&mut self, now: Millis) -> bool {
         let due = self.next.is_none_or(|t| now >= t);
         if due {
-            let first = if self.next.is_none() { self.phase } else { HEARTBEAT.0 };
+            let first = if self.next.is_none() { self.phase } else { HEARTBEAT_INTERVAL.0 };
             self.next = Some(now + Millis(first.max(1)));
         }
         due
@@ -76,7 +76,7 @@
     pub(super) fn beat(&mut self, now: Millis) {
         if self.beat.due(now) {
             for name in self.roster.neighbours().to_vec() {
-                self.roster.asked(now, &name);
+                self.roster.record_probe(now, &name);
                 self.probe(&name);
             }
         }
@@ -93,10 +93,11 @@
 
     /// Asks some of those with whom there is no contact, in turn.
     fn seek(&mut self) {
-        let unknown = self.seeds.iter().copied().filter(|addr| !self.roster.known(*addr));
+        let unknown =
+            self.seeds.iter().copied().filter(|addr| !self.roster.is_known_address(*addr));
         let mut lost: Vec<SocketAddrV4> = unknown.collect();
-        lost.extend(self.roster.strangers(&self.candidates).map(|c| c.control));
-        lost.extend(self.roster.graves());
+        lost.extend(self.roster.uncontacted(&self.candidates).map(|c| c.control));
+        lost.extend(self.roster.dead_addresses());
         lost.sort_unstable();
         lost.dedup();
         let n = if self.roster.neighbours().is_empty() { START_PROBES } else { 1 };
@@ -116,7 +117,7 @@
             members: self.roster.digest(),
             plans: self.plans.digest(),
             history: self.history,
-            rumours: self.roster.news_for(to),
+            rumours: self.roster.updates_for(to),
         }))
     }
 
@@ -133,7 +134,7 @@
         let sender = &beat.sender;
         if sender.name == self.roster.me().name {
             // Another life of this name: its incarnation orders the two.
-            self.roster.learn(now, sender);
+            self.roster.merge(now, sender);
             return;
         }
         self.start.peer();
@@ -152,32 +153,32 @@
     }
 
     fn learn_all(&mut self, now: Millis, beat: &Heartbeat) {
-        self.roster.learn(now, &beat.sender);
+        self.roster.merge(now, &beat.sender);
         for rumour in &beat.rumours {
-            self.roster.learn(now, rumour);
+            self.roster.merge(now, rumour);
         }
     }
 
     fn note_heard(&mut self, now: Millis, name: &InstanceName, digest: u64, to: SocketAddrV4) {
-        let differs = self.roster.heard(now, name, digest);
+        let differs = self.roster.record_contact(now, name, digest);
         // One that starts knows nobody and need not wait for rumours.
-        if differs || !self.ready() {
+        if differs || !self.is_ready() {
             self.ask_members(now, digest, to);
         }
         let near = self.roster.neighbours().contains(name);
-        if self.distrusts() && near && !self.heard.contains(name) {
+        if self.may_be_stale() && near && !self.heard.contains(name) {
             self.heard.push(name.clone());
         }
     }
 
     fn hear_bundle(&mut self, now: Millis, sender: &Member, digest: Digest) {
         let order = (sender.version, digest);
-        if !self.ready() {
+        if !self.is_ready() {
             self.beat.claims.insert(sender.name.clone(), order);
         }
         let to = sender.addresses.control;
-        if self.spread.claim(now, order, to) {
-            let request = self.spread.request(self.addr());
+        if self.spread.handle_claim(now, order, to) {
+            let request = self.spread.bundle_request(self.addr());
             self.send(to, request);
         }
     }
@@ -198,6 +199,6 @@
             incarnation: leave.incarnation,
             ..member.clone()
         };
-        self.roster.learn(now, &news);
+        self.roster.merge(now, &news);
     }
 }
--- a/lib/src/control/compare.rs
+++ b/lib/src/control/compare.rs
@@ -32,7 +32,7 @@
 
 impl<C: Check> Controller<C> {
     pub(super) fn ask_members(&mut self, now: Millis, theirs: u64, to: SocketAddrV4) {
-        let pause = if self.ready() { PAUSE } else { START_PAUSE };
+        let pause = if self.is_ready() { PAUSE } else { START_PAUSE };
         if theirs == self.roster.digest() || !due(&mut self.compare.members, now, pause) {
             return;
         }
--- a/lib/src/control/event.rs
+++ b/lib/src/control/event.rs
@@ -74,7 +74,7 @@
     /// The view is fresh again after a sleep.
     Refreshed,
     /// A message for the packet side.
-    Pass(Message),
+    ToForwarder(Message),
     /// A peer's history differs; it can be asked at this address.
     HistoryDiffers(SocketAddrV4),
 }
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -12,9 +12,9 @@
 mod start;
 
 pub use self::{
-    beat::HEARTBEAT,
+    beat::HEARTBEAT_INTERVAL,
     event::{Action, Event},
-    start::{READY_LIMIT, START_WAIT},
+    start::{READY_TIMEOUT, START_WAIT},
 };
 
 use self::{beat::Beat, compare::Compare, start::Start};
@@ -23,7 +23,7 @@
     members::{Candidate, Member, Roster},
     message::{Message, ServicePlan},
     plan::{self, Moves, Plans},
-    spread::{Check, Refusal, SignedText, Spread, reads},
+    spread::{Check, Refusal, SignedText, Spread, is_reader},
     time::Millis,
 };
 use std::{net::SocketAddrV4, sync::Arc};
@@ -32,10 +32,10 @@
 pub const TICK: Millis = Millis(100);
 /// A gap between ticks that means that the process slept. A busy machine
 /// delays a tick by less; a longer gap makes others suspect this instance.
-pub const SLEPT: Millis = Millis(2_000);
+pub const SLEEP_GAP: Millis = Millis(2_000);
 /// How long an instance that slept distrusts its view, unless it hears from
 /// most of its neighbours before.
-pub const DISTRUST: Millis = Millis(5_000);
+pub const STALE_TIME: Millis = Millis(5_000);
 
 /// What a controller has to know from the settings.
 #[derive(Debug, Clone)]
@@ -128,13 +128,13 @@
     }
 
     /// Whether the view of the others may be old, because this process slept.
-    pub fn distrusts(&self) -> bool {
+    pub fn may_be_stale(&self) -> bool {
         self.distrust.is_some()
     }
 
     /// Whether this instance is ready to serve.
-    pub fn ready(&self) -> bool {
-        self.start.ready()
+    pub fn is_ready(&self) -> bool {
+        self.start.is_ready()
     }
 
     fn tick(&mut self, now: Millis) {
@@ -153,11 +153,11 @@
     fn watch_clock(&mut self, now: Millis) {
         let gap = self.ticked.map_or(Millis(0), |t| now.since(t));
         self.ticked = Some(now);
-        if gap >= SLEPT {
-            self.roster.wake(now);
+        if gap >= SLEEP_GAP {
+            self.roster.restart_timeouts(now);
             self.beat.wake();
             self.heard.clear();
-            self.distrust = Some(now + DISTRUST);
+            self.distrust = Some(now + STALE_TIME);
             self.actions.push(Action::Slept { gap });
         }
         let refreshed = 2 * self.heard.len() > self.roster.neighbours().len();
@@ -168,9 +168,9 @@
     }
 
     fn publish_members(&mut self) {
-        let changed = self.roster.refresh();
+        let changed = self.roster.refresh_neighbours();
         if changed {
-            self.reader = reads(self.roster.me(), self.roster.members());
+            self.reader = is_reader(self.roster.me(), self.roster.members());
         }
         if self.roster.take_progress() || changed {
             self.actions.push(Action::Members(self.roster.members().cloned().collect()));
@@ -180,7 +180,7 @@
     /// An instance that starts reads too, so that it may learn the highest
     /// bundle from both sides.
     fn choose_readers(&mut self) {
-        let reading = !self.start.ready() || self.reader;
+        let reading = !self.start.is_ready() || self.reader;
         if reading != self.reading {
             self.reading = reading;
             self.actions.push(Action::ReadPlatform(reading));
@@ -200,24 +200,24 @@
         let me = self.addr();
         match message {
             Message::BundleRequest(request) => {
-                let answer = self.spread.answer(request, me);
+                let answer = self.spread.answer_request(request, me);
                 self.reply(request.sender, answer);
             }
             Message::PieceRequest(request) => {
-                let answer = self.spread.give(now, request, me);
+                let answer = self.spread.answer_pieces(now, request, me);
                 self.reply(request.sender, answer);
             }
             Message::BundleDelta(delta) => {
-                let offered = self.spread.apply(delta);
+                let offered = self.spread.apply_delta(delta);
                 self.take_offer(offered);
             }
             Message::Pieces(pieces) => {
-                let offered = self.spread.fill(now, pieces);
+                let offered = self.spread.apply_pieces(now, pieces);
                 self.take_offer(offered);
                 self.fetch(now);
             }
             Message::BundleOutline(outline) => {
-                let offered = self.spread.outline(now, outline);
+                let offered = self.spread.apply_outline(now, outline);
                 self.take_offer(offered);
                 self.fetch(now);
             }
@@ -227,7 +227,7 @@
 
     fn fetch(&mut self, now: Millis) {
         let me = self.addr();
-        for (to, request) in self.spread.fetch(now, me) {
+        for (to, request) in self.spread.piece_requests(now, me) {
             self.send(to, request);
         }
     }
@@ -252,7 +252,7 @@
         match offered {
             Ok(None) | Err(Refusal::Repeated) => {}
             Ok(Some(signed)) => {
-                self.roster.set_progress(signed.version, self.roster.me().advertised);
+                self.roster.set_own_progress(signed.version, self.roster.me().advertised);
                 self.actions.push(Action::Accepted(signed));
                 self.tell_neighbours();
             }
@@ -271,14 +271,14 @@
             Message::MembersRequest(request) => self.answer_members(&request),
             Message::MembersAnswer(answer) => {
                 for member in &answer.members {
-                    self.roster.learn(now, member);
+                    self.roster.merge(now, member);
                 }
             }
             Message::PlanRequest(request) => self.answer_plans(&request),
             Message::Plan(plan) => self.follow(plan),
             Message::Leave(leave) => self.hear_leave(now, &leave),
             Message::Advert(_) | Message::HistoryRequest(_) | Message::History(_) => {
-                self.actions.push(Action::Pass(message));
+                self.actions.push(Action::ToForwarder(message));
             }
         }
     }
@@ -300,7 +300,7 @@
     /// One that slept may only believe so and waits until it is refreshed.
     fn propose(&mut self, service: &ServiceName, moves: Moves) {
         let me = &self.roster.me().name;
-        if self.distrusts() || !plan::authors(me, service, self.roster.members()) {
+        if self.may_be_stale() || !plan::is_author(me, service, self.roster.members()) {
             return;
         }
         let next = self.plans.next(me, service, moves);
@@ -309,7 +309,7 @@
 
     fn set_progress(&mut self, advertised: u64, history: u64) {
         self.history = history;
-        self.roster.set_progress(self.roster.me().version, advertised);
+        self.roster.set_own_progress(self.roster.me().version, advertised);
     }
 
     fn send(&mut self, to: SocketAddrV4, message: Message) {
--- a/lib/src/control/start.rs
+++ b/lib/src/control/start.rs
@@ -9,7 +9,7 @@
 /// How long a start waits for a higher bundle that a peer has announced. A
 /// peer that announces what it can't send must not keep the fleet from
 /// starting.
-pub const READY_LIMIT: Millis = Millis(10_000);
+pub const READY_TIMEOUT: Millis = Millis(10_000);
 
 /// What a starting instance has learned so far. Without the wait it would
 /// serve from a stale platform's bundle while its peers have a later one.
@@ -26,7 +26,7 @@
         Start { began: None, platform: false, peers: false, ready: false }
     }
 
-    pub(super) fn ready(&self) -> bool {
+    pub(super) fn is_ready(&self) -> bool {
         self.ready
     }
 
@@ -47,7 +47,7 @@
         let began = *self.began.get_or_insert(now);
         let waited = now.since(began);
         let asked = self.platform && (self.peers || alone) || waited >= START_WAIT;
-        let latest = !behind || waited >= READY_LIMIT;
+        let latest = !behind || waited >= READY_TIMEOUT;
         let fresh = !self.ready && held && asked && latest;
         self.ready |= fresh;
         fresh
--- a/lib/src/members/mod.rs
+++ b/lib/src/members/mod.rs
@@ -13,7 +13,7 @@
 pub use self::{
     neighbours::{NEIGHBOURS, neighbours},
     rank::{is_top, rank, top},
-    roster::{ACK_LIMIT, Roster, TOMBSTONE, suspicion},
+    roster::{ACK_TIMEOUT, Roster, TOMBSTONE_TIME, suspicion_timeout},
     rumours::MAX_RUMOURS,
 };
 use crate::ids::{DomainName, Incarnation, InstanceName, Version};
@@ -69,12 +69,12 @@
     }
 
     /// Whether it takes part, as far as is known.
-    pub fn present(&self) -> bool {
+    pub fn is_present(&self) -> bool {
         self.state != MemberState::Dead
     }
 
     /// Whether it may take new duties: to read the platform, to plan.
-    pub fn eligible(&self) -> bool {
+    pub fn is_eligible(&self) -> bool {
         self.state == MemberState::Live
     }
 }
--- a/lib/src/members/neighbours.rs
+++ b/lib/src/members/neighbours.rs
@@ -24,7 +24,7 @@
 /// The members among `others` that `me` watches.
 pub fn neighbours<'a>(me: &Member, others: impl Iterator<Item = &'a Member>) -> Vec<InstanceName> {
     let (near, far): (Vec<&Member>, Vec<&Member>) =
-        others.filter(|m| m.present()).partition(|m| m.domain == me.domain);
+        others.filter(|m| m.is_present()).partition(|m| m.domain == me.domain);
     let mut chosen = successors(me, &near, RING_NEAR);
     chosen.extend(successors(me, &far, RING_FAR));
     let left = near.iter().chain(&far).map(|m| &m.name).filter(|name| !chosen.contains(name));
--- a/lib/src/members/roster.rs
+++ b/lib/src/members/roster.rs
@@ -10,19 +10,19 @@
 
 /// How long a probe may stay unanswered before its target is suspected: three
 /// heartbeats, so that one lost or late one changes nothing.
-pub const ACK_LIMIT: Millis = Millis(3_000);
+pub const ACK_TIMEOUT: Millis = Millis(3_000);
 /// How long views may differ before members are compared: time for rumours to
 /// flood the fleet, so that an ordinary change is not fetched as well.
 const DIFFER_LIMIT: Millis = Millis(2_000);
 /// How long a dead member is remembered. News older than its death that is
 /// still under way must not revive it, and after a partition of many minutes
 /// the sides find each other by asking the dead.
-pub const TOMBSTONE: Millis = Millis::secs(3_600);
+pub const TOMBSTONE_TIME: Millis = Millis::secs(3_600);
 
 /// How long a suspected member has to refute, in a fleet of `fleet` members:
 /// time for the suspicion to reach it and for the refutation to come back,
 /// which takes hops that grow with the logarithm of the fleet.
-pub fn suspicion(fleet: usize) -> Millis {
+pub fn suspicion_timeout(fleet: usize) -> Millis {
     Millis(2_000 + 400 * u64::from((fleet + 1).ilog2()))
 }
 
@@ -37,7 +37,7 @@
     dirty: bool,
     progress: bool,
     /// Times that this instance refuted a wrong belief about itself.
-    pub refuted: u64,
+    pub refutations: u64,
 }
 
 #[derive(Debug)]
@@ -64,7 +64,7 @@
             groups,
             dirty: true,
             progress: false,
-            refuted: 0,
+            refutations: 0,
         }
     }
 
@@ -74,7 +74,7 @@
     }
 
     /// Records what this instance has in force and has told its keepers.
-    pub fn set_progress(&mut self, version: Version, advertised: u64) {
+    pub fn set_own_progress(&mut self, version: Version, advertised: u64) {
         self.me.version = version;
         self.me.advertised = advertised;
     }
@@ -115,34 +115,34 @@
     }
 
     /// Whether somebody is known at the control address `addr`.
-    pub fn known(&self, addr: SocketAddrV4) -> bool {
+    pub fn is_known_address(&self, addr: SocketAddrV4) -> bool {
         addr == self.me.addresses.control
-            || self.others.values().any(|e| e.member.present() && at(&e.member, addr))
+            || self.others.values().any(|e| e.member.is_present() && at(&e.member, addr))
     }
 
     /// Those of `candidates` with whom there is no contact.
-    pub fn strangers<'a>(
+    pub fn uncontacted<'a>(
         &self,
         candidates: &'a [Candidate],
     ) -> impl Iterator<Item = &'a Candidate> {
-        candidates
-            .iter()
-            .filter(|c| c.name != self.me.name && !self.get(&c.name).is_some_and(Member::present))
+        candidates.iter().filter(|c| {
+            c.name != self.me.name && !self.get(&c.name).is_some_and(Member::is_present)
+        })
     }
 
     /// Where the members are reached that are believed dead.
-    pub fn graves(&self) -> Vec<SocketAddrV4> {
+    pub fn dead_addresses(&self) -> Vec<SocketAddrV4> {
         self.others
             .values()
-            .filter(|e| !e.member.present())
+            .filter(|e| !e.member.is_present())
             .map(|e| e.member.addresses.control)
             .collect()
     }
 
     /// Merges a belief, from whomever it comes. Returns whether it was news.
-    pub fn learn(&mut self, now: Millis, news: &Member) -> bool {
+    pub fn merge(&mut self, now: Millis, news: &Member) -> bool {
         if news.name == self.me.name {
-            return self.hear_of_me(news);
+            return self.refute(news);
         }
         match self.others.get_mut(&news.name) {
             Some(e) if news.order() > e.member.order() => {
@@ -178,13 +178,13 @@
         true
     }
 
-    /// A wrong belief about this instance is refuted by a later incarnation.
+    /// A wrong belief about this instance is refutations by a later incarnation.
     /// Without it a pause of seconds would exclude an instance for good.
-    fn hear_of_me(&mut self, news: &Member) -> bool {
+    fn refute(&mut self, news: &Member) -> bool {
         if news.order() <= self.me.order() {
             return false;
         }
-        self.refuted += 1;
+        self.refutations += 1;
         let next = Incarnation(news.incarnation.0.saturating_add(1));
         self.change_me(|me| me.incarnation = next);
         true
@@ -200,7 +200,7 @@
     /// Records that `name` spoke to us directly and how it sees the members.
     /// Returns whether its view has differed for so long that rumours can't
     /// be what is still under way.
-    pub fn heard(&mut self, now: Millis, name: &InstanceName, digest: u64) -> bool {
+    pub fn record_contact(&mut self, now: Millis, name: &InstanceName, digest: u64) -> bool {
         let differs = digest != self.digest();
         let Some(e) = self.others.get_mut(name) else { return false };
         e.asked = None;
@@ -212,7 +212,7 @@
     }
 
     /// Records that a probe went to `name`.
-    pub fn asked(&mut self, now: Millis, name: &InstanceName) {
+    pub fn record_probe(&mut self, now: Millis, name: &InstanceName) {
         if let Some(e) = self.others.get_mut(name) {
             e.asked.get_or_insert(now);
         }
@@ -220,7 +220,7 @@
 
     /// Suspects, buries and forgets whose time is up.
     pub fn expire(&mut self, now: Millis) {
-        let patience = suspicion(self.others.len());
+        let patience = suspicion_timeout(self.others.len());
         let mut fallen = Vec::new();
         for e in self.others.values() {
             if let Some(state) = fallen_to(e, now, patience) {
@@ -228,13 +228,13 @@
             }
         }
         for news in fallen {
-            self.learn(now, &news);
+            self.merge(now, &news);
         }
-        self.others.retain(|_, e| e.member.present() || now.since(e.changed) < TOMBSTONE);
+        self.others.retain(|_, e| e.member.is_present() || now.since(e.changed) < TOMBSTONE_TIME);
     }
 
     /// Starts all waiting anew: after a sleep, the silence was our own.
-    pub fn wake(&mut self, now: Millis) {
+    pub fn restart_timeouts(&mut self, now: Millis) {
         for e in self.others.values_mut() {
             e.asked = None;
             if e.member.state == MemberState::Suspect {
@@ -245,7 +245,7 @@
 
     /// Chooses the neighbours anew after changes. Returns whether there were
     /// any since the last call.
-    pub fn refresh(&mut self) -> bool {
+    pub fn refresh_neighbours(&mut self) -> bool {
         if !std::mem::take(&mut self.dirty) {
             return false;
         }
@@ -267,7 +267,7 @@
 
     /// The news for a heartbeat to `name`: what we hold of it, if that is not
     /// that it lives, so that it can refute; then rumours.
-    pub fn news_for(&mut self, name: Option<&InstanceName>) -> Vec<Member> {
+    pub fn updates_for(&mut self, name: Option<&InstanceName>) -> Vec<Member> {
         let others = &self.others;
         let mut news = self.rumours.take(|n| others.get(n).map(|e| &e.member));
         let entry = name.and_then(|n| self.others.get(n));
@@ -285,7 +285,7 @@
 }
 
 fn fallen_to(e: &Entry, now: Millis, patience: Millis) -> Option<MemberState> {
-    let silent = e.asked.is_some_and(|t| now.since(t) >= ACK_LIMIT);
+    let silent = e.asked.is_some_and(|t| now.since(t) >= ACK_TIMEOUT);
     match e.member.state {
         MemberState::Live if silent => Some(MemberState::Suspect),
         MemberState::Leaving if silent => Some(MemberState::Dead),
--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -16,18 +16,18 @@
 use std::{cmp::Ordering, hash::Hasher};
 
 /// Whether `me` is the one that plans for `service`.
-pub fn authors<'a>(
+pub fn is_author<'a>(
     me: &InstanceName,
     service: &ServiceName,
     members: impl Iterator<Item = &'a Member>,
 ) -> bool {
-    let live = members.filter(|m| m.eligible()).map(|m| m.name.as_str());
+    let live = members.filter(|m| m.is_eligible()).map(|m| m.name.as_str());
     is_top(service.as_str(), 1, me.as_str(), live)
 }
 
 /// Orders two plans of one service. The moves come last: an author that lost
 /// its memory may use a sequence twice, and even then all must agree.
-pub fn order(a: &ServicePlan, b: &ServicePlan) -> Ordering {
+pub fn compare(a: &ServicePlan, b: &ServicePlan) -> Ordering {
     (a.sequence, &a.author, &a.moves).cmp(&(b.sequence, &b.author, &b.moves))
 }
 
@@ -52,7 +52,7 @@
     /// Follows `plan` if it is the higher one. Returns whether it is.
     pub fn merge(&mut self, plan: ServicePlan) -> bool {
         let held = self.plans.get(&plan.service);
-        if held.is_some_and(|held| order(&plan, held).is_le()) {
+        if held.is_some_and(|held| compare(&plan, held).is_le()) {
             return false;
         }
         self.groups.toggle(plan.service.as_str(), held.map_or(0, fingerprint) ^ fingerprint(&plan));
--- a/lib/src/planner.rs
+++ b/lib/src/planner.rs
@@ -22,8 +22,8 @@
 
 /// The moves that keep new flows from the targets in `bad`. `None` where these
 /// are too many to be believed: then what was planned before stays.
-pub fn evade(service: &Service, bad: &Set<TargetName>) -> Option<Moves> {
-    let takers = service.targets.iter().filter(|target| table::takes_new(target));
+pub fn avoid_targets(service: &Service, bad: &Set<TargetName>) -> Option<Moves> {
+    let takers = service.targets.iter().filter(|target| table::takes_new_flows(target));
     let (all, out) = takers.fold((0, 0), |(all, out), target| {
         (all + 1, out + usize::from(bad.contains(&target.name)))
     });
@@ -33,7 +33,7 @@
     if out * 100 > all * MOST_BAD {
         return None;
     }
-    let dealt = table::deal(service)?;
+    let dealt = table::assign_buckets(service)?;
     let others = Service {
         targets: service
             .targets
@@ -45,7 +45,7 @@
             .collect(),
         ..service.clone()
     };
-    let evading = table::deal(&others)?;
+    let evading = table::assign_buckets(&others)?;
     let name = |ix: crate::ids::TargetIx| &service.targets[usize::from(ix.0)].name;
     let moves = dealt
         .iter()
--- a/lib/src/spread/assembly.rs
+++ b/lib/src/spread/assembly.rs
@@ -5,7 +5,7 @@
 //! text from one peer would be a megabyte against 8 KB/s, so each peer gives
 //! some of it, at a bounded rate.
 
-use super::{ANSWER_LIMIT, MAX_TEXT, Refusal, error, pieces::short};
+use super::{ANSWER_TIMEOUT, MAX_TEXT, Refusal, error, pieces::short_digest};
 use crate::{
     collections::Map,
     ids::Version,
@@ -21,7 +21,7 @@
 /// How many bytes of pieces an instance gives in a second. Six peers then
 /// bring a megabyte in three seconds; giving it is outside of the 8 KB/s and
 /// happens only after a start without the platform or a long cut.
-pub const RATE: usize = 64 * 1024;
+pub const PIECE_RATE: usize = 64 * 1024;
 /// How long no piece may come before the text is given up. A peer that announces
 /// a text that nobody can give would otherwise keep every other one away.
 const STUCK: Millis = Millis::secs(10);
@@ -60,7 +60,7 @@
         if outline.pieces.len() > MAX_PIECES {
             return None;
         }
-        let held: Map<u64, Arc<str>> = held.map(|piece| (short(&piece), piece)).collect();
+        let held: Map<u64, Arc<str>> = held.map(|piece| (short_digest(&piece), piece)).collect();
         let slots: Vec<Option<Arc<str>>> =
             outline.pieces.iter().map(|d| held.get(d).cloned()).collect();
         let lacking = slots.iter().filter(|slot| slot.is_none()).count();
@@ -108,7 +108,7 @@
             }
             let runs = self.next_runs();
             let request = PieceRequest { sender: me, digest: self.order.1, runs };
-            self.sources[ix].until = Some(now + ANSWER_LIMIT);
+            self.sources[ix].until = Some(now + ANSWER_TIMEOUT);
             requests.push((self.sources[ix].addr, Message::PieceRequest(request)));
         }
         requests
@@ -157,7 +157,7 @@
 
     fn put(&mut self, now: Millis, at: u32, piece: &Arc<str>) -> Result<(), Refusal> {
         let ix = at as usize;
-        ensure!(self.wanted.get(ix) == Some(&short(piece)), error::WrongPieceSnafu { at });
+        ensure!(self.wanted.get(ix) == Some(&short_digest(piece)), error::WrongPieceSnafu { at });
         if self.slots[ix].is_some() {
             return Ok(());
         }
@@ -179,7 +179,7 @@
 
 impl Default for Budget {
     fn default() -> Budget {
-        Budget { left: RATE, filled: Millis(0) }
+        Budget { left: PIECE_RATE, filled: Millis(0) }
     }
 }
 
@@ -209,8 +209,9 @@
     }
 
     fn refill(&mut self, now: Millis) {
-        let gained = now.since(self.filled).0.saturating_mul(RATE as u64) / 1000;
+        let gained = now.since(self.filled).0.saturating_mul(PIECE_RATE as u64) / 1000;
         self.filled = now;
-        self.left = RATE.min(self.left.saturating_add(usize::try_from(gained).unwrap_or(RATE)));
+        self.left =
+            PIECE_RATE.min(self.left.saturating_add(usize::try_from(gained).unwrap_or(PIECE_RATE)));
     }
 }
--- a/lib/src/spread/mod.rs
+++ b/lib/src/spread/mod.rs
@@ -10,10 +10,10 @@
 mod readers;
 
 pub use self::{
-    assembly::{ANSWER_BYTES, RATE},
+    assembly::{ANSWER_BYTES, PIECE_RATE},
     error::Refusal,
-    pieces::{diff, rebuild, short, split},
-    readers::{READERS, reads},
+    pieces::{diff, rebuild, short_digest, split},
+    readers::{READERS_PER_DOMAIN, is_reader},
 };
 
 use self::assembly::{Assembly, Budget};
@@ -31,10 +31,10 @@
 pub const MAX_TEXT: usize = 1 << 20;
 /// How many texts are kept to make differences against: at 4,000 changes a
 /// day a peer may lag by nearly three minutes and still be sent a difference.
-pub const BASES: usize = 8;
+pub const MAX_BASES: usize = 8;
 /// How long an answer is awaited before another peer may be asked: well above
 /// a round trip between failure domains and well under the 4 s for a change.
-pub const ANSWER_LIMIT: Millis = Millis(500);
+pub const ANSWER_TIMEOUT: Millis = Millis(500);
 /// How many refused digests are remembered, so that a text that a peer offers
 /// again and again is fetched and checked once.
 const REFUSED: usize = 16;
@@ -156,7 +156,7 @@
     fn put(&mut self, signed: SignedText) -> Arc<SignedText> {
         let signed = Arc::new(signed);
         self.texts.push_front(signed.clone());
-        self.texts.truncate(BASES);
+        self.texts.truncate(MAX_BASES);
         self.pending = None;
         let order = signed.order();
         self.assembly.take_if(|a| a.order <= order);
@@ -186,7 +186,12 @@
 
     /// Hears what the peer at `from` has in force. Returns whether to ask it,
     /// since its bundle is a later one and nobody else is being asked.
-    pub fn claim(&mut self, now: Millis, order: (Version, Digest), from: SocketAddrV4) -> bool {
+    pub fn handle_claim(
+        &mut self,
+        now: Millis,
+        order: (Version, Digest),
+        from: SocketAddrV4,
+    ) -> bool {
         self.compare(order.0, order.1);
         if let Some(assembly) = &mut self.assembly
             && assembly.order >= order
@@ -199,18 +204,18 @@
         if !self.wants(order) || self.pending.is_some_and(|until| now < until) {
             return false;
         }
-        self.pending = Some(now + ANSWER_LIMIT);
+        self.pending = Some(now + ANSWER_TIMEOUT);
         true
     }
 
     /// Asks for the bundle that a peer has; the answer goes to `sender`.
-    pub fn request(&self, sender: SocketAddrV4) -> Message {
+    pub fn bundle_request(&self, sender: SocketAddrV4) -> Message {
         Message::BundleRequest(BundleRequest { sender, base: self.current().map(|t| t.digest) })
     }
 
     /// Answers a peer's request with the difference to what it has, or with
     /// the outline of the text if what it has is unknown here.
-    pub fn answer(&self, request: &BundleRequest, me: SocketAddrV4) -> Option<Message> {
+    pub fn answer_request(&self, request: &BundleRequest, me: SocketAddrV4) -> Option<Message> {
         let current = self.current()?;
         let (version, digest) = current.order();
         let base = self.texts.iter().find(|t| Some(t.digest) == request.base);
@@ -220,7 +225,7 @@
                 Message::BundleDelta(BundleDelta { version, digest, base: base.digest, pieces })
             }
             None => {
-                let pieces = split(&current.text).into_iter().map(short).collect();
+                let pieces = split(&current.text).into_iter().map(short_digest).collect();
                 Message::BundleOutline(BundleOutline { sender: me, version, digest, pieces })
             }
         })
@@ -228,7 +233,7 @@
 
     /// Takes an outline: from now on the pieces that lack are asked for. If
     /// none does, offers the whole text.
-    pub fn outline(
+    pub fn apply_outline(
         &mut self,
         now: Millis,
         outline: &BundleOutline,
@@ -245,13 +250,17 @@
     }
 
     /// Requests for pieces that still lack, each with whom to ask.
-    pub fn fetch(&mut self, now: Millis, me: SocketAddrV4) -> Vec<(SocketAddrV4, Message)> {
+    pub fn piece_requests(
+        &mut self,
+        now: Millis,
+        me: SocketAddrV4,
+    ) -> Vec<(SocketAddrV4, Message)> {
         self.assembly.take_if(|a| a.stuck(now));
         self.assembly.as_mut().map(|a| a.fetch(now, me)).unwrap_or_default()
     }
 
     /// Answers a request for pieces, within the budget for that.
-    pub fn give(
+    pub fn answer_pieces(
         &mut self,
         now: Millis,
         request: &PieceRequest,
@@ -264,7 +273,7 @@
     }
 
     /// Takes pieces; when none lacks, offers the whole text.
-    pub fn fill(
+    pub fn apply_pieces(
         &mut self,
         now: Millis,
         pieces: &Pieces,
@@ -288,7 +297,7 @@
     }
 
     /// Takes a peer's answer: rebuilds the whole text and offers it.
-    pub fn apply(&mut self, delta: &BundleDelta) -> Result<Option<Arc<SignedText>>, Refusal> {
+    pub fn apply_delta(&mut self, delta: &BundleDelta) -> Result<Option<Arc<SignedText>>, Refusal> {
         if !self.wants((delta.version, delta.digest)) {
             return Ok(None);
         }
--- a/lib/src/spread/pieces.rs
+++ b/lib/src/spread/pieces.rs
@@ -10,7 +10,7 @@
 
 /// The short digest of a piece: enough to tell which pieces are held already.
 /// What is put together by it is checked as a whole afterwards.
-pub fn short(piece: &str) -> u64 {
+pub fn short_digest(piece: &str) -> u64 {
     let hash = blake3::hash(piece.as_bytes());
     hash.as_bytes().iter().take(8).fold(0, |n, byte| n << 8 | u64::from(*byte))
 }
--- a/lib/src/spread/readers.rs
+++ b/lib/src/spread/readers.rs
@@ -8,10 +8,10 @@
 use crate::members::{Member, is_top};
 
 /// Readers in each failure domain: two, so that one may die unnoticed.
-pub const READERS: usize = 2;
+pub const READERS_PER_DOMAIN: usize = 2;
 
 /// Whether `me` is among the readers of its failure domain.
-pub fn reads<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> bool {
-    let near = members.filter(|m| m.domain == me.domain && m.eligible());
-    is_top("platform", READERS, me.name.as_str(), near.map(|m| m.name.as_str()))
+pub fn is_reader<'a>(me: &Member, members: impl Iterator<Item = &'a Member>) -> bool {
+    let near = members.filter(|m| m.domain == me.domain && m.is_eligible());
+    is_top("platform", READERS_PER_DOMAIN, me.name.as_str(), near.map(|m| m.name.as_str()))
 }
--- a/lib/src/table.rs
+++ b/lib/src/table.rs
@@ -17,7 +17,7 @@
 
 /// Deals the buckets of a service to the targets that take new flows. `None`
 /// if there is none: then nothing can be opened.
-pub fn deal(service: &Service) -> Option<Vec<TargetIx>> {
+pub fn assign_buckets(service: &Service) -> Option<Vec<TargetIx>> {
     let mut seats = seats(service);
     let heaviest = seats.iter().map(|seat| seat.weight).max()?;
     let size = usize::from(service.buckets);
@@ -80,13 +80,13 @@
 /// the bundle moves no bucket.
 fn seats(service: &Service) -> Vec<Seat> {
     let mut takers: Vec<_> =
-        service.targets.iter().enumerate().filter(|(_, target)| takes_new(target)).collect();
+        service.targets.iter().enumerate().filter(|(_, target)| takes_new_flows(target)).collect();
     takers.sort_by(|(_, a), (_, b)| a.name.cmp(&b.name));
     takers.into_iter().map(|taker| Seat::new(service, taker)).collect()
 }
 
 /// Whether a target is dealt buckets.
-pub(crate) fn takes_new(target: &Target) -> bool {
+pub(crate) fn takes_new_flows(target: &Target) -> bool {
     target.state == TargetState::Active && target.weight > 0
 }
 
--- a/lib/src/view/draft.rs
+++ b/lib/src/view/draft.rs
@@ -241,7 +241,7 @@
 
     /// The owners that bundle and plan ask for.
     fn wanted(&self, spec: &Service, ids: &[TargetId]) -> Vec<Option<TargetId>> {
-        let Some(dealt) = table::deal(spec) else {
+        let Some(dealt) = table::assign_buckets(spec) else {
             return vec![None; usize::from(spec.buckets)];
         };
         let mut wanted: Vec<_> =
--- a/lib/tests/fleet/test_faults.rs
+++ b/lib/tests/fleet/test_faults.rs
@@ -135,7 +135,7 @@
             let mut roster = Roster::new(member(0, 1, 1));
             for (ix, incarnation, state) in news {
                 let belief = Member { state: states[*state], ..member(*ix, 1, *incarnation) };
-                roster.learn(Millis(0), &belief);
+                roster.merge(Millis(0), &belief);
             }
             roster
         };
@@ -153,14 +153,14 @@
 fn late_news_does_not_revive_the_dead() {
     let mut roster = Roster::new(member(0, 1, 1));
     let live = member(1, 1, 5);
-    roster.learn(Millis(0), &live);
-    roster.learn(Millis(1), &Member { state: MemberState::Dead, ..live.clone() });
+    roster.merge(Millis(0), &live);
+    roster.merge(Millis(1), &Member { state: MemberState::Dead, ..live.clone() });
 
-    roster.learn(Millis(2), &live);
-    roster.learn(Millis(3), &Member { incarnation: Incarnation(4), ..live.clone() });
+    roster.merge(Millis(2), &live);
+    roster.merge(Millis(3), &Member { incarnation: Incarnation(4), ..live.clone() });
 
     let state = |roster: &Roster| roster.get(&InstanceName::new("i1")).map(|m| m.state);
     assert_eq!(state(&roster), Some(MemberState::Dead));
-    roster.learn(Millis(4), &Member { incarnation: Incarnation(6), ..live });
+    roster.merge(Millis(4), &Member { incarnation: Incarnation(6), ..live });
     assert_eq!(state(&roster), Some(MemberState::Live));
 }
--- a/lib/tests/fleet/test_plan.rs
+++ b/lib/tests/fleet/test_plan.rs
@@ -6,7 +6,7 @@
     ids::{Bucket, DomainName, InstanceName, ServiceName, TargetName},
     members::Member,
     message::ServicePlan,
-    plan::{Moves, Plans, authors},
+    plan::{Moves, Plans, is_author},
     time::Millis,
 };
 use proptest::prelude::*;
@@ -46,7 +46,8 @@
 fn one_instance_plans_for_a_service() {
     let members: Vec<Member> = (0..8).map(|ix| member(ix, 4, 1)).collect();
 
-    let planners = members.iter().filter(|m| authors(&m.name, &service(0), members.iter())).count();
+    let planners =
+        members.iter().filter(|m| is_author(&m.name, &service(0), members.iter())).count();
 
     assert_eq!(planners, 1);
 }
@@ -89,7 +90,7 @@
 fn woken_author_yields() {
     let mut net = settled();
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
-    let old = members.iter().position(|m| authors(&m.name, &service(0), members.iter()));
+    let old = members.iter().position(|m| is_author(&m.name, &service(0), members.iter()));
     let old = old.expect("somebody plans");
     propose_at_all(&mut net, 0, 1);
     net.run(Millis::secs(1));
@@ -116,7 +117,7 @@
 fn woken_author_plans_nothing_until_refreshed() {
     let mut net = settled();
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
-    let author = members.iter().position(|m| authors(&m.name, &service(0), members.iter()));
+    let author = members.iter().position(|m| is_author(&m.name, &service(0), members.iter()));
     let author = author.expect("somebody plans");
     net.nodes[author].asleep = true;
     net.run(Millis::secs(4));
@@ -135,7 +136,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Plans arrive in any order, again and again, from several authors; some
+    /// Plans arrive in any order, again and again, from several is_author; some
     /// lost their memory and use a sequence twice.
     #[test]
     fn merge_does_not_depend_on_order(
--- a/lib/tests/fleet/test_spread.rs
+++ b/lib/tests/fleet/test_spread.rs
@@ -205,7 +205,7 @@
     spread.offer(&text(1, 9)).expect("accepted");
     let addr = member(0, 1, 1).addresses.control;
 
-    let answer = spread.answer(&BundleRequest { sender: addr, base: Some([7; 32]) }, addr);
+    let answer = spread.answer_request(&BundleRequest { sender: addr, base: Some([7; 32]) }, addr);
 
     let Some(Message::BundleOutline(outline)) = answer else { panic!("{answer:?}") };
     assert_eq!(outline.pieces.len(), split(&text(1, 9)).len());
@@ -229,9 +229,9 @@
     let far =
         BundleDelta { pieces: vec![Piece::Copy { first: 3, count: u32::MAX }], ..right.clone() };
 
-    assert!(matches!(spread.apply(&wrong), Err(Refusal::Digest)));
-    assert!(matches!(spread.apply(&far), Err(Refusal::OutOfRange { .. })));
-    assert!(spread.apply(&right).expect("accepted").is_some());
+    assert!(matches!(spread.apply_delta(&wrong), Err(Refusal::Digest)));
+    assert!(matches!(spread.apply_delta(&far), Err(Refusal::OutOfRange { .. })));
+    assert!(spread.apply_delta(&right).expect("accepted").is_some());
 }
 
 fn any_text() -> impl Strategy<Value = String> {
--- a/tests/examples/moves/baseline.rs
+++ b/tests/examples/moves/baseline.rs
@@ -123,7 +123,7 @@
 }
 
 fn owners(service: &Service) -> Vec<SocketAddrV4> {
-    let dealt = table::deal(service).unwrap_or_default();
+    let dealt = table::assign_buckets(service).unwrap_or_default();
     dealt.iter().map(|target| service.targets[usize::from(target.0)].address).collect()
 }
 
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -116,7 +116,7 @@
 
     let service = site.bundle().services[0].clone();
     let bad = [TargetName::new("alertdesk-5")].into_iter().collect();
-    let moves = planner::evade(&service, &bad).expect("one target is not most");
+    let moves = planner::avoid_targets(&service, &bad).expect("one target is not most");
     fleet.plan(&ServicePlan {
         service: service.name.clone(),
         sequence: 1,
