--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -1,10 +1,11 @@
-//! Telling keepers the exceptions: the flows of moved buckets that go elsewhere
-//! than the bucket's present owner.
+//! Sends adverts to keepers: the exceptions, that is the flows of moved buckets
+//! that go elsewhere than to the bucket's present owner.
 //!
-//! Only exceptions travel, and at a bounded pace, because a node has a few
-//! kilobytes a second for control. Flows opened here go first: each flow has
-//! one opener, so the keepers know all flows of live openers after the least
-//! traffic; flows that merely passed here follow, for openers that are gone.
+//! Only exceptions are sent, and at a bounded rate, because a node has a few
+//! kilobytes a second for control traffic. Flows opened here are sent first:
+//! each flow has one opener, so this gives the keepers all flows of live
+//! openers with the least traffic. Flows that only passed here follow, for
+//! openers that are gone.
 
 use super::Sink;
 use crate::{
@@ -18,17 +19,18 @@
 };
 use std::collections::VecDeque;
 
-/// Stands for a revision that has to be looked through again.
+/// Marks a service whose flows have to be scanned again.
 const STALE: u64 = u64::MAX;
 
-/// How many flows are told in a second: at 16 bytes each this is 2 KB/s.
+/// Maximum number of flows advertised a second; at 16 bytes each this is 2
+/// KB/s.
 const FLOWS_PER_SECOND: u64 = 128;
 
-/// How many flows may be told at once after a quiet time, so that a single
-/// move is told without delay.
+/// Maximum number of flows advertised at once after a quiet time, so that a
+/// single move is advertised without delay.
 const BURST: u64 = 128;
 
-/// Bounds a rate without a clock of its own: earns with time, is spent by use.
+/// A token bucket that is given the time and has no clock of its own.
 #[derive(Debug, Clone)]
 pub struct TokenBucket {
     rate: u64,
@@ -38,12 +40,12 @@
 }
 
 impl TokenBucket {
-    /// Allows `rate` a second and `burst` at once.
+    /// Allows `rate` tokens a second and `burst` at once.
     pub fn new(rate: u64, burst: u64) -> TokenBucket {
         TokenBucket { rate, burst, credit: burst * 1000, last: Millis(0) }
     }
 
-    /// Takes one if there is one.
+    /// Takes one token. Returns false if none is left.
     pub fn try_take(&mut self, now: Millis) -> bool {
         let earned = now.since(self.last).0.saturating_mul(self.rate);
         self.last = self.last.max(now);
@@ -54,16 +56,16 @@
     }
 }
 
-/// One flow to tell one keeper.
+/// One flow to advertise to one keeper.
 #[derive(Debug)]
-struct Item {
+struct QueuedFlow {
     keeper: InstanceName,
     service: ServiceName,
     flow: FlowId,
     target: TargetId,
 }
 
-/// For which state of a service its flows were last looked through.
+/// The state of a service for which its flows were last scanned.
 #[derive(Debug, PartialEq, Eq)]
 struct Scanned {
     revision: u64,
@@ -71,12 +73,14 @@
     leaving: bool,
 }
 
+/// The adverts that are still to be sent.
 #[derive(Debug)]
 pub(super) struct Adverts {
-    queue: VecDeque<Item>,
+    queue: VecDeque<QueuedFlow>,
     scanned: Map<ServiceName, Scanned>,
-    untold: Set<ServiceName>,
-    pace: TokenBucket,
+    /// Services whose keepers have not been sent the final advert.
+    unfinished: Set<ServiceName>,
+    tokens: TokenBucket,
     refreshed: Millis,
 }
 
@@ -85,15 +89,16 @@
         Adverts {
             queue: VecDeque::new(),
             scanned: Map::default(),
-            untold: Set::default(),
-            pace: TokenBucket::new(FLOWS_PER_SECOND, BURST),
+            unfinished: Set::default(),
+            tokens: TokenBucket::new(FLOWS_PER_SECOND, BURST),
             refreshed: Millis(0),
         }
     }
 }
 
 impl Adverts {
-    /// Looks through the flows of the services that have changed.
+    /// Queues the exceptions of the services that changed since their last
+    /// scan.
     pub(super) fn queue_changed(&mut self, view: &View, flows: &Flows) {
         let changed: Vec<_> = view
             .services
@@ -113,7 +118,7 @@
                 moved.insert(service.key);
             }
             self.scanned.insert(name.clone(), scan_of(view, service));
-            self.untold.insert(name.clone());
+            self.unfinished.insert(name.clone());
             self.queue.retain(|item| &item.service != name);
         }
         let wanted: Vec<_> = view
@@ -121,13 +126,20 @@
             .iter()
             .map(|service| changed.iter().any(|other| other.key == service.key))
             .collect();
-        self.scan(view, flows, &wanted, &moved);
+        self.queue_exceptions(view, flows, &wanted, &moved);
     }
 
-    /// Queues the exceptions of the wanted services. What this instance was
-    /// told as a keeper goes on only where the duty has `moved` to others: its
-    /// openers may be gone, so that nobody else would tell the new keepers.
-    fn scan(&mut self, view: &View, flows: &Flows, wanted: &[bool], moved: &Set<ServiceKey>) {
+    /// Queues the exceptions of the `wanted` services. Flows that this instance
+    /// knows only from adverts are passed on only for services whose keepers
+    /// have changed (`moved`): their openers may be gone, and then nobody else
+    /// would advertise them to the new keepers.
+    fn queue_exceptions(
+        &mut self,
+        view: &View,
+        flows: &Flows,
+        wanted: &[bool],
+        moved: &Set<ServiceKey>,
+    ) {
         let positions = view.service_positions();
         let mut later = Vec::new();
         for (id, flow) in flows.iter() {
@@ -152,37 +164,38 @@
     fn push(&mut self, view: &View, service: &ServiceView, flow: FlowId, target: TargetId) {
         let bucket = service.bucket(flow);
         let state = service.state(bucket);
-        // One that leaves tells the flows at the present owner too. They are no
-        // exceptions, but while an earlier departure makes keepers doubt, an
-        // unknown flow is taken for one.
+        // A leaving instance also advertises flows that go to the present
+        // owner. They are no exceptions, but while an earlier departure keeps
+        // the keepers from vouching for the bucket, an unknown flow is treated
+        // as an exception.
         if !state.may_have_exceptions() || state.owner == Some(target) && !view.leaving {
             return;
         }
         for keeper in service.keepers.of(bucket).filter(|name| **name != view.me) {
             let (keeper, service) = (keeper.clone(), service.spec.name.clone());
-            self.queue.push_back(Item { keeper, service, flow, target });
+            self.queue.push_back(QueuedFlow { keeper, service, flow, target });
         }
     }
 
-    /// Whether nothing is left to tell.
+    /// Whether nothing is left to send.
     pub(super) fn is_done(&self) -> bool {
-        self.queue.is_empty() && self.untold.is_empty()
+        self.queue.is_empty() && self.unfinished.is_empty()
     }
 
-    /// Tells the keepers of a flow that turned out to be an exception.
-    pub(super) fn exception(&mut self, view: &View, flow: FlowId, target: TargetId) {
+    /// Queues a flow that turned out to be an exception for its keepers.
+    pub(super) fn push_exception(&mut self, view: &View, flow: FlowId, target: TargetId) {
         let name = &view.registry.get(target).service;
         if let Some(service) = view.service(name) {
             self.push(view, service, flow, target);
         }
     }
 
-    /// Tells what is queued, as far as the pace allows, and then that all of a
-    /// service has been told.
+    /// Sends queued flows as far as the token bucket allows. Once all flows of
+    /// a service are sent, says so to its keepers.
     pub(super) fn send(&mut self, view: &View, flows: &Flows, now: Millis, sink: &mut impl Sink) {
         let mut batches: Map<(InstanceName, ServiceName), Vec<(FlowId, TargetName)>> =
             Map::default();
-        while !self.queue.is_empty() && self.pace.try_take(now) {
+        while !self.queue.is_empty() && self.tokens.try_take(now) {
             let Some(item) = self.queue.pop_front() else { break };
             if flows.get(item.flow).is_none() {
                 continue;
@@ -194,18 +207,18 @@
             let sender = view.me.clone();
             sink.send_advert(&keeper, Advert { sender, service, flows, advertised: None });
         }
-        self.send_told(view, sink);
+        self.send_completions(view, sink);
     }
 
-    fn send_told(&mut self, view: &View, sink: &mut impl Sink) {
-        if self.untold.is_empty() {
+    fn send_completions(&mut self, view: &View, sink: &mut impl Sink) {
+        if self.unfinished.is_empty() {
             return;
         }
         let queued: Set<_> = self.queue.iter().map(|item| item.service.clone()).collect();
         let done: Vec<_> =
-            self.untold.iter().filter(|name| !queued.contains(*name)).cloned().collect();
+            self.unfinished.iter().filter(|name| !queued.contains(*name)).cloned().collect();
         for name in done {
-            self.untold.remove(&name);
+            self.unfinished.remove(&name);
             let Some(service) = view.service(&name) else { continue };
             for keeper in service.keepers.all().iter().filter(|keeper| **keeper != view.me) {
                 let (sender, service_name) = (view.me.clone(), name.clone());
@@ -219,13 +232,14 @@
         }
     }
 
-    /// Tells the exceptions again, once each keep-alive, because a keeper that
-    /// hears nothing of a flow any more forgets it as one that is over.
+    /// Advertises the exceptions again, once per keep-alive interval, because a
+    /// keeper forgets a flow of which it receives no advert any more.
     pub(super) fn refresh(&mut self, view: &View, flows: &Flows, now: Millis) {
         let period = view.bundle.services.iter().map(|s| s.keepalive).min();
         if period.is_some_and(|period| now.since(self.refreshed) >= period) {
             self.refreshed = now;
-            // The keepers stay noted, so that a change of them is still seen.
+            // The recorded keepers stay, so that a change of them is still
+            // detected.
             self.scanned.values_mut().for_each(|scanned| scanned.revision = STALE);
             self.queue_changed(view, flows);
         }
--- a/lib/src/forwarder/counters.rs
+++ b/lib/src/forwarder/counters.rs
@@ -1,4 +1,4 @@
-//! What a forwarder counts; the log has lines only for changes of state.
+//! Counters of a forwarder. The log has lines for changes of state only.
 
 use crate::{packet::PacketError, question::QuestionError};
 
@@ -9,48 +9,49 @@
     pub packets: u64,
     /// Packets sent to a target.
     pub forwarded: u64,
-    /// Packets of known flows.
+    /// Packets of flows that were known here.
     pub hits: u64,
-    /// Packets of unknown flows that went to the bucket's owner.
+    /// Packets of unknown flows that were sent to the bucket's owner.
     pub misses: u64,
     /// Flows opened here.
     pub opened: u64,
-    /// Flows turned away here.
+    /// Flows refused here.
     pub refused: u64,
     /// Packets dropped because there was no bundle yet.
     pub no_bundle: u64,
-    /// Packets to an address and port of no service.
+    /// Packets to an address and port that no service has.
     pub no_service: u64,
     /// Packets of flows whose bucket has no owner.
     pub no_target: u64,
-    /// Packets that were stopped on the way to another service's target.
-    /// Anything but zero is a fault of ours.
+    /// Packets dropped because their target belongs to another service. Any
+    /// value but zero is a bug.
     pub crossed: u64,
-    /// Flows about which peers were asked.
+    /// Flows that peers were asked about.
     pub asked: u64,
-    /// Of these, flows of which a peer knew the target.
+    /// Of the flows asked about, those whose target a peer knew.
     pub found: u64,
-    /// Of these, flows that all who could know denied.
+    /// Of the flows asked about, those that a keeper and all others who were
+    /// asked reported as no exception.
     pub denied: u64,
-    /// Of these, flows that went to an earlier owner without certainty.
+    /// Of the flows asked about, those sent to an earlier owner on a guess.
     pub guessed: u64,
-    /// Packets dropped because too many were held.
+    /// Packets dropped or sent on a guess because too many were held.
     pub overflow: u64,
     /// Questions answered for peers.
     pub questions: u64,
-    /// Adverts taken as a keeper.
+    /// Adverts received as a keeper.
     pub adverts: u64,
-    /// Flows forgotten after silence or an end.
+    /// Flows forgotten after silence or after their end.
     pub expired: u64,
-    /// Openings dropped because they carried data already.
+    /// SYNs dropped because they carried data.
     pub syn_with_data: u64,
-    /// Openings dropped after a sleep; their callers repeat them.
+    /// Openings dropped after a sleep; their callers retransmit them.
     pub after_sleep: u64,
-    /// How often instances came back that had been cut off.
+    /// Times that instances which had been cut off came back.
     pub healed: u64,
-    /// How often the process noticed that it had slept.
+    /// Times that the process detected that it had slept.
     pub slept: u64,
-    /// Datagrams of peers that were refused by reason.
+    /// Datagrams of peers that were refused, by reason.
     pub refused_datagrams: [u64; QuestionError::ALL.len()],
     /// Malformed packets by reason.
     pub malformed: [u64; PacketError::ALL.len()],
--- a/lib/src/forwarder/gate.rs
+++ b/lib/src/forwarder/gate.rs
@@ -1,4 +1,4 @@
-//! The boundary to the decisions under load: who is let in.
+//! The interface to admission control, which decides on openings under load.
 
 use crate::{
     bundle::Class,
@@ -9,61 +9,61 @@
 };
 use std::net::Ipv4Addr;
 
-/// A flow that wants to open.
+/// A flow that is about to be opened.
 #[derive(Debug)]
 pub struct Opening {
     /// The flow.
     pub flow: FlowId,
-    /// Who opens it.
+    /// Address of the caller.
     pub caller: Ipv4Addr,
-    /// The class of its work.
+    /// Class of the port that the caller opened.
     pub class: Class,
-    /// The target that would get it; it tells the service too.
+    /// The target that would get the flow; it also determines the service.
     pub target: TargetId,
 }
 
-/// What becomes of an opening.
+/// The decision on an opening.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It goes to its target now.
+    /// The packet is sent to its target now.
     Admit,
-    /// It is held; [`Gate::due`] decides later.
+    /// The packet is held until [`Gate::due`] decides.
     Wait,
-    /// It is turned away at once.
+    /// The flow is refused at once.
     Refuse {
-        /// When the caller may come back.
+        /// Time after which the caller may try again.
         after: Millis,
     },
 }
 
-/// Decides on openings. `medlarspur-load` has the decisions; this trait keeps
-/// the packet path free of them, and them free of packets.
+/// Admission control. `medlarspur-load` implements the decisions; this trait
+/// keeps the packet path free of them, and them free of packets.
 pub trait Gate {
     /// Decides on an opening.
     fn open(&mut self, now: Millis, opening: &Opening) -> Verdict;
 
-    /// Decides on those that waited, as far as their time has come.
+    /// Decides on the waiting openings whose time has come, and appends the
+    /// decisions to `decided`.
     fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Verdict)>);
 
-    /// When a caller that is turned away now may come back. It is asked again
-    /// for each packet of a refusal in words, at any instance.
+    /// Returns the time after which a caller that is refused now may try again.
+    /// Called for each packet of a refusal with a text, and at any instance.
     fn retry_after(&self, flow: FlowId, target: Option<TargetId>) -> Millis;
 
-    /// Hears that a packet followed the first one of an admitted flow, and how
-    /// long after it.
+    /// Reports the second packet of an admitted flow, `after` the first.
     fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis);
 
-    /// Hears that the caller gave up a flow that was admitted here.
+    /// Reports that the caller aborted a flow that was admitted here.
     fn on_abort(&mut self, now: Millis, target: TargetId);
 
-    /// Hears that a flow is over, whoever let it in.
+    /// Reports that a flow has ended, whichever instance admitted it.
     fn on_close(&mut self, now: Millis, id: FlowId, flow: &Flow);
 
-    /// Hears of a new view.
+    /// Takes the next view.
     fn set_view(&mut self, view: &View, now: Millis);
 }
 
-/// Lets everything in: the baseline without admission.
+/// Admits everything: the baseline without admission control.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct AdmitAll;
 
--- a/lib/src/forwarder/held.rs
+++ b/lib/src/forwarder/held.rs
@@ -1,6 +1,7 @@
-//! Packets that are held: while peers are asked, or while an opening waits.
+//! Packets that are held while peers are asked about their flow, or while an
+//! opening waits for admission.
 
-use super::{Forwarder, Gate, Sink, Site, Verdict};
+use super::{Context, Forwarder, Gate, Sink, Verdict};
 use crate::{
     bundle::Protocol,
     flows::{Certainty, FlowMap},
@@ -11,43 +12,46 @@
     time::Millis,
     view::{TargetId, TargetKey, View},
 };
-/// How long a packet is held at most while peers are asked. Twice the way
-/// between failure domains and back, with room for a busy peer; a caller's TCP
-/// does not notice it, since its shortest retransmission time is 200 ms.
-pub const ASK_TIME: Millis = Millis(20);
 
-/// How many instances are asked about one flow at most, so that a flood of
-/// unknown flows can't multiply itself by the size of the fleet.
-const FANOUT: usize = 16;
+/// Maximum time that a packet is held while peers are asked. It is twice the
+/// round trip between failure domains, with a margin for a busy peer. A
+/// caller's TCP does not notice it, since its shortest retransmission time is
+/// 200 ms.
+pub const ASK_TIMEOUT: Millis = Millis(20);
 
-/// How many packets are held for one flow; more than a first window has.
-const FLOW_PACKETS: usize = 12;
+/// Maximum number of instances asked about one flow, so that a flood of unknown
+/// flows isn't multiplied by the size of the fleet.
+const MAX_ASKED: usize = 16;
 
-/// How many flows may be held at once.
-const FLOWS: usize = 8_192;
+/// Maximum number of packets held per flow; larger than an initial window.
+const MAX_FLOW_PACKETS: usize = 12;
 
-/// What is held.
+/// Maximum number of flows held at once.
+const MAX_FLOWS: usize = 8_192;
+
+/// The held packets, by flow.
 #[derive(Debug, Default)]
 pub(super) struct Held {
-    asking: FlowMap<Asking>,
+    lookups: FlowMap<Lookup>,
     waiting: FlowMap<Vec<u8>>,
 }
 
-/// A flow about which peers are being asked.
+/// A flow that peers are being asked about.
 #[derive(Debug)]
-struct Asking {
+struct Lookup {
     packets: Vec<Vec<u8>>,
     nonce: u32,
-    open: usize,
-    wide: bool,
-    certain: bool,
+    unanswered: usize,
+    asks_all: bool,
+    denied: bool,
     deadline: Millis,
 }
 
 impl Held {
-    /// Holds an opening that the gate makes wait; false if there is no room.
-    pub(super) fn wait(&mut self, id: FlowId, packet: &[u8]) -> bool {
-        if self.waiting.len() >= FLOWS {
+    /// Holds an opening that the gate makes wait. Returns false if too many are
+    /// held already.
+    pub(super) fn add_waiting(&mut self, id: FlowId, packet: &[u8]) -> bool {
+        if self.waiting.len() >= MAX_FLOWS {
             return false;
         }
         self.waiting.entry(id).or_insert_with(|| packet.to_vec());
@@ -56,112 +60,120 @@
 }
 
 impl<G: Gate> Forwarder<G> {
-    /// Rule 3: holds a packet of an unknown flow and asks, once for each flow.
-    pub(super) fn hold(
+    /// Rule 3: holds a packet of an unknown flow and asks peers, once per flow.
+    pub(super) fn hold_and_ask(
         &mut self,
         now: Millis,
         packet: &Packet<'_>,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) {
-        if let Some(asking) = self.held.asking.get_mut(&site.id) {
-            if asking.packets.len() < FLOW_PACKETS {
-                asking.packets.push(packet.bytes().to_vec());
+        if let Some(lookup) = self.held.lookups.get_mut(&ctx.id) {
+            if lookup.packets.len() < MAX_FLOW_PACKETS {
+                lookup.packets.push(packet.bytes().to_vec());
             } else {
                 self.counters.overflow += 1;
             }
             return;
         }
-        if self.held.asking.len() >= FLOWS {
+        if self.held.lookups.len() >= MAX_FLOWS {
             self.counters.overflow += 1;
-            self.guess(now, packet, site, sink);
+            self.send_to_earlier_owner(now, packet, ctx, sink);
             return;
         }
         self.counters.asked += 1;
         self.nonce = self.nonce.wrapping_add(1);
-        let wide = self.must_ask_all(now, site);
-        let open = self.ask(site, wide, self.nonce, sink);
-        let asking = Asking {
+        let asks_all = self.should_ask_all(now, ctx);
+        let unanswered = self.send_questions(ctx, asks_all, self.nonce, sink);
+        let lookup = Lookup {
             packets: vec![packet.bytes().to_vec()],
             nonce: self.nonce,
-            open,
-            wide,
-            certain: self.vouches(now, site),
-            deadline: now + ASK_TIME,
+            unanswered,
+            asks_all,
+            denied: self.knows_all_exceptions(now, ctx),
+            deadline: now + ASK_TIMEOUT,
         };
-        self.held.asking.insert(site.id, asking);
-        if open == 0 {
-            self.conclude(site.view, now, site.id, true, sink);
+        self.held.lookups.insert(ctx.id, lookup);
+        if unanswered == 0 {
+            self.finish_lookup(ctx.view, now, ctx.id, true, sink);
         }
     }
 
-    /// Whether this instance keeps the bucket and knows all its exceptions.
-    fn vouches(&self, now: Millis, site: &Site<'_>) -> bool {
-        let question = Question { flow: site.id, service: site.service.key, nonce: 0 };
-        let result = self.keeping.look_up(site.view, &self.flows, &question, now);
+    /// Whether this instance is a keeper of the bucket and knows all its
+    /// exceptions.
+    fn knows_all_exceptions(&self, now: Millis, ctx: &Context<'_>) -> bool {
+        let question = Question { flow: ctx.id, service: ctx.service.key, nonce: 0 };
+        let result = self.keeper.look_up(ctx.view, &self.flows, &question, now);
         matches!(result, LookupResult::NoException { .. })
     }
 
-    /// Whether the keepers are unlikely to know all: the move is fresh, or this
-    /// instance has slept.
-    fn must_ask_all(&self, now: Millis, site: &Site<'_>) -> bool {
-        self.distrust.is_some() || site.bucket().is_settling(now)
+    /// Whether all members have to be asked, because the keepers may not know
+    /// all exceptions: the move is recent, or this instance has slept.
+    fn should_ask_all(&self, now: Millis, ctx: &Context<'_>) -> bool {
+        self.distrust_until.is_some() || ctx.bucket().is_settling(now)
     }
 
-    fn ask(&mut self, site: &Site<'_>, wide: bool, nonce: u32, sink: &mut impl Sink) -> usize {
-        let question = Question { flow: site.id, service: site.service.key, nonce };
+    fn send_questions(
+        &mut self,
+        ctx: &Context<'_>,
+        asks_all: bool,
+        nonce: u32,
+        sink: &mut impl Sink,
+    ) -> usize {
+        let question = Question { flow: ctx.id, service: ctx.service.key, nonce };
         let mut count = 0;
-        for member in asked(site, wide) {
+        for member in members_to_ask(ctx, asks_all) {
             sink.send_to_peer(member.addresses.questions, Datagram::Question(question.clone()));
             count += 1;
         }
         count
     }
 
-    /// Takes an answer to a question of ours; late and repeated ones find no
-    /// question and change nothing.
-    pub(super) fn answered(&mut self, now: Millis, answer: Answer, sink: &mut impl Sink) {
+    /// Handles an answer to one of this instance's questions. Late and repeated
+    /// answers match no open question and are ignored.
+    pub(super) fn handle_answer(&mut self, now: Millis, answer: Answer, sink: &mut impl Sink) {
         let Some(view) = self.view.clone() else { return };
-        let Some(asking) = self.held.asking.get_mut(&answer.flow) else { return };
-        if asking.nonce != answer.nonce || asking.open == 0 {
+        let Some(lookup) = self.held.lookups.get_mut(&answer.flow) else { return };
+        if lookup.nonce != answer.nonce || lookup.unanswered == 0 {
             return;
         }
-        asking.open -= 1;
-        let open = asking.open;
-        asking.certain |= matches!(answer.result, LookupResult::NoException { .. });
+        lookup.unanswered -= 1;
+        let unanswered = lookup.unanswered;
+        lookup.denied |= matches!(answer.result, LookupResult::NoException { .. });
         match answer.result {
             LookupResult::Known(key) => {
-                let first = asking.packets[0].clone();
-                if let Some(target) = self.believe(&view, &first, key) {
+                let first = lookup.packets[0].clone();
+                if let Some(target) = self.checked_target(&view, &first, key) {
                     self.counters.found += 1;
-                    self.found(now, answer.flow, target, &view, sink);
+                    self.adopt_found(now, answer.flow, target, &view, sink);
                     return;
                 }
             }
             LookupResult::NoException { empty: true } => {
-                with_site(&view, &asking.packets[0], |_, site| self.keeping.clear(site));
+                with_context(&view, &lookup.packets[0], |_, ctx| self.keeper.mark_clear(ctx));
             }
             LookupResult::NoException { empty: false } | LookupResult::Unknown => {}
         }
-        if open == 0 {
-            self.conclude(&view, now, answer.flow, true, sink);
+        if unanswered == 0 {
+            self.finish_lookup(&view, now, answer.flow, true, sink);
         }
     }
 
-    /// The target that a peer names for a flow. One of another service would be
-    /// noted for the flow, and all its packets would be dropped where they
-    /// leave until it is forgotten; so such an answer counts as none.
-    fn believe(&mut self, view: &View, packet: &[u8], key: TargetKey) -> Option<TargetId> {
+    /// Returns the target that a peer names for a flow, if it belongs to the
+    /// flow's service. A target of another service would be recorded for the
+    /// flow, and all packets of the flow would be dropped on the way out until
+    /// it is forgotten, so such an answer counts as none.
+    fn checked_target(&mut self, view: &View, packet: &[u8], key: TargetKey) -> Option<TargetId> {
         let target = view.registry.find_by_key(key)?;
         let mut serves = false;
-        with_site(view, packet, |_, site| {
-            serves = view.registry.get(target).service == site.service.spec.name;
+        with_context(view, packet, |_, ctx| {
+            serves = view.registry.get(target).service == ctx.service.spec.name;
         });
         self.counters.crossed += u64::from(!serves);
         serves.then_some(target)
     }
 
-    fn found(
+    fn adopt_found(
         &mut self,
         now: Millis,
         id: FlowId,
@@ -169,18 +181,18 @@
         view: &View,
         sink: &mut impl Sink,
     ) {
-        let Some(asking) = self.held.asking.remove(&id) else { return };
-        for bytes in &asking.packets {
-            with_site(view, bytes, |packet, site| {
-                self.adopt(now, packet, target, Certainty::Observed, site, sink);
+        let Some(lookup) = self.held.lookups.remove(&id) else { return };
+        for bytes in &lookup.packets {
+            with_context(view, bytes, |packet, ctx| {
+                self.adopt(now, packet, target, Certainty::Observed, ctx, sink);
             });
         }
-        self.adverts.exception(view, id, target);
+        self.adverts.push_exception(view, id, target);
     }
 
-    /// Ends the asking of a flow of which nobody knew the target. `complete`
-    /// tells that all who were asked have answered.
-    fn conclude(
+    /// Ends a lookup that found no target. `complete` says that all who were
+    /// asked have answered.
+    fn finish_lookup(
         &mut self,
         view: &View,
         now: Millis,
@@ -188,82 +200,97 @@
         complete: bool,
         sink: &mut impl Sink,
     ) {
-        let Some(mut asking) = self.held.asking.remove(&id) else { return };
-        // That none of the live ones knows the flow makes it an orphan: whoever
-        // opened it is gone. Only a keeper can say that there was none such.
-        let sure = complete && asking.certain;
-        if complete && !sure && !asking.wide {
-            asking.wide = true;
-            let bytes = asking.packets[0].clone();
-            let nonce = asking.nonce;
-            let mut open = 0;
-            with_site(view, &bytes, |_, site| open = self.ask(site, true, nonce, sink));
-            if open > 0 {
-                asking.open = open;
-                self.held.asking.insert(id, asking);
+        let Some(mut lookup) = self.held.lookups.remove(&id) else { return };
+        // If none of the live instances knows the flow, it is an orphan: the
+        // instance that opened it is gone. Only a keeper can say that no such
+        // flow existed.
+        let sure = complete && lookup.denied;
+        if complete && !sure && !lookup.asks_all {
+            lookup.asks_all = true;
+            let bytes = lookup.packets[0].clone();
+            let nonce = lookup.nonce;
+            let mut unanswered = 0;
+            with_context(view, &bytes, |_, ctx| {
+                unanswered = self.send_questions(ctx, true, nonce, sink)
+            });
+            if unanswered > 0 {
+                lookup.unanswered = unanswered;
+                self.held.lookups.insert(id, lookup);
                 return;
             }
         }
         if sure {
             self.counters.denied += 1;
         }
-        for bytes in &asking.packets {
-            with_site(view, bytes, |packet, site| {
-                // A datagram that no live instance knows is far more often the
-                // first of its flow than the next one of an orphan, and a
+        for bytes in &lookup.packets {
+            with_context(view, bytes, |packet, ctx| {
+                // A UDP datagram that no live instance knows is far more often
+                // the first of its flow than a later one of an orphan, and a
                 // leaving target must get no new work.
                 let is_new = complete && packet.key().protocol == Protocol::Udp;
                 if packet.mark() == Mark::Open || sure || is_new {
-                    self.unheld(now, packet, site, sink);
+                    self.forward_released(now, packet, ctx, sink);
                 } else {
-                    self.guess(now, packet, site, sink);
+                    self.send_to_earlier_owner(now, packet, ctx, sink);
                 }
             });
         }
     }
 
-    /// A held packet of a flow that is now known, or goes to the owner.
-    fn unheld(&mut self, now: Millis, packet: &Packet<'_>, site: &Site<'_>, sink: &mut impl Sink) {
-        if !self.known(now, packet, site, sink) {
-            self.settle(now, packet, site, sink);
+    /// Sends a packet that was held. Its flow may have become known meanwhile.
+    fn forward_released(
+        &mut self,
+        now: Millis,
+        packet: &Packet<'_>,
+        ctx: &Context<'_>,
+        sink: &mut impl Sink,
+    ) {
+        if !self.send_known(now, packet, ctx, sink) {
+            self.send_to_owner(now, packet, ctx, sink);
         }
     }
 
-    /// Rule 4: in doubt, the earlier owner.
-    fn guess(&mut self, now: Millis, packet: &Packet<'_>, site: &Site<'_>, sink: &mut impl Sink) {
-        if self.known(now, packet, site, sink) {
+    /// Rule 4: sends a packet whose flow nobody knows to an earlier owner.
+    fn send_to_earlier_owner(
+        &mut self,
+        now: Millis,
+        packet: &Packet<'_>,
+        ctx: &Context<'_>,
+        sink: &mut impl Sink,
+    ) {
+        if self.send_known(now, packet, ctx, sink) {
             return;
         }
-        let orphaned = site.view.orphaned_since(site.service, now);
-        match site.bucket().fallback(orphaned) {
+        let orphaned_since = ctx.view.orphaned_since(ctx.service, now);
+        match ctx.bucket().fallback(orphaned_since) {
             Some(target) if packet.mark() != Mark::Open => {
                 self.counters.guessed += 1;
-                self.adopt(now, packet, target, Certainty::Guessed, site, sink);
-                // The keepers are told, so that all who are asked from now on
-                // send the flow the same way.
-                self.adverts.exception(site.view, site.id, target);
+                self.adopt(now, packet, target, Certainty::Guessed, ctx, sink);
+                // The keepers get an advert, so that all instances that ask
+                // from now on send the flow the same way.
+                self.adverts.push_exception(ctx.view, ctx.id, target);
             }
-            _ => self.settle(now, packet, site, sink),
+            _ => self.send_to_owner(now, packet, ctx, sink),
         }
     }
 
-    /// Concludes the questions whose time is up.
-    pub(super) fn expire_held(&mut self, now: Millis, sink: &mut impl Sink) {
+    /// Ends the lookups whose deadline has passed.
+    pub(super) fn expire_lookups(&mut self, now: Millis, sink: &mut impl Sink) {
         let Some(view) = self.view.clone() else { return };
         let late: Vec<_> = self
             .held
-            .asking
+            .lookups
             .iter()
-            .filter(|(_, asking)| now >= asking.deadline)
+            .filter(|(_, lookup)| now >= lookup.deadline)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
-            self.conclude(&view, now, id, false, sink);
+            self.finish_lookup(&view, now, id, false, sink);
         }
     }
 
-    /// Sends on or turns away the openings that have waited.
-    pub(super) fn release(&mut self, now: Millis, sink: &mut impl Sink) {
+    /// Admits or refuses the openings whose wait is over.
+    pub(super) fn release_waiting(&mut self, now: Millis, sink: &mut impl Sink) {
         let mut decided = Vec::new();
         self.gate.due(now, &mut decided);
         let Some(view) = self.view.clone() else { return };
@@ -272,27 +299,28 @@
                 continue;
             }
             let Some(bytes) = self.held.waiting.remove(&id) else { continue };
-            with_site(&view, &bytes, |packet, site| match (verdict, site.bucket().owner) {
-                (Verdict::Admit, Some(owner)) => self.admit(now, packet, owner, site, sink),
-                (Verdict::Refuse { .. }, _) => self.refuse(packet, site, sink),
-                _ => self.turn_away(packet, sink),
+            with_context(&view, &bytes, |packet, ctx| match (verdict, ctx.bucket().owner) {
+                (Verdict::Admit, Some(owner)) => self.admit(now, packet, owner, ctx, sink),
+                (Verdict::Refuse { .. }, _) => self.refuse(packet, ctx, sink),
+                _ => self.send_reset(packet, sink),
             });
         }
     }
 }
 
-/// Whom to ask: the bucket's keepers, and all members where these can't know.
-fn asked<'a>(site: &'a Site<'_>, wide: bool) -> impl Iterator<Item = &'a Member> {
-    let keepers: Vec<_> = site.service.keepers.of(site.service.bucket(site.id)).collect();
+/// The members to ask: the bucket's keepers, or all if the keepers may not
+/// know.
+fn members_to_ask<'a>(ctx: &'a Context<'_>, asks_all: bool) -> impl Iterator<Item = &'a Member> {
+    let keepers: Vec<_> = ctx.service.keepers.of(ctx.service.bucket(ctx.id)).collect();
     let is_keeper = move |member: &Member| keepers.contains(&&member.name);
-    site.view.others().filter(move |member| wide || is_keeper(member)).take(FANOUT)
+    ctx.view.others().filter(move |member| asks_all || is_keeper(member)).take(MAX_ASKED)
 }
 
-/// Reads a held packet again, under the view of now.
-fn with_site(view: &View, bytes: &[u8], act: impl FnOnce(&Packet<'_>, &Site<'_>)) {
+/// Parses a held packet again and calls `act` with it under the present view.
+fn with_context(view: &View, bytes: &[u8], act: impl FnOnce(&Packet<'_>, &Context<'_>)) {
     let Ok(packet) = Packet::parse(bytes) else { return };
     let key = packet.key();
     let Some((service, class)) = view.service_at(key.service, key.protocol) else { return };
     let id = view.hasher.id(&key);
-    act(&packet, &Site { view, service, class, id });
+    act(&packet, &Context { view, service, class, id });
 }
--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -1,12 +1,13 @@
-//! What this instance keeps for others, and what it may say of flows that it
+//! The state of this instance as a keeper, and its answers about flows that it
 //! does not know.
 //!
-//! "No exception" sends a flow to its bucket's present owner, so a keeper says
-//! it only when every live instance has told it everything up to the present
-//! stamp of the service. Otherwise a keeper that has just taken over the duty
-//! would deny flows it was not told of yet, and their feeds would break.
+//! The answer "no exception" sends a flow to its bucket's present owner. A
+//! keeper gives it only when every live instance has advertised everything up
+//! to the service's present stamp. Otherwise an instance that has just become a
+//! keeper would deny flows that it has received no advert of yet, and their
+//! feeds would break.
 
-use super::Site;
+use super::Context;
 use crate::{
     collections::{Map, Set},
     flows::Flows,
@@ -18,77 +19,85 @@
     view::{DETECTION_TIME, ServiceView, Stamp, View},
 };
 
-/// Up to which stamp an instance has told all, and in which of its incarnations.
+/// The stamp up to which an incarnation of an instance has advertised all its
+/// exceptions.
 #[derive(Debug, Clone, Copy)]
 struct Progress {
     incarnation: Incarnation,
     stamp: Stamp,
 }
 
-/// An instance that is gone, with what it told before.
+/// An instance that is gone, with the stamps up to which it had advertised.
 #[derive(Debug)]
-struct Gone {
+struct Departed {
     at: Millis,
     progress: Map<ServiceName, Stamp>,
 }
 
-/// The buckets of a service that had exceptions at the last look.
+/// The buckets of a service that had exceptions at the last scan.
 #[derive(Debug, Default)]
-struct Swept {
+struct ExceptionScan {
     revision: u64,
-    busy: Set<Bucket>,
+    buckets: Set<Bucket>,
 }
 
-impl Swept {
-    fn new(service: &ServiceView) -> Swept {
-        Swept { revision: service.revision, busy: Set::default() }
+impl ExceptionScan {
+    fn new(service: &ServiceView) -> ExceptionScan {
+        ExceptionScan { revision: service.revision, buckets: Set::default() }
     }
 }
 
-/// The buckets of a service of which a keeper said that none is left.
+/// The buckets of a service for which a keeper reported that no exception is
+/// left.
 #[derive(Debug, Default)]
 struct Cleared {
     revision: u64,
     buckets: Set<Bucket>,
 }
 
+/// The state of this instance as a keeper.
 #[derive(Debug, Default)]
-pub(super) struct Keeping {
+pub(super) struct KeeperState {
     progress: Map<ServiceName, Map<InstanceName, Progress>>,
+    /// The other instances of the present view.
     incarnations: Map<InstanceName, Incarnation>,
-    gone: Vec<Gone>,
-    missed: Map<InstanceName, Incarnation>,
+    departed: Vec<Departed>,
+    /// Departed instances that have not come back, with their incarnation.
+    absent: Map<InstanceName, Incarnation>,
     keepers: Map<ServiceName, Keepers>,
-    born: Option<Millis>,
-    swept: Map<ServiceName, Swept>,
+    started: Option<Millis>,
+    scans: Map<ServiceName, ExceptionScan>,
     cleared: Map<ServiceName, Cleared>,
 }
 
-impl Keeping {
-    /// Takes over who is there. What an instance told before it went still
-    /// counts: if that was all, its flows are known, else they are orphans for
-    /// as long as a flow may be silent.
+impl KeeperState {
+    /// Takes over the members of a view. What an instance advertised before it
+    /// went still counts: if that was everything, its flows are known;
+    /// otherwise they are orphans for as long as a flow may be silent.
     ///
-    /// Answers whether one has come back that was missed and had not ended: the
-    /// two were cut off from each other.
+    /// Returns whether an instance came back that was absent and had not
+    /// restarted: the two were cut off from each other.
     pub(super) fn update_members(&mut self, view: &View, now: Millis) -> bool {
-        self.born.get_or_insert(now);
+        self.started.get_or_insert(now);
         let incarnations: Map<_, _> =
             view.others().map(|member| (member.name.clone(), member.incarnation)).collect();
         for (name, incarnation) in &self.incarnations {
             if incarnations.get(name) != Some(incarnation) {
-                self.gone.push(Gone { at: now, progress: progress_of(&self.progress, name) });
-                self.missed.insert(name.clone(), *incarnation);
+                self.departed
+                    .push(Departed { at: now, progress: progress_of(&self.progress, name) });
+                self.absent.insert(name.clone(), *incarnation);
             }
         }
         let longest = view.bundle.services.iter().map(|s| s.keepalive).max();
-        self.gone.retain(|gone| now.since(gone.at) < longest.unwrap_or_default() + DETECTION_TIME);
-        self.forget_told(view);
+        self.departed.retain(|departed| {
+            now.since(departed.at) < longest.unwrap_or_default() + DETECTION_TIME
+        });
+        self.forget_changed_keepers(view);
         for progress in self.progress.values_mut() {
             progress.retain(|name, progress| incarnations.get(name) == Some(&progress.incarnation));
         }
         let mut healed = false;
-        self.missed.retain(|name, incarnation| {
+        self.absent.retain(|name, incarnation| {
             healed |= incarnations.get(name) == Some(incarnation);
             !incarnations.contains_key(name)
         });
@@ -96,39 +105,40 @@
         healed
     }
 
-    /// Forgets what was told of services whose keepers have changed. Who kept
-    /// other buckets of a service before has been told that all is told, but
-    /// not the exceptions of the buckets that it keeps now; it would deny them
-    /// until they come.
-    fn forget_told(&mut self, view: &View) {
+    /// Discards the progress and the scan of services whose keepers have
+    /// changed. An instance that kept other buckets of a service before has
+    /// received all adverts for those, but not for the buckets that it keeps
+    /// now, and would deny their exceptions until they arrive.
+    fn forget_changed_keepers(&mut self, view: &View) {
         for service in view.services.iter().filter(|service| service.may_have_exceptions()) {
             let name = &service.spec.name;
             if self.keepers.get(name) != Some(&service.keepers) {
                 self.keepers.insert(name.clone(), service.keepers.clone());
                 self.progress.remove(name);
-                self.swept.remove(name);
+                self.scans.remove(name);
             }
         }
     }
 
-    /// Notes that buckets have exceptions that came after the last look. Before
-    /// the next one these buckets would be called empty, and all who ask would
-    /// send their unknown flows to the present owner from then on.
-    pub(super) fn note(&mut self, view: &View, advert: &Advert) {
+    /// Records the buckets of exceptions that arrived after the last scan.
+    /// Otherwise these buckets would be reported as empty until the next scan,
+    /// and all who ask would send their unknown flows to the present owner from
+    /// then on.
+    pub(super) fn note_advert(&mut self, view: &View, advert: &Advert) {
         let Some(service) = view.service(&advert.service) else { return };
-        if let Some(swept) = self.swept.get_mut(&advert.service) {
-            swept.busy.extend(advert.flows.iter().map(|(id, _)| service.bucket(*id)));
+        if let Some(scan) = self.scans.get_mut(&advert.service) {
+            scan.buckets.extend(advert.flows.iter().map(|(id, _)| service.bucket(*id)));
         }
     }
 
-    /// Notes that a flow of this place is an exception, known here first.
-    pub(super) fn note_exception(&mut self, site: &Site<'_>) {
-        if let Some(swept) = self.swept.get_mut(&site.service.spec.name) {
-            swept.busy.insert(site.service.bucket(site.id));
+    /// Records the bucket of an exception that this instance found itself.
+    pub(super) fn note_exception(&mut self, ctx: &Context<'_>) {
+        if let Some(scan) = self.scans.get_mut(&ctx.service.spec.name) {
+            scan.buckets.insert(ctx.service.bucket(ctx.id));
         }
     }
 
-    /// Notes how far an instance has told all.
+    /// Records the stamp up to which an instance has advertised everything.
     pub(super) fn record_progress(&mut self, advert: &Advert) {
         let (Some(stamp), Some(&incarnation)) =
             (advert.advertised, self.incarnations.get(&advert.sender))
@@ -139,7 +149,7 @@
         service.insert(advert.sender.clone(), Progress { incarnation, stamp: Stamp(stamp) });
     }
 
-    /// What to answer to a question.
+    /// Answers a question about a flow.
     pub(super) fn look_up(
         &self,
         view: &View,
@@ -147,7 +157,8 @@
         q: &Question,
         now: Millis,
     ) -> LookupResult {
-        // A guess counts too: where it was wrong, the flow is broken already.
+        // A guessed target counts too: if it was wrong, the flow is broken
+        // already.
         if let Some(flow) = flows.get(q.flow) {
             return LookupResult::Known(view.registry.get(flow.target).key);
         }
@@ -163,7 +174,8 @@
         LookupResult::NoException { empty: self.is_empty(service, bucket, now) }
     }
 
-    /// Whether all have told their exceptions of what moved up to `stamp`.
+    /// Whether all instances have advertised their exceptions of the moves up
+    /// to `stamp`.
     fn is_complete(&self, service: &ServiceView, stamp: Stamp, now: Millis) -> bool {
         let name = &service.spec.name;
         let progress = self.progress.get(name);
@@ -172,32 +184,34 @@
                 .and_then(|progress| progress.get(name))
                 .is_some_and(|progress| progress.stamp >= stamp)
         });
-        let orphan = |gone: &Gone| {
-            now.since(gone.at) < service.spec.keepalive + DETECTION_TIME
-                && gone.progress.get(name).is_none_or(|progress| *progress < stamp)
+        let orphan = |departed: &Departed| {
+            now.since(departed.at) < service.spec.keepalive + DETECTION_TIME
+                && departed.progress.get(name).is_none_or(|progress| *progress < stamp)
         };
-        // One that went before this instance came could have told it nothing.
-        let is_young =
-            self.born.is_none_or(|born| now.since(born) < service.spec.keepalive + DETECTION_TIME);
-        by_all && !is_young && !self.gone.iter().any(orphan)
+        // An instance that went before this one started could not advertise to
+        // it.
+        let is_young = self
+            .started
+            .is_none_or(|started| now.since(started) < service.spec.keepalive + DETECTION_TIME);
+        by_all && !is_young && !self.departed.iter().any(orphan)
     }
 
     fn is_empty(&self, service: &ServiceView, bucket: Bucket, now: Millis) -> bool {
         let state = service.state(bucket);
-        let swept = self.swept.get(&service.spec.name);
+        let scan = self.scans.get(&service.spec.name);
         !state.is_settling(now)
-            && swept.is_some_and(|s| s.revision == service.revision && !s.busy.contains(&bucket))
+            && scan.is_some_and(|s| s.revision == service.revision && !s.buckets.contains(&bucket))
     }
 
-    /// Looks which buckets still have exceptions.
-    pub(super) fn sweep(&mut self, view: &View, flows: &Flows, now: Millis) {
-        self.swept = view
+    /// Determines which buckets still have exceptions.
+    pub(super) fn scan_exceptions(&mut self, view: &View, flows: &Flows, now: Millis) {
+        self.scans = view
             .services
             .iter()
-            .filter(|service| self.may_clear(service, now))
-            .map(|service| (service.spec.name.clone(), Swept::new(service)))
+            .filter(|service| self.can_scan(service, now))
+            .map(|service| (service.spec.name.clone(), ExceptionScan::new(service)))
             .collect();
-        if self.swept.is_empty() {
+        if self.scans.is_empty() {
             return;
         }
         let positions = view.service_positions();
@@ -206,35 +220,35 @@
             let service = &view.services[position];
             let bucket = service.bucket(id);
             if service.state(bucket).owner != Some(flow.target)
-                && let Some(swept) = self.swept.get_mut(&service.spec.name)
+                && let Some(scan) = self.scans.get_mut(&service.spec.name)
             {
-                swept.busy.insert(bucket);
+                scan.buckets.insert(bucket);
             }
         }
     }
 
-    fn may_clear(&self, service: &ServiceView, now: Millis) -> bool {
+    fn can_scan(&self, service: &ServiceView, now: Millis) -> bool {
         service.may_have_exceptions()
             && !service.is_pending()
             && self.is_complete(service, service.stamp, now)
     }
 
-    /// Notes that a keeper said that a bucket has no exceptions left.
-    pub(super) fn clear(&mut self, site: &Site<'_>) {
-        let service = site.service;
+    /// Records that a keeper reported the bucket as having no exceptions left.
+    pub(super) fn mark_clear(&mut self, ctx: &Context<'_>) {
+        let service = ctx.service;
         let cleared = self.cleared.entry(service.spec.name.clone()).or_default();
         if cleared.revision != service.revision {
             *cleared = Cleared { revision: service.revision, buckets: Set::default() };
         }
-        cleared.buckets.insert(service.bucket(site.id));
+        cleared.buckets.insert(service.bucket(ctx.id));
     }
 
-    /// Whether a bucket has no exceptions left since its last move.
-    pub(super) fn is_clear(&self, site: &Site<'_>) -> bool {
-        let service = site.service;
+    /// Whether the bucket has had no exceptions left since its last move.
+    pub(super) fn is_clear(&self, ctx: &Context<'_>) -> bool {
+        let service = ctx.service;
         self.cleared.get(&service.spec.name).is_some_and(|cleared| {
             cleared.revision == service.revision
-                && cleared.buckets.contains(&service.bucket(site.id))
+                && cleared.buckets.contains(&service.bucket(ctx.id))
         })
     }
 }
--- a/lib/src/forwarder/mod.rs
+++ b/lib/src/forwarder/mod.rs
@@ -1,17 +1,22 @@
 //! The packet path of one instance, without I/O or clock.
 //!
-//! [`Forwarder`] is given packets, peers' datagrams, views and ticks, and says
-//! through a [`Sink`] what to send. It holds to four rules, in this order:
+//! [`Forwarder`] is given packets, datagrams of peers, views and ticks, and
+//! writes its output to a [`Sink`]. An *exception* is a flow of a moved bucket
+//! that goes elsewhere than to the bucket's present owner. These rules apply in
+//! order:
 //!
-//! 1. A flow that is known here goes where it went before.
-//! 2. An unknown flow in a bucket with one owner goes to that owner.
-//! 3. An unknown flow in a bucket that has moved is asked of the instances
-//!    that may know it, while its packets are held for [`ASK_TIME`] at most.
-//! 4. In doubt, a packet in mid-flow goes to the earlier owner, because long
-//!    feeds are what is worth most, and an opening goes to the present one.
+//! 1. A flow that is known here goes to the same target as before.
+//! 2. An unknown flow in a bucket that has always had one owner goes to that
+//!    owner.
+//! 3. For an unknown flow in a bucket that has moved, the instances that may
+//!    know it are asked, while its packets are held for [`ASK_TIMEOUT`] at
+//!    most.
+//! 4. If nobody knows the flow, a packet in mid-flow goes to the earlier owner,
+//!    because long feeds are worth most, and an opening goes to the present
+//!    owner.
 //!
-//! A target is taken only if it belongs to the service that the packet is
-//! addressed to; that is checked where packets leave, for all rules.
+//! A target is used only if it belongs to the service that the packet is
+//! addressed to. This is checked where packets leave, for all rules.
 
 mod adverts;
 mod counters;
@@ -25,7 +30,7 @@
 pub use adverts::TokenBucket;
 pub use counters::Counters;
 pub use gate::{AdmitAll, Gate, Opening, Verdict};
-pub use held::ASK_TIME;
+pub use held::ASK_TIMEOUT;
 
 use crate::{
     bundle::Class,
@@ -39,52 +44,53 @@
 };
 use adverts::Adverts;
 use held::Held;
-use keeping::Keeping;
+use keeping::KeeperState;
 use std::{net::SocketAddrV4, sync::Arc};
 
-/// Where a forwarder's output goes.
+/// The output of a forwarder.
 pub trait Sink {
     /// Sends a caller's packet to a target.
     fn forward(&mut self, target: SocketAddrV4, packet: &[u8]);
-    /// Sends a packet made here to its caller, by the fabric.
+    /// Sends a packet made here to its caller, through the fabric.
     fn send_to_caller(&mut self, packet: Vec<u8>);
     /// Sends a datagram to a peer.
     fn send_to_peer(&mut self, peer: SocketAddrV4, datagram: Datagram);
-    /// Hands a message to the control thread, for the named keeper.
+    /// Passes an advert for `keeper` to the control thread.
     fn send_advert(&mut self, keeper: &InstanceName, advert: Advert);
 }
 
-/// How long a repeated SYN may follow the first. After that, a SYN on a known
-/// flow is a new connection of a caller that uses its port again, and must not
-/// reach a target that takes no new flows.
-const REPEAT_TIME: Millis = Millis::secs(10);
+/// Time after the first SYN in which another one counts as a retransmission.
+/// Later, a SYN on a known flow is a new connection of a caller that reuses its
+/// port, and must not reach a target that takes no new flows.
+const SYN_REPEAT_TIME: Millis = Millis::secs(10);
 
-/// How long the flow of a closed connection is remembered for late packets.
-const CLOSED_TIME: Millis = Millis::secs(60);
+/// Time that the flow of a closed connection is remembered for late packets.
+const CLOSED_FLOW_TIME: Millis = Millis::secs(60);
 
-/// How many keep-alives a flow may miss before it is forgotten.
+/// Number of keep-alives that a flow may miss before it is forgotten.
 const MISSED_KEEPALIVES: u64 = 4;
 
-/// How long after a start or a pause nothing in the own picture is trusted
-/// unasked. A move that the others have not carried out yet, [`PENDING_LIMIT`]
-/// at most, is in nobody's history until then; the heartbeat that shows the
-/// difference comes within a second more, and asking for it waits a second.
+/// Time after a start or a sleep during which peers are asked about every
+/// unknown flow. A move that the others have not carried out yet is in nobody's
+/// history, for [`PENDING_LIMIT`] at most. The heartbeat that shows the
+/// difference follows within a second, and the request for the history may wait
+/// another second.
 ///
 /// [`PENDING_LIMIT`]: crate::view::PENDING_LIMIT
 const DISTRUST_TIME: Millis = Millis::secs(6);
 
-/// What a SYN without data takes of the sequence space. One with data (TCP Fast
-/// Open) is dropped: a target may run it at once, and its repetition, while its
-/// bucket moves, may reach another target and run there too. The caller's TCP
-/// repeats the SYN without the data.
-const SYN_ALONE: u32 = 1;
+/// Length of a SYN without data in the sequence space. A SYN with data (TCP
+/// Fast Open) is dropped: a target may run it at once, and while its bucket
+/// moves its retransmission may reach another target and run there too. The
+/// caller's TCP retransmits the SYN without the data.
+const BARE_SYN_LENGTH: u32 = 1;
 
-/// How long a process that slept opens nothing: the time of one repetition of
-/// a caller's SYN; the bundle in force reaches it within milliseconds.
+/// Time during which a process that slept opens no flows: one retransmission of
+/// a caller's SYN. The bundle in force reaches the process within milliseconds.
 const WAKE_TIME: Millis = Millis::secs(1);
 
-/// How often flows that are over are looked for.
-const SWEEP_TIME: Millis = Millis::secs(5);
+/// Interval at which flows that have ended are removed.
+const SWEEP_INTERVAL: Millis = Millis::secs(5);
 
 /// The packet path of one instance.
 #[derive(Debug)]
@@ -92,66 +98,68 @@
     view: Option<Arc<View>>,
     flows: Flows,
     held: Held,
-    keeping: Keeping,
+    keeper: KeeperState,
     adverts: Adverts,
     gate: G,
     counters: Counters,
-    distrust: Option<Millis>,
-    woken: Option<Millis>,
-    sweep: Millis,
+    distrust_until: Option<Millis>,
+    no_openings_until: Option<Millis>,
+    /// Time of the last removal of ended flows.
+    swept: Millis,
     nonce: u32,
 }
 
 impl<G: Gate> Forwarder<G> {
-    /// Makes a forwarder without a view: it drops packets until it has one.
+    /// Creates a forwarder without a view. It drops packets until it has one.
     pub fn new(gate: G, capacity: usize) -> Forwarder<G> {
         Forwarder {
             view: None,
             flows: Flows::with_capacity(capacity),
             held: Held::default(),
-            keeping: Keeping::default(),
+            keeper: KeeperState::default(),
             adverts: Adverts::default(),
             gate,
             counters: Counters::default(),
-            distrust: None,
-            woken: None,
-            sweep: Millis(0),
+            distrust_until: None,
+            no_openings_until: None,
+            swept: Millis(0),
             nonce: 0,
         }
     }
 
-    /// What was counted so far.
+    /// The counters since the process started.
     pub fn counters(&self) -> &Counters {
         &self.counters
     }
 
-    /// The flows that are known here.
+    /// The flows known here.
     pub fn flows(&self) -> &Flows {
         &self.flows
     }
 
-    /// The view that packets are judged by.
+    /// The view by which packets are forwarded.
     pub fn view(&self) -> Option<&Arc<View>> {
         self.view.as_ref()
     }
 
-    /// The decisions on openings.
+    /// The admission control.
     pub fn gate_mut(&mut self) -> &mut G {
         &mut self.gate
     }
 
-    /// Whether the keepers were told all that they have to know of this
-    /// instance's flows, so that it may go.
+    /// Whether all exceptions of this instance are advertised to their keepers,
+    /// so that it may end.
     pub fn has_advertised_all(&self) -> bool {
         self.adverts.is_done()
     }
 
-    /// Takes the next view.
+    /// Installs the next view.
     pub fn install(&mut self, view: Arc<View>, now: Millis) {
-        // Until those who were cut off have told each other what moved
-        // meanwhile, either side's picture is old for the other's flows.
-        if self.keeping.update_members(&view, now) {
-            self.distrust = Some(now + DISTRUST_TIME);
+        // Until instances that were cut off have exchanged the moves made
+        // meanwhile, the view of either side is out of date for the other's
+        // flows.
+        if self.keeper.update_members(&view, now) {
+            self.distrust_until = Some(now + DISTRUST_TIME);
             self.counters.healed += 1;
         }
         self.adverts.queue_changed(&view, &self.flows);
@@ -159,25 +167,27 @@
         self.view = Some(view);
     }
 
-    /// Says that the picture may be old or has gaps: a bucket that looks settled
-    /// may have moved, and the first packets would break flows. So this asks
-    /// about every flow that it doesn't know until peers had time to correct it.
+    /// Declares the view possibly out of date or incomplete: a bucket that
+    /// looks settled may have moved, and packets sent by the view would break
+    /// flows. Peers are then asked about every unknown flow until they had time
+    /// to correct the view.
     pub fn distrust(&mut self, now: Millis) {
-        self.distrust = Some(now + DISTRUST_TIME);
+        self.distrust_until = Some(now + DISTRUST_TIME);
     }
 
-    /// Says that the process slept. Besides distrust, it opens nothing for
-    /// [`WAKE_TIME`]: the openings that wait in its socket are old, their
-    /// callers have long been served or have given up, and by the old picture
-    /// they would go to a target that has left since. A caller that still wants
-    /// to open repeats its SYN and finds another instance, or this one awake.
+    /// Handles a sleep of the process. In addition to [`Forwarder::distrust`],
+    /// no flows are opened for [`WAKE_TIME`]. The openings that wait in the
+    /// socket are old: their callers have been served elsewhere or have given
+    /// up, and by the old view they would go to a target that has left since. A
+    /// caller that still wants to open retransmits its SYN, which reaches
+    /// another instance or this one with a fresh view.
     pub fn wake(&mut self, now: Millis) {
         self.distrust(now);
-        self.woken = Some(now + WAKE_TIME);
+        self.no_openings_until = Some(now + WAKE_TIME);
         self.counters.slept += 1;
     }
 
-    /// Takes a datagram from the fabric.
+    /// Handles a packet from the fabric.
     pub fn handle_packet(&mut self, now: Millis, bytes: &[u8], sink: &mut impl Sink) {
         self.counters.packets += 1;
         match &Packet::parse(bytes) {
@@ -187,56 +197,58 @@
     }
 
     fn route(&mut self, now: Millis, packet: &Packet<'_>, sink: &mut impl Sink) {
-        // The view is lent and given back. A clone would cost an atomic
-        // operation, which waits for the memory of the packet before.
+        // The view is moved out and back. A clone would cost an atomic
+        // operation, which waits for the memory accesses of the previous
+        // packet.
         let Some(view) = self.view.take() else {
             self.counters.no_bundle += 1;
             return;
         };
-        self.route_by(&view, now, packet, sink);
+        self.route_with(&view, now, packet, sink);
         self.view = Some(view);
     }
 
-    fn route_by(&mut self, view: &View, now: Millis, packet: &Packet<'_>, sink: &mut impl Sink) {
+    fn route_with(&mut self, view: &View, now: Millis, packet: &Packet<'_>, sink: &mut impl Sink) {
         let key = packet.key();
         let Some((service, class)) = view.service_at(key.service, key.protocol) else {
             self.counters.no_service += 1;
             if packet.mark() == Mark::Open {
-                self.turn_away(packet, sink);
+                self.send_reset(packet, sink);
             }
             return;
         };
         let id = view.hasher.id(&key);
-        let site = Site { view, service, class, id };
-        if self.known(now, packet, &site, sink) || self.is_refusal(packet, &site, sink) {
+        let ctx = Context { view, service, class, id };
+        if self.send_known(now, packet, &ctx, sink) || self.continue_refusal(packet, &ctx, sink) {
             return;
         }
-        if packet.mark() == Mark::Open && packet.length() > SYN_ALONE {
+        if packet.mark() == Mark::Open && packet.length() > BARE_SYN_LENGTH {
             self.counters.syn_with_data += 1;
             return;
         }
-        if packet.mark() == Mark::Open && self.woken.is_some_and(|until| now < until) {
+        if packet.mark() == Mark::Open && self.no_openings_until.is_some_and(|until| now < until) {
             self.counters.after_sleep += 1;
             return;
         }
-        if self.must_ask(now, &site) {
-            self.hold(now, packet, &site, sink);
+        if self.should_ask(now, &ctx) {
+            self.hold_and_ask(now, packet, &ctx, sink);
         } else {
-            self.settle(now, packet, &site, sink);
+            self.send_to_owner(now, packet, &ctx, sink);
         }
     }
 
-    /// Rule 1: a known flow goes where it went before.
-    fn known(
+    /// Rule 1: sends a packet of a known flow to the flow's target. Returns
+    /// false if the flow is unknown.
+    fn send_known(
         &mut self,
         now: Millis,
         packet: &Packet<'_>,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) -> bool {
-        let Some(flow) = self.flows.get_mut(site.id) else { return false };
-        if packet.mark() == Mark::Open && is_over(flow, site, now) {
-            self.flows.remove(site.id);
+        let Some(flow) = self.flows.get_mut(ctx.id) else { return false };
+        if packet.mark() == Mark::Open && is_new_connection(flow, ctx, now) {
+            self.flows.remove(ctx.id);
             return false;
         }
         let idle = flow.idle(now);
@@ -246,48 +258,55 @@
             Mark::Open => {}
             Mark::Middle if flow.fresh => {
                 flow.fresh = false;
-                self.gate.on_second_packet(now, target, site.class, idle);
+                self.gate.on_second_packet(now, target, ctx.class, idle);
             }
             Mark::Middle => {}
             Mark::Close | Mark::Abort => {
                 let first = !std::mem::replace(&mut flow.closing, true);
                 if first {
                     let flow = *flow;
-                    self.end(now, packet.mark(), site.id, &flow);
+                    self.report_end(now, packet.mark(), ctx.id, &flow);
                 }
             }
         }
         self.counters.hits += 1;
-        self.send(packet.bytes(), target, site, sink);
+        self.send_to_target(packet.bytes(), target, ctx, sink);
         true
     }
 
-    /// Tells the gate that a flow is over. The end of a flow may pass another
-    /// instance than its opening, so the gate balances all openings and ends
-    /// that pass here, whose flows they may be.
-    fn end(&mut self, now: Millis, mark: Mark, id: FlowId, flow: &Flow) {
+    /// Reports the end of a flow to the gate. The end of a flow may pass
+    /// another instance than its opening, so the gate balances all openings and
+    /// ends that pass here, whichever flows they belong to.
+    fn report_end(&mut self, now: Millis, mark: Mark, id: FlowId, flow: &Flow) {
         if mark == Mark::Abort {
             self.gate.on_abort(now, flow.target);
         }
         self.gate.on_close(now, id, flow);
     }
 
-    /// Whether others may know more of an unknown flow than this instance.
-    fn must_ask(&mut self, now: Millis, site: &Site<'_>) -> bool {
-        if self.distrust.is_some_and(|until| now < until) {
+    /// Whether peers have to be asked about an unknown flow.
+    fn should_ask(&mut self, now: Millis, ctx: &Context<'_>) -> bool {
+        if self.distrust_until.is_some_and(|until| now < until) {
             return true;
         }
-        self.distrust = None;
-        let state = site.bucket();
-        state.may_have_exceptions() && !self.keeping.is_clear(site)
+        self.distrust_until = None;
+        let state = ctx.bucket();
+        state.may_have_exceptions() && !self.keeper.is_clear(ctx)
     }
 
-    /// The one way out. A packet for one service must never reach a target of
-    /// another: whatever led to the target, a wrong table, a peer's answer or
-    /// a clash of hashes, it is checked here once more and dropped.
-    fn send(&mut self, bytes: &[u8], target: TargetId, site: &Site<'_>, sink: &mut impl Sink) {
-        let entry = site.view.registry.get(target);
-        if entry.service != site.service.spec.name {
+    /// Sends a packet to a target; all packets to targets leave here. A packet
+    /// for one service must never reach a target of another. The target may
+    /// come from a wrong table, a peer's answer or a hash collision, so it is
+    /// checked once more, and the packet is dropped if it doesn't match.
+    fn send_to_target(
+        &mut self,
+        bytes: &[u8],
+        target: TargetId,
+        ctx: &Context<'_>,
+        sink: &mut impl Sink,
+    ) {
+        let entry = ctx.view.registry.get(target);
+        if entry.service != ctx.service.spec.name {
             self.counters.crossed += 1;
             return;
         }
@@ -295,46 +314,46 @@
         sink.forward(entry.address, bytes);
     }
 
-    /// Does what is due.
+    /// Performs the work that is due by `now`.
     pub fn tick(&mut self, now: Millis, sink: &mut impl Sink) {
-        self.expire_held(now, sink);
-        self.release(now, sink);
+        self.expire_lookups(now, sink);
+        self.release_waiting(now, sink);
         let Some(view) = self.view.clone() else { return };
         self.adverts.send(&view, &self.flows, now, sink);
-        if now.since(self.sweep) >= SWEEP_TIME {
-            self.sweep = now;
-            self.sweep(&view, now);
+        if now.since(self.swept) >= SWEEP_INTERVAL {
+            self.swept = now;
+            self.expire_flows(&view, now);
         }
     }
 
-    /// Forgets flows that are over, so that the table stays bounded.
-    fn sweep(&mut self, view: &View, now: Millis) {
+    /// Removes flows that have ended, so that the flow table stays bounded.
+    fn expire_flows(&mut self, view: &View, now: Millis) {
         let longest = view.bundle.services.iter().map(|s| s.keepalive.0).max().unwrap_or(0);
-        let silent = Millis(longest * MISSED_KEEPALIVES).max(CLOSED_TIME);
+        let silent = Millis(longest * MISSED_KEEPALIVES).max(CLOSED_FLOW_TIME);
         let over = self.flows.expire(|flow| {
-            let limit = if flow.closing { CLOSED_TIME } else { silent };
+            let limit = if flow.closing { CLOSED_FLOW_TIME } else { silent };
             flow.idle(now) > limit
         });
         self.counters.expired += over;
-        self.keeping.sweep(view, &self.flows, now);
+        self.keeper.scan_exceptions(view, &self.flows, now);
         self.adverts.refresh(view, &self.flows, now);
     }
 }
 
 /// Whether a SYN on a known flow opens another connection.
-fn is_over(flow: &Flow, site: &Site<'_>, now: Millis) -> bool {
-    flow.closing || flow.idle(now) > REPEAT_TIME && site.bucket().owner != Some(flow.target)
+fn is_new_connection(flow: &Flow, ctx: &Context<'_>, now: Millis) -> bool {
+    flow.closing || flow.idle(now) > SYN_REPEAT_TIME && ctx.bucket().owner != Some(flow.target)
 }
 
-/// Where a packet stands: its service and its flow.
-struct Site<'a> {
+/// A packet's service, class and flow under a view.
+struct Context<'a> {
     view: &'a View,
     service: &'a ServiceView,
     class: Class,
     id: FlowId,
 }
 
-impl Site<'_> {
+impl Context<'_> {
     fn bucket(&self) -> &BucketView {
         self.service.state(self.service.bucket(self.id))
     }
--- a/lib/src/forwarder/opening.rs
+++ b/lib/src/forwarder/opening.rs
@@ -1,7 +1,7 @@
-//! Unknown flows at their target: opened here, or taken over from another
-//! instance that opened them.
+//! Unknown flows: opened here, or adopted from another instance that opened
+//! them.
 
-use super::{Forwarder, Gate, Opening, Sink, Site, Verdict};
+use super::{Context, Forwarder, Gate, Opening, Sink, Verdict};
 use crate::{
     bundle::Protocol,
     flows::{Certainty, Flow},
@@ -11,30 +11,31 @@
 };
 
 impl<G: Gate> Forwarder<G> {
-    /// Rule 2, and the end of rules 3 and 4: the flow goes to the owner.
-    pub(super) fn settle(
+    /// Rule 2, and the end of rules 3 and 4: sends the flow to the bucket's
+    /// owner.
+    pub(super) fn send_to_owner(
         &mut self,
         now: Millis,
         packet: &Packet<'_>,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) {
         self.counters.misses += 1;
-        let Some(owner) = site.bucket().owner else {
+        let Some(owner) = ctx.bucket().owner else {
             self.counters.no_target += 1;
-            self.turn_away(packet, sink);
+            self.send_reset(packet, sink);
             return;
         };
         match packet.mark() {
-            Mark::Open => self.open(now, packet, owner, site, sink),
+            Mark::Open => self.open(now, packet, owner, ctx, sink),
             Mark::Middle if packet.key().protocol == Protocol::Udp => {
-                self.open(now, packet, owner, site, sink);
+                self.open(now, packet, owner, ctx, sink);
             }
-            Mark::Middle => self.adopt(now, packet, owner, Certainty::Observed, site, sink),
+            Mark::Middle => self.adopt(now, packet, owner, Certainty::Observed, ctx, sink),
             Mark::Close | Mark::Abort => {
-                let flow = Flow::new(owner, Certainty::Observed, site.class, now);
-                self.end(now, packet.mark(), site.id, &flow);
-                self.send(packet.bytes(), owner, site, sink);
+                let flow = Flow::new(owner, Certainty::Observed, ctx.class, now);
+                self.report_end(now, packet.mark(), ctx.id, &flow);
+                self.send_to_target(packet.bytes(), owner, ctx, sink);
             }
         }
     }
@@ -44,19 +45,19 @@
         now: Millis,
         packet: &Packet<'_>,
         owner: TargetId,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) {
         let caller = *packet.key().caller.ip();
-        let opening = Opening { flow: site.id, caller, class: site.class, target: owner };
+        let opening = Opening { flow: ctx.id, caller, class: ctx.class, target: owner };
         match self.gate.open(now, &opening) {
-            Verdict::Admit => self.admit(now, packet, owner, site, sink),
+            Verdict::Admit => self.admit(now, packet, owner, ctx, sink),
             Verdict::Wait => {
-                if !self.held.wait(site.id, packet.bytes()) {
-                    self.refuse(packet, site, sink);
+                if !self.held.add_waiting(ctx.id, packet.bytes()) {
+                    self.refuse(packet, ctx, sink);
                 }
             }
-            Verdict::Refuse { .. } => self.refuse(packet, site, sink),
+            Verdict::Refuse { .. } => self.refuse(packet, ctx, sink),
         }
     }
 
@@ -65,33 +66,33 @@
         now: Millis,
         packet: &Packet<'_>,
         owner: TargetId,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) {
         self.counters.opened += 1;
-        self.flows.record(site.id, Flow::admitted(owner, site.class, now));
-        if site.view.leaving {
-            self.adverts.exception(site.view, site.id, owner);
+        self.flows.record(ctx.id, Flow::admitted(owner, ctx.class, now));
+        if ctx.view.leaving {
+            self.adverts.push_exception(ctx.view, ctx.id, owner);
         }
-        self.send(packet.bytes(), owner, site, sink);
+        self.send_to_target(packet.bytes(), owner, ctx, sink);
     }
 
-    /// Notes a flow that another instance opened and sends its packet on.
+    /// Records a flow that another instance opened, and sends its packet on.
     pub(super) fn adopt(
         &mut self,
         now: Millis,
         packet: &Packet<'_>,
         target: TargetId,
         certainty: Certainty,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) {
-        let mut flow = Flow::new(target, certainty, site.class, now);
+        let mut flow = Flow::new(target, certainty, ctx.class, now);
         flow.closing = matches!(packet.mark(), Mark::Close | Mark::Abort);
-        if site.bucket().owner != Some(target) {
-            self.keeping.note_exception(site);
+        if ctx.bucket().owner != Some(target) {
+            self.keeper.note_exception(ctx);
         }
-        self.flows.record(site.id, flow);
-        self.send(packet.bytes(), target, site, sink);
+        self.flows.record(ctx.id, flow);
+        self.send_to_target(packet.bytes(), target, ctx, sink);
     }
 }
--- a/lib/src/forwarder/peers.rs
+++ b/lib/src/forwarder/peers.rs
@@ -1,4 +1,4 @@
-//! What peers ask and tell.
+//! Questions, answers and adverts of peers.
 
 use super::{Forwarder, Gate, Sink};
 use crate::{
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 
 impl<G: Gate> Forwarder<G> {
-    /// Takes a datagram from a peer.
+    /// Handles a datagram from a peer.
     pub fn handle_datagram(
         &mut self,
         now: Millis,
@@ -20,28 +20,35 @@
         sink: &mut impl Sink,
     ) {
         match datagram {
-            Datagram::Question(question) => self.reply(now, from, question, sink),
-            Datagram::Answer(answer) => self.answered(now, answer, sink),
+            Datagram::Question(question) => self.answer_question(now, from, question, sink),
+            Datagram::Answer(answer) => self.handle_answer(now, answer, sink),
         }
     }
 
-    /// Counts a datagram that is none of a peer's.
+    /// Counts a datagram that could not be decoded.
     pub fn count_refused_datagram(&mut self, error: QuestionError) {
         self.counters.refused_datagrams[error as usize] += 1;
     }
 
-    fn reply(&mut self, now: Millis, from: SocketAddrV4, q: Question, sink: &mut impl Sink) {
+    fn answer_question(
+        &mut self,
+        now: Millis,
+        from: SocketAddrV4,
+        q: Question,
+        sink: &mut impl Sink,
+    ) {
         self.counters.questions += 1;
-        // Silence would make the asker wait for its time limit.
+        // Without an answer, the peer would wait until its timeout.
         let result = match &self.view {
-            Some(view) => self.keeping.look_up(view, &self.flows, &q, now),
+            Some(view) => self.keeper.look_up(view, &self.flows, &q, now),
             None => LookupResult::Unknown,
         };
         let answer = Answer { flow: q.flow, nonce: q.nonce, result };
         sink.send_to_peer(from, Datagram::Answer(answer));
     }
 
-    /// Takes a peer's advert: this instance keeps these flows.
+    /// Records the flows of a peer's advert; this instance is one of their
+    /// keepers.
     pub fn handle_advert(&mut self, now: Millis, advert: &Advert) {
         let Some(view) = &self.view else { return };
         self.counters.adverts += 1;
@@ -51,7 +58,7 @@
                 self.flows.record(*id, Flow::new(target, Certainty::Advertised, Class::Feed, now));
             }
         }
-        self.keeping.note(view, advert);
-        self.keeping.record_progress(advert);
+        self.keeper.note_advert(view, advert);
+        self.keeper.record_progress(advert);
     }
 }
--- a/lib/src/forwarder/refusal.rs
+++ b/lib/src/forwarder/refusal.rs
@@ -1,61 +1,64 @@
-//! Turning a caller away, at once and without state.
+//! Stateless refusal of a caller.
 //!
-//! A refused flow has sent no packet to any target from here. A reset answers
-//! the SYN. Where the bundle signs off a text, the instance completes the
-//! handshake itself: its sequence number is a keyed hash of the flow, so that
-//! any instance recognises the caller's next packet without having seen the
-//! first. A target never acknowledges that number, so what the caller sends on
-//! such a connection can't be run by one. See `docs/design/refusals.md`.
+//! No packet of a refused flow is sent to a target from here. By default the
+//! SYN is answered with a reset. If the bundle gives the service a refusal
+//! text, the instance completes the handshake itself and answers the caller's
+//! next packet with the text. The sequence number that it chooses is a keyed
+//! hash of the flow, so any instance recognizes that next packet without having
+//! seen the first. A target never acknowledges that number, so no target runs
+//! what the caller sends on such a connection. See `docs/design/refusals.md`.
 
-use super::{Forwarder, Gate, Sink, Site};
+use super::{Context, Forwarder, Gate, Sink};
 use crate::{
     ids::FlowId,
     packet::{Mark, Packet, acknowledge, answer, reset, syn_ack},
 };
 
-/// The place in the text for the seconds to wait.
-const PLACE: &str = "{seconds}";
+/// Placeholder in the refusal text for the number of seconds to wait.
+const SECONDS_PLACEHOLDER: &str = "{seconds}";
 
-/// The longest wait that fits the place: it is always three digits wide, so
-/// that a repeated answer takes the same numbers as the first.
-const LONGEST: u64 = 999;
+/// Maximum wait, in seconds. The number always has three digits, so that a
+/// retransmitted answer takes the same sequence numbers as the first.
+const MAX_SECONDS: u64 = 999;
 
 impl<G: Gate> Forwarder<G> {
-    /// Refuses an opening. When to come back is said in the words, which follow
-    /// on the caller's next packet.
-    pub(super) fn refuse(&mut self, packet: &Packet<'_>, site: &Site<'_>, sink: &mut impl Sink) {
-        if site.service.spec.refusal.is_none() {
-            self.turn_away(packet, sink);
+    /// Refuses an opening. If the service has a refusal text, the SYN is
+    /// acknowledged, and the text with the time to wait follows on the caller's
+    /// next packet.
+    pub(super) fn refuse(&mut self, packet: &Packet<'_>, ctx: &Context<'_>, sink: &mut impl Sink) {
+        if ctx.service.spec.refusal.is_none() {
+            self.send_reset(packet, sink);
             return;
         }
         self.counters.refused += 1;
-        if let Some(bytes) = syn_ack(packet, cookie(site)) {
+        if let Some(bytes) = syn_ack(packet, cookie(ctx)) {
             sink.send_to_caller(bytes);
         }
     }
 
-    /// Refuses without words.
-    pub(super) fn turn_away(&mut self, packet: &Packet<'_>, sink: &mut impl Sink) {
+    /// Refuses an opening with a reset.
+    pub(super) fn send_reset(&mut self, packet: &Packet<'_>, sink: &mut impl Sink) {
         self.counters.refused += 1;
         if let Some(bytes) = reset(packet) {
             sink.send_to_caller(bytes);
         }
     }
 
-    /// Goes on with a refusal in words, if the packet belongs to one.
-    pub(super) fn is_refusal(
+    /// Continues a refusal with a text. Returns whether the packet belongs to
+    /// one.
+    pub(super) fn continue_refusal(
         &mut self,
         packet: &Packet<'_>,
-        site: &Site<'_>,
+        ctx: &Context<'_>,
         sink: &mut impl Sink,
     ) -> bool {
-        let Some(text) = &site.service.spec.refusal else { return false };
+        let Some(text) = &ctx.service.spec.refusal else { return false };
         if packet.mark() == Mark::Open {
             return false;
         }
         let Some((_, acknowledged)) = packet.numbers() else { return false };
-        let first = cookie(site).wrapping_add(1);
-        let words = self.words(text, site);
+        let first = cookie(ctx).wrapping_add(1);
+        let words = self.refusal_text(text, ctx);
         let last = first.wrapping_add(words.len() as u32 + 1);
         if acknowledged == first && packet.mark() != Mark::Abort {
             if let Some(bytes) = answer(packet, &words) {
@@ -74,16 +77,17 @@
         is_over
     }
 
-    fn words(&self, text: &str, site: &Site<'_>) -> Vec<u8> {
-        let after = self.gate.retry_after(site.id, site.bucket().owner);
-        let seconds = after.0.div_ceil(1000).clamp(1, LONGEST);
-        text.replace(PLACE, &format!("{seconds:03}")).into_bytes()
+    fn refusal_text(&self, text: &str, ctx: &Context<'_>) -> Vec<u8> {
+        let after = self.gate.retry_after(ctx.id, ctx.bucket().owner);
+        let seconds = after.0.div_ceil(1000).clamp(1, MAX_SECONDS);
+        text.replace(SECONDS_PLACEHOLDER, &format!("{seconds:03}")).into_bytes()
     }
 }
 
-fn cookie(site: &Site<'_>) -> u32 {
-    // The flow's id is a keyed hash; another fold of it is as hard to guess.
-    let FlowId(id) = site.id;
+fn cookie(ctx: &Context<'_>) -> u32 {
+    // The flow id is a keyed hash already; mixing it again keeps it as hard to
+    // guess.
+    let FlowId(id) = ctx.id;
     let mixed = (id ^ id >> 29).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     (mixed >> 32) as u32
 }
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -2,7 +2,7 @@
 
 use medlarspur_lib::{
     bundle::Protocol,
-    forwarder::{ASK_TIME, Sink},
+    forwarder::{ASK_TIMEOUT, Sink},
     ids::{InstanceName, ServiceName, TargetName},
     message::Advert,
     packet::FlowKey,
@@ -64,7 +64,7 @@
     forwarder.handle_datagram(now, FEEDS, Datagram::Answer(answer), &mut sent);
     forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
     let before = std::mem::take(&mut sent.packets);
-    forwarder.tick(now + ASK_TIME, &mut sent);
+    forwarder.tick(now + ASK_TIMEOUT, &mut sent);
 
     assert_eq!(before, []);
     assert_eq!(forwarder.counters().crossed, 1);
