--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -1,4 +1,5 @@
-//! Heartbeats: when they go, what they carry and what is learned from them.
+//! Heartbeats: their schedule, their content and the handling of those
+//! received.
 
 use super::{Action, Controller};
 use crate::{
@@ -11,41 +12,42 @@
 };
 use std::net::SocketAddrV4;
 
-/// How often each neighbour gets a heartbeat.
+/// Interval of the heartbeats to each neighbour.
 pub const HEARTBEAT_INTERVAL: Millis = Millis(1_000);
-/// How often one who is not a neighbour is asked: a seed, one of the
-/// platform's list or a dead one. It is how the sides of a healed partition
-/// find each other, and costs about a hundred bytes a second.
-const PROBE: Millis = Millis(1_000);
-/// How many of those are asked at once while nobody else is known.
+/// Interval of probes to instances that are not neighbours: seeds, entries of
+/// the platform's list and dead members. Through these probes the sides of a
+/// healed partition find each other. They cost about a hundred bytes a second.
+const PROBE_INTERVAL: Millis = Millis(1_000);
+/// Number of such probes sent at once while no neighbour is known.
 const START_PROBES: usize = 3;
 
-/// The schedule of heartbeats and what the peers said last.
+/// The schedule of heartbeats, and the bundles that peers claimed to have.
 #[derive(Debug)]
-pub(super) struct Beat {
+pub(super) struct Heartbeats {
     next: Option<Millis>,
     probe: Option<Millis>,
-    /// Shifts the schedule, so that instances started together don't send
-    /// all at one moment.
+    /// Offset of the schedule, so that instances started together don't all
+    /// send at the same moment.
     phase: u64,
     turn: u64,
-    /// Kept until this instance is ready.
+    /// The bundle that each peer claimed to have; kept until this instance is
+    /// ready.
     claims: Map<InstanceName, (Version, Digest)>,
 }
 
-impl Beat {
-    pub(super) fn new(me: &InstanceName) -> Beat {
+impl Heartbeats {
+    pub(super) fn new(me: &InstanceName) -> Heartbeats {
         let phase = rank("phase", me.as_str()) % HEARTBEAT_INTERVAL.0;
-        Beat { next: None, probe: None, phase, turn: phase, claims: Map::default() }
+        Heartbeats { next: None, probe: None, phase, turn: phase, claims: Map::default() }
     }
 
-    /// After a sleep all are asked at once.
+    /// Makes all heartbeats due at once, after a sleep.
     pub(super) fn wake(&mut self) {
         self.next = None;
         self.probe = None;
     }
 
-    /// What peers said while this instance started.
+    /// The bundles that peers claimed to have while this instance started.
     pub(super) fn claims(&self) -> impl Iterator<Item = (Version, Digest)> {
         self.claims.values().copied()
     }
@@ -54,7 +56,7 @@
         self.claims = Map::default();
     }
 
-    fn due(&mut self, now: Millis) -> bool {
+    fn take_due(&mut self, now: Millis) -> bool {
         let due = self.next.is_none_or(|t| now >= t);
         if due {
             let first = if self.next.is_none() { self.phase } else { HEARTBEAT_INTERVAL.0 };
@@ -63,53 +65,53 @@
         due
     }
 
-    fn probe_due(&mut self, now: Millis) -> bool {
+    fn take_probe_due(&mut self, now: Millis) -> bool {
         let due = self.probe.is_none_or(|t| now >= t);
         if due {
-            self.probe = Some(now + PROBE);
+            self.probe = Some(now + PROBE_INTERVAL);
         }
         due
     }
 }
 
 impl<C: Check> Controller<C> {
-    pub(super) fn beat(&mut self, now: Millis) {
-        if self.beat.due(now) {
+    pub(super) fn send_heartbeats(&mut self, now: Millis) {
+        if self.heartbeats.take_due(now) {
             for name in self.roster.neighbours().to_vec() {
                 self.roster.record_probe(now, &name);
                 self.probe(&name);
             }
         }
-        if self.beat.probe_due(now) {
-            self.seek();
+        if self.heartbeats.take_probe_due(now) {
+            self.probe_uncontacted();
         }
     }
 
     fn probe(&mut self, name: &InstanceName) {
         let Some(to) = self.roster.get(name).map(|m| m.addresses.control) else { return };
-        let beat = self.make_beat(Some(name), true);
-        self.send(to, beat);
+        let heartbeat = self.make_heartbeat(Some(name), true);
+        self.send(to, heartbeat);
     }
 
-    /// Asks some of those with whom there is no contact, in turn.
-    fn seek(&mut self) {
+    /// Probes addresses without contact, in turn.
+    fn probe_uncontacted(&mut self) {
         let unknown =
             self.seeds.iter().copied().filter(|addr| !self.roster.is_known_address(*addr));
-        let mut lost: Vec<SocketAddrV4> = unknown.collect();
-        lost.extend(self.roster.uncontacted(&self.candidates).map(|c| c.control));
-        lost.extend(self.roster.dead_addresses());
-        lost.sort_unstable();
-        lost.dedup();
+        let mut addresses: Vec<SocketAddrV4> = unknown.collect();
+        addresses.extend(self.roster.uncontacted(&self.candidates).map(|c| c.control));
+        addresses.extend(self.roster.dead_addresses());
+        addresses.sort_unstable();
+        addresses.dedup();
         let n = if self.roster.neighbours().is_empty() { START_PROBES } else { 1 };
-        for _ in 0..n.min(lost.len()) {
-            self.beat.turn = self.beat.turn.wrapping_add(1);
-            let to = lost[(self.beat.turn % lost.len() as u64) as usize];
-            let beat = self.make_beat(None, true);
-            self.send(to, beat);
+        for _ in 0..n.min(addresses.len()) {
+            self.heartbeats.turn = self.heartbeats.turn.wrapping_add(1);
+            let to = addresses[(self.heartbeats.turn % addresses.len() as u64) as usize];
+            let heartbeat = self.make_heartbeat(None, true);
+            self.send(to, heartbeat);
         }
     }
 
-    fn make_beat(&mut self, to: Option<&InstanceName>, probe: bool) -> Message {
+    fn make_heartbeat(&mut self, to: Option<&InstanceName>, probe: bool) -> Message {
         Message::Heartbeat(Box::new(Heartbeat {
             sender: self.roster.me().clone(),
             probe,
@@ -121,64 +123,64 @@
         }))
     }
 
-    /// Says at once what changed, in place of waiting for the next heartbeat.
-    pub(super) fn tell_neighbours(&mut self) {
+    /// Sends changes at once instead of with the next heartbeat.
+    pub(super) fn notify_neighbours(&mut self) {
         for name in self.roster.neighbours().to_vec() {
             let Some(to) = self.roster.get(&name).map(|m| m.addresses.control) else { continue };
-            let beat = self.make_beat(Some(&name), false);
-            self.send(to, beat);
+            let heartbeat = self.make_heartbeat(Some(&name), false);
+            self.send(to, heartbeat);
         }
     }
 
-    pub(super) fn heartbeat(&mut self, now: Millis, beat: &Heartbeat) {
-        let sender = &beat.sender;
+    pub(super) fn handle_heartbeat(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        let sender = &heartbeat.sender;
         if sender.name == self.roster.me().name {
-            // Another life of this name: its incarnation orders the two.
+            // Another process uses this name; the incarnation orders the two.
             self.roster.merge(now, sender);
             return;
         }
-        self.start.peer();
-        self.learn_all(now, beat);
+        self.start.note_peer();
+        self.merge_members(now, heartbeat);
         let to = sender.addresses.control;
-        self.note_heard(now, &sender.name, beat.members, to);
-        self.hear_bundle(now, sender, beat.digest);
-        self.ask_plans(now, beat.plans, to);
-        if beat.history != self.history {
+        self.record_contact(now, &sender.name, heartbeat.members, to);
+        self.handle_claim(now, sender, heartbeat.digest);
+        self.request_plans(now, heartbeat.plans, to);
+        if heartbeat.history != self.history {
             self.actions.push(Action::HistoryDiffers(to));
         }
-        if beat.probe {
-            let answer = self.make_beat(Some(&sender.name), false);
+        if heartbeat.probe {
+            let answer = self.make_heartbeat(Some(&sender.name), false);
             self.send(to, answer);
         }
     }
 
-    fn learn_all(&mut self, now: Millis, beat: &Heartbeat) {
-        self.roster.merge(now, &beat.sender);
-        for rumour in &beat.rumours {
+    fn merge_members(&mut self, now: Millis, heartbeat: &Heartbeat) {
+        self.roster.merge(now, &heartbeat.sender);
+        for rumour in &heartbeat.rumours {
             self.roster.merge(now, rumour);
         }
     }
 
-    fn note_heard(&mut self, now: Millis, name: &InstanceName, digest: u64, to: SocketAddrV4) {
+    fn record_contact(&mut self, now: Millis, name: &InstanceName, digest: u64, to: SocketAddrV4) {
         let differs = self.roster.record_contact(now, name, digest);
-        // One that starts knows nobody and need not wait for rumours.
+        // A starting instance knows nobody and doesn't wait for rumours.
         if differs || !self.is_ready() {
-            self.ask_members(now, digest, to);
+            self.request_members(now, digest, to);
         }
         let near = self.roster.neighbours().contains(name);
-        if self.may_be_stale() && near && !self.heard.contains(name) {
-            self.heard.push(name.clone());
+        if self.may_be_stale() && near && !self.contacted.contains(name) {
+            self.contacted.push(name.clone());
         }
     }
 
-    fn hear_bundle(&mut self, now: Millis, sender: &Member, digest: Digest) {
+    fn handle_claim(&mut self, now: Millis, sender: &Member, digest: Digest) {
         let order = (sender.version, digest);
         if !self.is_ready() {
-            self.beat.claims.insert(sender.name.clone(), order);
+            self.heartbeats.claims.insert(sender.name.clone(), order);
         }
         let to = sender.addresses.control;
         if self.spread.handle_claim(now, order, to) {
-            let request = self.spread.bundle_request(self.addr());
+            let request = self.spread.bundle_request(self.address());
             self.send(to, request);
         }
     }
@@ -187,18 +189,18 @@
         self.roster.set_leaving();
         let me = self.roster.me();
         let leave = Leave { sender: me.name.clone(), incarnation: me.incarnation };
-        for to in self.neighbour_addrs() {
+        for to in self.neighbour_addresses() {
             self.send(to, Message::Leave(leave.clone()));
         }
     }
 
-    pub(super) fn hear_leave(&mut self, now: Millis, leave: &Leave) {
+    pub(super) fn handle_leave(&mut self, now: Millis, leave: &Leave) {
         let Some(member) = self.roster.get(&leave.sender) else { return };
-        let news = Member {
+        let update = Member {
             state: MemberState::Leaving,
             incarnation: leave.incarnation,
             ..member.clone()
         };
-        self.roster.merge(now, &news);
+        self.roster.merge(now, &update);
     }
 }
--- a/lib/src/control/event.rs
+++ b/lib/src/control/event.rs
@@ -1,4 +1,4 @@
-//! What goes into a controller and what comes out.
+//! The input and the output of a controller.
 
 use crate::{
     ids::ServiceName,
@@ -10,71 +10,74 @@
 };
 use std::{net::SocketAddrV4, sync::Arc};
 
-/// What happens to an instance.
+/// An input of the controller.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// Time passes; expected every [`super::TICK`].
+    /// Time has passed; expected every [`super::TICK`].
     Tick,
-    /// The platform answered with this bundle.
+    /// The platform returned this bundle.
     PlatformBundle(Arc<str>),
-    /// The platform answered with this list of instances.
+    /// The platform returned this list of instances.
     PlatformList(Vec<Candidate>),
     /// A peer sent a message.
     Peer(Message),
-    /// This instance was told to leave.
+    /// This instance leaves.
     SetLeaving,
-    /// What the packet side has told keepers and knows of history.
+    /// The progress of the forwarder has changed.
     SetProgress {
-        /// The table epoch up to which keepers were told all.
+        /// The stamp up to which all exceptions are advertised to keepers.
         advertised: u64,
-        /// The digest over the bucket history.
+        /// A digest over the bucket history.
         history: u64,
     },
-    /// The planner wants these buckets of the service moved. Dropped without
-    /// harm where another instance plans for the service.
+    /// The planner wants these buckets of the service moved. Ignored if another
+    /// instance plans for the service.
     Propose {
         /// The service of the buckets.
         service: ServiceName,
-        /// All its moved buckets, not only the new ones.
+        /// All moved buckets of the service, not only the new ones.
         moves: Moves,
     },
 }
 
-/// What an instance has to do.
+/// An output of the controller, to be carried out.
 #[derive(Debug)]
 pub enum Action {
     /// Send a message. It may be lost.
     Send {
         /// The control address of the receiver.
         to: SocketAddrV4,
-        /// What to send.
+        /// The message to send.
         message: Message,
     },
     /// A bundle came into force.
     Accepted(Arc<SignedText>),
     /// A bundle was refused; the one in force stays.
     Refused {
-        /// Why.
+        /// The reason.
         reason: Refusal,
     },
-    /// The members changed; these are all that are known, this one first.
+    /// The members have changed; the list is complete and begins with this
+    /// instance.
     Members(Vec<Member>),
-    /// A plan came to be followed.
+    /// A plan is to be followed from now on.
     Plan(ServicePlan),
-    /// Whether to hold the platform's watch.
+    /// Whether to watch the platform.
     ReadPlatform(bool),
-    /// The instance may serve. Said once.
+    /// The instance may serve. Emitted once.
     Ready,
-    /// This process slept: liveness, plan and load may be old. Keep forwarding
-    /// what is known and take no new duty until [`Action::Refreshed`].
+    /// This process slept: liveness, plans and load may be out of date. Known
+    /// flows are still forwarded, but no new duty is taken until
+    /// [`Action::Refreshed`].
     Slept {
-        /// For how long.
+        /// The duration of the sleep.
         gap: Millis,
     },
-    /// The view is fresh again after a sleep.
+    /// The view is up to date again after a sleep.
     Refreshed,
-    /// A message for the packet side.
+    /// Pass a message to the forwarder.
     ToForwarder(Message),
-    /// A peer's history differs; it can be asked at this address.
+    /// A peer has another bucket history, which can be requested at this
+    /// address.
     HistoryDiffers(SocketAddrV4),
 }
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -1,10 +1,10 @@
-//! One instance's part in the fleet: members, bundle and plans joined into
-//! one state machine without I/O.
+//! The control state machine of one instance. It joins members, bundle and
+//! plans, without I/O.
 //!
-//! The control thread feeds it events and carries out its actions. Messages
-//! may be lost, doubled and overtaken: everything is said again by the
-//! heartbeats, so no action has to succeed. See `docs/design/members.md`,
-//! `docs/design/bundle-spread.md` and `docs/design/plan.md`.
+//! The control thread feeds it events and carries out its actions. Messages may
+//! be lost, duplicated and reordered. Heartbeats repeat all state, so no action
+//! has to succeed. See `docs/design/members.md`, `docs/design/bundle-spread.md`
+//! and `docs/design/plan.md`.
 
 mod beat;
 mod compare;
@@ -17,7 +17,7 @@
     start::{READY_TIMEOUT, START_WAIT},
 };
 
-use self::{beat::Beat, compare::Compare, start::Start};
+use self::{beat::Heartbeats, compare::AntiEntropy, start::Startup};
 use crate::{
     ids::{InstanceName, ServiceName},
     members::{Candidate, Member, Roster},
@@ -28,78 +28,80 @@
 };
 use std::{net::SocketAddrV4, sync::Arc};
 
-/// How often [`Event::Tick`] is expected.
+/// Interval at which [`Event::Tick`] is expected.
 pub const TICK: Millis = Millis(100);
-/// A gap between ticks that means that the process slept. A busy machine
-/// delays a tick by less; a longer gap makes others suspect this instance.
+/// Gap between two ticks from which on the process counts as having slept. Load
+/// on the machine delays a tick by less; after a longer gap other instances
+/// suspect this one.
 pub const SLEEP_GAP: Millis = Millis(2_000);
-/// How long an instance that slept distrusts its view, unless it hears from
-/// most of its neighbours before.
+/// Time after a sleep for which the view counts as stale, unless most
+/// neighbours have sent a heartbeat before.
 pub const STALE_TIME: Millis = Millis(5_000);
 
-/// What a controller has to know from the settings.
+/// The settings of a controller.
 #[derive(Debug, Clone)]
 pub struct ControlSettings {
-    /// This instance, with an incarnation later than any before: the wall
-    /// clock at the start will do, since a wrong one is corrected by refuting.
+    /// This instance. Its incarnation has to be higher than any before. The
+    /// wall clock at the start will do, since a wrong one is corrected by
+    /// refutation.
     pub me: Member,
-    /// Control addresses to ask when nobody else is known.
+    /// Control addresses to probe while no other instance is known.
     pub seeds: Vec<SocketAddrV4>,
 }
 
-/// The state machine of one instance.
+/// The control state machine of one instance.
 #[derive(Debug)]
 pub struct Controller<C> {
     roster: Roster,
     spread: Spread<C>,
     plans: Plans,
-    beat: Beat,
-    start: Start,
+    heartbeats: Heartbeats,
+    start: Startup,
     seeds: Vec<SocketAddrV4>,
     candidates: Vec<Candidate>,
     history: u64,
     /// Whether this instance is among the readers of the platform.
     reader: bool,
-    /// What it was told last to do about that.
+    /// The value of the last [`Action::ReadPlatform`].
     reading: bool,
-    ticked: Option<Millis>,
-    /// Until when the own view is distrusted after a sleep.
-    distrust: Option<Millis>,
-    /// Neighbours heard since the sleep.
-    heard: Vec<InstanceName>,
-    compare: Compare,
+    last_tick: Option<Millis>,
+    /// End of the time after a sleep for which the view counts as stale.
+    stale_until: Option<Millis>,
+    /// Neighbours that have sent a heartbeat since the sleep.
+    contacted: Vec<InstanceName>,
+    anti_entropy: AntiEntropy,
     actions: Vec<Action>,
 }
 
 impl<C: Check> Controller<C> {
-    /// Starts with nobody known and no bundle.
+    /// Creates a controller that knows no other instance and has no bundle.
     pub fn new(settings: ControlSettings, checker: C) -> Controller<C> {
         Controller {
-            beat: Beat::new(&settings.me.name),
+            heartbeats: Heartbeats::new(&settings.me.name),
             roster: Roster::new(settings.me),
             spread: Spread::new(checker),
             plans: Plans::new(),
-            start: Start::new(),
+            start: Startup::new(),
             seeds: settings.seeds,
             candidates: Vec::new(),
             history: 0,
             reader: false,
             reading: false,
-            ticked: None,
-            distrust: None,
-            heard: Vec::new(),
-            compare: Compare::default(),
+            last_tick: None,
+            stale_until: None,
+            contacted: Vec::new(),
+            anti_entropy: AntiEntropy::default(),
             actions: Vec::new(),
         }
     }
 
-    /// Takes one event in and says what to do.
+    /// Handles an event. Returns the actions to carry out.
     pub fn handle(&mut self, now: Millis, event: Event) -> Vec<Action> {
         match event {
             Event::Tick => self.tick(now),
             Event::PlatformBundle(text) => self.platform_bundle(&text),
             Event::PlatformList(list) => self.candidates = list,
-            Event::Peer(message) => self.peer(now, message),
+            Event::Peer(message) => self.handle_message(now, message),
             Event::SetLeaving => self.leave(),
             Event::SetProgress { advertised, history } => self.set_progress(advertised, history),
             Event::Propose { service, moves } => self.propose(&service, moves),
@@ -112,7 +114,7 @@
         self.spread.current()
     }
 
-    /// The bundle and its exchange, for counters and status.
+    /// The exchange of the bundle, for counters and status.
     pub fn spread(&self) -> &Spread<C> {
         &self.spread
     }
@@ -127,9 +129,9 @@
         &self.plans
     }
 
-    /// Whether the view of the others may be old, because this process slept.
+    /// Whether this process slept and its view of the others may be stale.
     pub fn may_be_stale(&self) -> bool {
-        self.distrust.is_some()
+        self.stale_until.is_some()
     }
 
     /// Whether this instance is ready to serve.
@@ -138,31 +140,32 @@
     }
 
     fn tick(&mut self, now: Millis) {
-        self.watch_clock(now);
+        self.detect_sleep(now);
         self.roster.expire(now);
         self.publish_members();
-        self.beat(now);
-        self.fetch(now);
+        self.send_heartbeats(now);
+        self.request_pieces(now);
         self.choose_readers();
         self.check_ready(now);
     }
 
-    /// A process that slept sees all others silent and would suspect them,
-    /// and would plan and hand out duties by an old picture. It notices by
-    /// its own clock, starts all waiting anew and holds back until refreshed.
-    fn watch_clock(&mut self, now: Millis) {
-        let gap = self.ticked.map_or(Millis(0), |t| now.since(t));
-        self.ticked = Some(now);
+    /// Detects a sleep of this process from the gap between ticks. All others
+    /// have been silent for a process that slept. Without detection it would
+    /// suspect them, and would plan and assign duties by a stale view. It
+    /// restarts all timeouts and takes no new duty until it is refreshed.
+    fn detect_sleep(&mut self, now: Millis) {
+        let gap = self.last_tick.map_or(Millis(0), |t| now.since(t));
+        self.last_tick = Some(now);
         if gap >= SLEEP_GAP {
             self.roster.restart_timeouts(now);
-            self.beat.wake();
-            self.heard.clear();
-            self.distrust = Some(now + STALE_TIME);
+            self.heartbeats.wake();
+            self.contacted.clear();
+            self.stale_until = Some(now + STALE_TIME);
             self.actions.push(Action::Slept { gap });
         }
-        let refreshed = 2 * self.heard.len() > self.roster.neighbours().len();
-        if self.distrust.is_some_and(|until| refreshed || now >= until) {
-            self.distrust = None;
+        let refreshed = 2 * self.contacted.len() > self.roster.neighbours().len();
+        if self.stale_until.is_some_and(|until| refreshed || now >= until) {
+            self.stale_until = None;
             self.actions.push(Action::Refreshed);
         }
     }
@@ -177,8 +180,8 @@
         }
     }
 
-    /// An instance that starts reads too, so that it may learn the highest
-    /// bundle from both sides.
+    /// A starting instance reads the platform as well, so that it learns the
+    /// highest bundle from both platform and peers.
     fn choose_readers(&mut self) {
         let reading = !self.start.is_ready() || self.reader;
         if reading != self.reading {
@@ -189,15 +192,15 @@
 
     fn check_ready(&mut self, now: Millis) {
         let alone = self.seeds.is_empty() && self.candidates.is_empty();
-        let behind = self.beat.claims().any(|order| self.spread.wants(order));
+        let behind = self.heartbeats.claims().any(|order| self.spread.wants(order));
         if self.start.check(now, self.spread.current().is_some(), alone, behind) {
-            self.beat.forget_claims();
+            self.heartbeats.forget_claims();
             self.actions.push(Action::Ready);
         }
     }
 
-    fn bundle(&mut self, now: Millis, message: &Message) {
-        let me = self.addr();
+    fn handle_bundle_message(&mut self, now: Millis, message: &Message) {
+        let me = self.address();
         match message {
             Message::BundleRequest(request) => {
                 let answer = self.spread.answer_request(request, me);
@@ -209,24 +212,24 @@
             }
             Message::BundleDelta(delta) => {
                 let offered = self.spread.apply_delta(delta);
-                self.take_offer(offered);
+                self.handle_offer(offered);
             }
             Message::Pieces(pieces) => {
                 let offered = self.spread.apply_pieces(now, pieces);
-                self.take_offer(offered);
-                self.fetch(now);
+                self.handle_offer(offered);
+                self.request_pieces(now);
             }
             Message::BundleOutline(outline) => {
                 let offered = self.spread.apply_outline(now, outline);
-                self.take_offer(offered);
-                self.fetch(now);
+                self.handle_offer(offered);
+                self.request_pieces(now);
             }
             _ => {}
         }
     }
 
-    fn fetch(&mut self, now: Millis) {
-        let me = self.addr();
+    fn request_pieces(&mut self, now: Millis) {
+        let me = self.address();
         for (to, request) in self.spread.piece_requests(now, me) {
             self.send(to, request);
         }
@@ -238,36 +241,36 @@
         }
     }
 
-    fn addr(&self) -> SocketAddrV4 {
+    fn address(&self) -> SocketAddrV4 {
         self.roster.me().addresses.control
     }
 
     fn platform_bundle(&mut self, text: &str) {
-        self.start.platform();
+        self.start.note_platform();
         let offered = self.spread.offer(text);
-        self.take_offer(offered);
+        self.handle_offer(offered);
     }
 
-    fn take_offer(&mut self, offered: Result<Option<Arc<SignedText>>, Refusal>) {
+    fn handle_offer(&mut self, offered: Result<Option<Arc<SignedText>>, Refusal>) {
         match offered {
             Ok(None) | Err(Refusal::Repeated) => {}
             Ok(Some(signed)) => {
                 self.roster.set_own_progress(signed.version, self.roster.me().advertised);
                 self.actions.push(Action::Accepted(signed));
-                self.tell_neighbours();
+                self.notify_neighbours();
             }
             Err(reason) => self.actions.push(Action::Refused { reason }),
         }
     }
 
-    fn peer(&mut self, now: Millis, message: Message) {
+    fn handle_message(&mut self, now: Millis, message: Message) {
         match message {
-            Message::Heartbeat(beat) => self.heartbeat(now, &beat),
+            Message::Heartbeat(heartbeat) => self.handle_heartbeat(now, &heartbeat),
             Message::BundleRequest(_)
             | Message::BundleDelta(_)
             | Message::BundleOutline(_)
             | Message::PieceRequest(_)
-            | Message::Pieces(_) => self.bundle(now, &message),
+            | Message::Pieces(_) => self.handle_bundle_message(now, &message),
             Message::MembersRequest(request) => self.answer_members(&request),
             Message::MembersAnswer(answer) => {
                 for member in &answer.members {
@@ -275,36 +278,37 @@
                 }
             }
             Message::PlanRequest(request) => self.answer_plans(&request),
-            Message::Plan(plan) => self.follow(plan),
-            Message::Leave(leave) => self.hear_leave(now, &leave),
+            Message::Plan(plan) => self.follow_plan(plan),
+            Message::Leave(leave) => self.handle_leave(now, &leave),
             Message::Advert(_) | Message::HistoryRequest(_) | Message::History(_) => {
                 self.actions.push(Action::ToForwarder(message));
             }
         }
     }
 
-    fn follow(&mut self, plan: ServicePlan) {
+    fn follow_plan(&mut self, plan: ServicePlan) {
         if self.plans.merge(plan.clone()) {
-            self.spread_plan(&plan);
+            self.send_plan(&plan);
             self.actions.push(Action::Plan(plan));
         }
     }
 
-    fn spread_plan(&mut self, plan: &ServicePlan) {
-        for to in self.neighbour_addrs() {
+    fn send_plan(&mut self, plan: &ServicePlan) {
+        for to in self.neighbour_addresses() {
             self.send(to, Message::Plan(plan.clone()));
         }
     }
 
-    /// Makes a plan, if this instance is the one that plans for the service.
-    /// One that slept may only believe so and waits until it is refreshed.
+    /// Makes a plan, if this instance plans for the service. An instance that
+    /// slept may wrongly believe that it does, so it plans nothing until it is
+    /// refreshed.
     fn propose(&mut self, service: &ServiceName, moves: Moves) {
         let me = &self.roster.me().name;
         if self.may_be_stale() || !plan::is_author(me, service, self.roster.members()) {
             return;
         }
         let next = self.plans.next(me, service, moves);
-        self.follow(next);
+        self.follow_plan(next);
     }
 
     fn set_progress(&mut self, advertised: u64, history: u64) {
@@ -313,12 +317,12 @@
     }
 
     fn send(&mut self, to: SocketAddrV4, message: Message) {
-        if to != self.addr() {
+        if to != self.address() {
             self.actions.push(Action::Send { to, message });
         }
     }
 
-    fn neighbour_addrs(&self) -> Vec<SocketAddrV4> {
+    fn neighbour_addresses(&self) -> Vec<SocketAddrV4> {
         let names = self.roster.neighbours().iter();
         names.filter_map(|name| self.roster.get(name)).map(|m| m.addresses.control).collect()
     }
--- a/lib/src/members/mod.rs
+++ b/lib/src/members/mod.rs
@@ -1,9 +1,9 @@
-//! Who takes part: the instances that this one believes to be live.
+//! Membership: the instances that this one believes to be live.
 //!
-//! Views differ between instances and processes wake up with old ones, so a
-//! belief about a member is ordered by (incarnation, state) and merged by
-//! taking the larger: the result does not depend on the order of messages.
-//! See `docs/design/members.md`.
+//! Views differ between instances, and processes wake up with old ones. A
+//! belief about a member is therefore ordered by (incarnation, state) and
+//! merged by taking the larger one, so the result does not depend on the order
+//! of messages. See `docs/design/members.md`.
 
 mod neighbours;
 mod rank;
@@ -20,77 +20,80 @@
 use std::{fmt, net::SocketAddrV4};
 
 value! {
-    /// Where an instance is reached.
+    /// The addresses of an instance.
     #[derive(Hash, serde::Serialize, serde::Deserialize)]
     pub struct Addresses {
-        /// Where the fabric sends callers' packets, by UDP.
+        /// Receives callers' packets from the fabric, by UDP.
         pub packets: SocketAddrV4,
-        /// Where peers send questions about flows, by UDP.
+        /// Receives peers' questions about flows, by UDP.
         pub questions: SocketAddrV4,
-        /// Where peers exchange control messages, by gRPC.
+        /// Accepts control connections of peers, by gRPC.
         pub control: SocketAddrV4,
     }
 
-    /// One instance as this one sees it.
+    /// An instance as seen by this one.
     pub struct Member {
         /// Its name.
         pub name: InstanceName,
         /// Its failure domain.
         pub domain: DomainName,
-        /// Which of its lives this is about.
+        /// The incarnation that this belief is about.
         pub incarnation: Incarnation,
-        /// What is believed of it.
+        /// The believed state.
         pub state: MemberState,
-        /// Where it is reached.
+        /// Its addresses.
         pub addresses: Addresses,
-        /// The bundle version that it last said to have in force.
+        /// The bundle version that it last reported to have in force.
         pub version: Version,
-        /// The table epoch up to which it has told keepers all its exceptions.
+        /// The stamp up to which it has advertised all its exceptions to
+        /// keepers.
         pub advertised: u64,
     }
 
-    /// One line of the platform's lagging list: a hint where to ask, no more.
+    /// An entry of the platform's list of instances. The list lags, so it only
+    /// tells which instances to probe.
     pub struct Candidate {
         /// Its name.
         pub name: InstanceName,
         /// Its failure domain.
         pub domain: DomainName,
-        /// Where its control connections are accepted.
+        /// The address of its control connections.
         pub control: SocketAddrV4,
-        /// Whether the platform says that it leaves.
+        /// Whether the platform lists it as leaving.
         pub leaving: bool,
     }
 }
 
 impl Member {
-    /// What orders beliefs about one instance: the larger is the later one.
+    /// The order of beliefs about one instance: the larger is the later one.
     pub fn order(&self) -> (Incarnation, MemberState) {
         (self.incarnation, self.state)
     }
 
-    /// Whether it takes part, as far as is known.
+    /// Whether it is not believed dead.
     pub fn is_present(&self) -> bool {
         self.state != MemberState::Dead
     }
 
-    /// Whether it may take new duties: to read the platform, to plan.
+    /// Whether it may take new duties: reading the platform or planning.
     pub fn is_eligible(&self) -> bool {
         self.state == MemberState::Live
     }
 }
 
 value! {
-    /// What is believed of an instance.
+    /// The believed state of an instance.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "lowercase")]
     pub enum MemberState {
-        /// It answers.
+        /// It answers heartbeats.
         Live,
-        /// It has missed heartbeats and may refute that.
+        /// It has missed heartbeats and may refute the suspicion.
         Suspect,
-        /// It hands over and takes no new duty.
+        /// It hands over its duties and takes no new ones.
         Leaving,
-        /// It is gone; kept for a while, so that late news can't revive it.
+        /// It is gone. Remembered for a while, so that late updates can't
+        /// revive it.
         Dead,
     }
 }
--- a/lib/src/members/neighbours.rs
+++ b/lib/src/members/neighbours.rs
@@ -1,9 +1,11 @@
-//! Whom an instance sends heartbeats: a bounded number of the members.
+//! The neighbours of an instance: the bounded number of members to which it
+//! sends heartbeats.
 //!
-//! If all sent to all, the control bytes of an instance would grow with the
-//! fleet. If the few were drawn at random alone, some member would be watched
-//! by nobody and its death would go unnoticed; so two rings come first, which
-//! give everyone a watcher, and ranked choices keep the paths short.
+//! If all sent to all, the control traffic of an instance would grow with the
+//! fleet. If the neighbours were drawn at random alone, some member would be
+//! watched by nobody, and its death would go unnoticed. So successors in two
+//! rings come first, which give every member a watcher. The rest is chosen by
+//! rendezvous hash, which keeps the paths short.
 
 use super::{
     Member,
@@ -11,17 +13,18 @@
 };
 use crate::ids::InstanceName;
 
-/// How many. A heartbeat and its answer are two calls of some 300 bytes, so
-/// each neighbour costs 0.6 KB/s of a node's 8 KB/s; four leave half of it for
-/// bundle, plan and adverts, and reach a thousand members in five hops.
+/// Number of neighbours. A heartbeat and its answer are two calls of some 300
+/// bytes, so each neighbour costs 0.6 KB/s of a node's 8 KB/s. Four leave half
+/// of it for bundle, plans and adverts, and reach a thousand members in five
+/// hops.
 pub const NEIGHBOURS: usize = 4;
-/// Successors in the ring of the own failure domain: two, so that a member
-/// that dies together with its watcher still has one.
+/// Successors in the ring of the own failure domain. With two, a member that
+/// dies together with one watcher still has another.
 const RING_NEAR: usize = 2;
-/// Successors in the ring of the other failure domains.
+/// Successors in the ring of all other failure domains.
 const RING_FAR: usize = 1;
 
-/// The members among `others` that `me` watches.
+/// Chooses the members among `others` to which `me` sends heartbeats.
 pub fn neighbours<'a>(me: &Member, others: impl Iterator<Item = &'a Member>) -> Vec<InstanceName> {
     let (near, far): (Vec<&Member>, Vec<&Member>) =
         others.filter(|m| m.is_present()).partition(|m| m.domain == me.domain);
--- a/lib/src/members/rank.rs
+++ b/lib/src/members/rank.rs
@@ -1,10 +1,12 @@
-//! Rendezvous hashing: instances agree on who does what without asking.
+//! Rendezvous hashing, by which instances agree on the assignment of duties
+//! without communication.
 
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher;
 
-/// Ranks `name` for the duty `key`. All instances compute the same rank, so
-/// the hash is fixed and unkeyed; no caller chooses either argument.
+/// The rank of `name` for the duty `key`. All instances have to compute the
+/// same rank, so the hash is fixed and unkeyed; no caller chooses either
+/// argument.
 pub fn rank(key: &str, name: &str) -> u64 {
     let mut h = SipHasher13::new();
     h.write(key.as_bytes());
@@ -13,8 +15,8 @@
     h.finish()
 }
 
-/// The `n` of `items` that rank highest for the duty `key`, highest first.
-/// When one of them goes, only its place is filled anew.
+/// The `n` of `items` that rank highest for the duty `key`, highest first. If
+/// one of them goes, only its place is filled anew.
 pub fn top<T>(
     key: &str,
     n: usize,
@@ -28,8 +30,8 @@
 }
 
 /// Whether `me` is among the `n` of `names` that rank highest for the duty
-/// `key`, as [`top`] would tell. It stops at the `n`-th name above `me`: asked
-/// for each of thousands of duties, it looks at a few names and not at all.
+/// `key`, as by [`top`]. It stops at the `n`-th name above `me`. For thousands
+/// of duties it looks at a few names for each instead of all.
 pub fn is_top<'a>(key: &str, n: usize, me: &str, names: impl Iterator<Item = &'a str>) -> bool {
     let mine = rank(key, me);
     let mut above = 0;
--- a/lib/src/members/roster.rs
+++ b/lib/src/members/roster.rs
@@ -1,4 +1,4 @@
-//! The members as one instance believes them to be, and how beliefs change.
+//! The members as one instance believes them to be.
 
 use super::{Candidate, Member, MemberState, neighbours, rank::rank, rumours::Rumours};
 use crate::{
@@ -8,25 +8,27 @@
 };
 use std::{collections::BTreeMap, net::SocketAddrV4};
 
-/// How long a probe may stay unanswered before its target is suspected: three
-/// heartbeats, so that one lost or late one changes nothing.
+/// Time that a probe may stay unanswered before the member is suspected: three
+/// heartbeats, so that a single lost or late one has no effect.
 pub const ACK_TIMEOUT: Millis = Millis(3_000);
-/// How long views may differ before members are compared: time for rumours to
-/// flood the fleet, so that an ordinary change is not fetched as well.
+/// Time that digests of members may differ before members are requested.
+/// Rumours reach the whole fleet within it, so that ordinary changes are not
+/// requested as well.
 const DIFFER_LIMIT: Millis = Millis(2_000);
-/// How long a dead member is remembered. News older than its death that is
-/// still under way must not revive it, and after a partition of many minutes
-/// the sides find each other by asking the dead.
+/// Time that a dead member is remembered. Updates older than its death that are
+/// still in flight must not revive it, and after a partition of many minutes
+/// the sides find each other by probing the dead.
 pub const TOMBSTONE_TIME: Millis = Millis::secs(3_600);
 
-/// How long a suspected member has to refute, in a fleet of `fleet` members:
-/// time for the suspicion to reach it and for the refutation to come back,
-/// which takes hops that grow with the logarithm of the fleet.
+/// The time that a suspected member has to refute, in a fleet of `fleet`
+/// members. The suspicion has to reach the member and the refutation has to
+/// come back, which takes a number of hops that grows with the logarithm of the
+/// fleet.
 pub fn suspicion_timeout(fleet: usize) -> Millis {
     Millis(2_000 + 400 * u64::from((fleet + 1).ilog2()))
 }
 
-/// The members that one instance knows, itself apart.
+/// The members known to one instance, and the instance itself.
 #[derive(Debug)]
 pub struct Roster {
     me: Member,
@@ -35,7 +37,7 @@
     neighbours: Vec<InstanceName>,
     groups: Groups,
     dirty: bool,
-    progress: bool,
+    progressed: bool,
     /// Times that this instance refuted a wrong belief about itself.
     pub refutations: u64,
 }
@@ -43,16 +45,16 @@
 #[derive(Debug)]
 struct Entry {
     member: Member,
-    /// Since when a probe is unanswered.
-    asked: Option<Millis>,
-    /// When the belief last changed.
-    changed: Millis,
-    /// Since when its view of the members differs from ours.
-    differs: Option<Millis>,
+    /// Time of the oldest unanswered probe.
+    probed: Option<Millis>,
+    /// Time of the last change of the belief.
+    changed_at: Millis,
+    /// Time since which the member's digest of the members differs from ours.
+    differs_since: Option<Millis>,
 }
 
 impl Roster {
-    /// Starts with nobody known but `me`.
+    /// Creates a roster that knows nobody but `me`.
     pub fn new(me: Member) -> Roster {
         let mut groups = Groups::default();
         groups.toggle(me.name.as_str(), fingerprint(&me));
@@ -63,7 +65,7 @@
             neighbours: Vec::new(),
             groups,
             dirty: true,
-            progress: false,
+            progressed: false,
             refutations: 0,
         }
     }
@@ -73,54 +75,58 @@
         &self.me
     }
 
-    /// Records what this instance has in force and has told its keepers.
+    /// Sets the bundle version in force here and the stamp up to which this
+    /// instance has advertised its exceptions.
     pub fn set_own_progress(&mut self, version: Version, advertised: u64) {
         self.me.version = version;
         self.me.advertised = advertised;
     }
 
-    /// Records that this instance leaves; it never takes that back.
+    /// Marks this instance as leaving, for good.
     pub fn set_leaving(&mut self) {
-        self.change_me(|me| me.state = MemberState::Leaving);
+        self.update_me(|me| me.state = MemberState::Leaving);
     }
 
-    /// All that take part or did lately, this instance included.
+    /// All known members, dead ones included, beginning with this instance.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         std::iter::once(&self.me).chain(self.others.values().map(|e| &e.member))
     }
 
-    /// What is believed of `name`, unless it is this instance.
+    /// The member `name`, unless it is this instance.
     pub fn get(&self, name: &InstanceName) -> Option<&Member> {
         self.others.get(name).map(|e| &e.member)
     }
 
-    /// Those that this instance sends heartbeats.
+    /// The members to which this instance sends heartbeats.
     pub fn neighbours(&self) -> &[InstanceName] {
         &self.neighbours
     }
 
-    /// A digest of the members that take part; alike wherever the view is.
+    /// A digest over the members that are not dead. Equal views have equal
+    /// digests.
     pub fn digest(&self) -> u64 {
         self.groups.digest()
     }
 
-    /// The digests of groups of members, to ask for those that differ.
+    /// The digests of the groups of members, for a request for those that
+    /// differ.
     pub fn groups(&self) -> Vec<u64> {
         self.groups.to_vec()
     }
 
-    /// The members in the groups whose digests differ from the asker's.
+    /// The members in groups whose digests differ from the requester's.
     pub fn differing<'a>(&'a self, theirs: &'a [u64]) -> impl Iterator<Item = &'a Member> {
         self.members().filter(|m| self.groups.differs(theirs, m.name.as_str()))
     }
 
-    /// Whether somebody is known at the control address `addr`.
+    /// Whether `addr` is the control address of this instance or of a member
+    /// that is not dead.
     pub fn is_known_address(&self, addr: SocketAddrV4) -> bool {
         addr == self.me.addresses.control
-            || self.others.values().any(|e| e.member.is_present() && at(&e.member, addr))
+            || self.others.values().any(|e| e.member.is_present() && has_address(&e.member, addr))
     }
 
-    /// Those of `candidates` with whom there is no contact.
+    /// The `candidates` without contact.
     pub fn uncontacted<'a>(
         &self,
         candidates: &'a [Candidate],
@@ -130,7 +136,7 @@
         })
     }
 
-    /// Where the members are reached that are believed dead.
+    /// The control addresses of the members believed dead.
     pub fn dead_addresses(&self) -> Vec<SocketAddrV4> {
         self.others
             .values()
@@ -139,163 +145,176 @@
             .collect()
     }
 
-    /// Merges a belief, from whomever it comes. Returns whether it was news.
-    pub fn merge(&mut self, now: Millis, news: &Member) -> bool {
-        if news.name == self.me.name {
-            return self.refute(news);
+    /// Merges a belief from any source. Returns whether it changed the view.
+    pub fn merge(&mut self, now: Millis, update: &Member) -> bool {
+        if update.name == self.me.name {
+            return self.refute(update);
         }
-        match self.others.get_mut(&news.name) {
-            Some(e) if news.order() > e.member.order() => {
-                let progress = if news.incarnation == e.member.incarnation {
-                    (news.version.max(e.member.version), news.advertised.max(e.member.advertised))
+        match self.others.get_mut(&update.name) {
+            Some(e) if update.order() > e.member.order() => {
+                let progress = if update.incarnation == e.member.incarnation {
+                    (
+                        update.version.max(e.member.version),
+                        update.advertised.max(e.member.advertised),
+                    )
                 } else {
-                    (news.version, news.advertised)
+                    (update.version, update.advertised)
                 };
-                self.groups.toggle(news.name.as_str(), fingerprint(&e.member) ^ fingerprint(news));
-                e.member = Member { version: progress.0, advertised: progress.1, ..news.clone() };
-                e.changed = now;
-                e.asked = None;
+                self.groups
+                    .toggle(update.name.as_str(), fingerprint(&e.member) ^ fingerprint(update));
+                e.member = Member { version: progress.0, advertised: progress.1, ..update.clone() };
+                e.changed_at = now;
+                e.probed = None;
             }
             Some(e) => {
-                if news.incarnation == e.member.incarnation {
-                    e.member.version = e.member.version.max(news.version);
-                    self.progress |= news.advertised > e.member.advertised;
-                    e.member.advertised = e.member.advertised.max(news.advertised);
+                if update.incarnation == e.member.incarnation {
+                    e.member.version = e.member.version.max(update.version);
+                    self.progressed |= update.advertised > e.member.advertised;
+                    e.member.advertised = e.member.advertised.max(update.advertised);
                 }
                 return false;
             }
-            // Nobody is missed who was dead before we heard of it.
-            None if news.state == MemberState::Dead => return false,
+            // A member that died before this instance knew it is of no
+            // interest.
+            None if update.state == MemberState::Dead => return false,
             None => {
-                self.groups.toggle(news.name.as_str(), fingerprint(news));
-                let entry =
-                    Entry { member: news.clone(), asked: None, changed: now, differs: None };
-                self.others.insert(news.name.clone(), entry);
+                self.groups.toggle(update.name.as_str(), fingerprint(update));
+                let entry = Entry {
+                    member: update.clone(),
+                    probed: None,
+                    changed_at: now,
+                    differs_since: None,
+                };
+                self.others.insert(update.name.clone(), entry);
             }
         }
-        self.rumours.add(&news.name);
+        self.rumours.add(&update.name);
         self.dirty = true;
         true
     }
 
-    /// A wrong belief about this instance is refutations by a later incarnation.
-    /// Without it a pause of seconds would exclude an instance for good.
-    fn refute(&mut self, news: &Member) -> bool {
-        if news.order() <= self.me.order() {
+    /// Refutes a wrong belief about this instance with a later incarnation.
+    /// Without refutation, a pause of seconds would exclude an instance for
+    /// good.
+    fn refute(&mut self, update: &Member) -> bool {
+        if update.order() <= self.me.order() {
             return false;
         }
         self.refutations += 1;
-        let next = Incarnation(news.incarnation.0.saturating_add(1));
-        self.change_me(|me| me.incarnation = next);
+        let next = Incarnation(update.incarnation.0.saturating_add(1));
+        self.update_me(|me| me.incarnation = next);
         true
     }
 
-    fn change_me(&mut self, change: impl FnOnce(&mut Member)) {
+    fn update_me(&mut self, change: impl FnOnce(&mut Member)) {
         let before = fingerprint(&self.me);
         change(&mut self.me);
         self.groups.toggle(self.me.name.as_str(), before ^ fingerprint(&self.me));
         self.dirty = true;
     }
 
-    /// Records that `name` spoke to us directly and how it sees the members.
-    /// Returns whether its view has differed for so long that rumours can't
-    /// be what is still under way.
+    /// Records a heartbeat from `name` and its digest of the members. Returns
+    /// whether the digest has differed for longer than rumours take to arrive.
     pub fn record_contact(&mut self, now: Millis, name: &InstanceName, digest: u64) -> bool {
         let differs = digest != self.digest();
         let Some(e) = self.others.get_mut(name) else { return false };
-        e.asked = None;
+        e.probed = None;
         if !differs {
-            e.differs = None;
+            e.differs_since = None;
             return false;
         }
-        now.since(*e.differs.get_or_insert(now)) >= DIFFER_LIMIT
+        now.since(*e.differs_since.get_or_insert(now)) >= DIFFER_LIMIT
     }
 
-    /// Records that a probe went to `name`.
+    /// Records a probe to `name`.
     pub fn record_probe(&mut self, now: Millis, name: &InstanceName) {
         if let Some(e) = self.others.get_mut(name) {
-            e.asked.get_or_insert(now);
+            e.probed.get_or_insert(now);
         }
     }
 
-    /// Suspects, buries and forgets whose time is up.
+    /// Suspects, declares dead and forgets the members whose timeouts have
+    /// passed.
     pub fn expire(&mut self, now: Millis) {
-        let patience = suspicion_timeout(self.others.len());
-        let mut fallen = Vec::new();
+        let timeout = suspicion_timeout(self.others.len());
+        let mut expired = Vec::new();
         for e in self.others.values() {
-            if let Some(state) = fallen_to(e, now, patience) {
-                fallen.push(Member { state, ..e.member.clone() });
+            if let Some(state) = next_state(e, now, timeout) {
+                expired.push(Member { state, ..e.member.clone() });
             }
         }
-        for news in fallen {
-            self.merge(now, &news);
+        for update in expired {
+            self.merge(now, &update);
         }
-        self.others.retain(|_, e| e.member.is_present() || now.since(e.changed) < TOMBSTONE_TIME);
+        self.others
+            .retain(|_, e| e.member.is_present() || now.since(e.changed_at) < TOMBSTONE_TIME);
     }
 
-    /// Starts all waiting anew: after a sleep, the silence was our own.
+    /// Restarts all timeouts: during a sleep of this process, the others only
+    /// seemed silent.
     pub fn restart_timeouts(&mut self, now: Millis) {
         for e in self.others.values_mut() {
-            e.asked = None;
+            e.probed = None;
             if e.member.state == MemberState::Suspect {
-                e.changed = now;
+                e.changed_at = now;
             }
         }
     }
 
-    /// Chooses the neighbours anew after changes. Returns whether there were
-    /// any since the last call.
+    /// Chooses the neighbours again if members have changed. Returns whether
+    /// they have changed since the last call.
     pub fn refresh_neighbours(&mut self) -> bool {
         if !std::mem::take(&mut self.dirty) {
             return false;
         }
         let chosen = neighbours(&self.me, self.others.values().map(|e| &e.member));
         for (name, e) in &mut self.others {
-            // Nobody is blamed for an answer that we no longer ask for.
+            // A member that is no longer probed must not be suspected for an
+            // open probe.
             if !chosen.contains(name) {
-                e.asked = None;
+                e.probed = None;
             }
         }
         self.neighbours = chosen;
         true
     }
 
-    /// Whether somebody has told its keepers more since the last call.
+    /// Whether the stamp of another member has advanced since the last call.
     pub fn take_progress(&mut self) -> bool {
-        std::mem::take(&mut self.progress)
+        std::mem::take(&mut self.progressed)
     }
 
-    /// The news for a heartbeat to `name`: what we hold of it, if that is not
-    /// that it lives, so that it can refute; then rumours.
+    /// The updates for a heartbeat to `name`: first the belief about `name`
+    /// itself unless that is `Live`, so that it can refute, then rumours.
     pub fn updates_for(&mut self, name: Option<&InstanceName>) -> Vec<Member> {
         let others = &self.others;
-        let mut news = self.rumours.take(|n| others.get(n).map(|e| &e.member));
+        let mut updates = self.rumours.take(|n| others.get(n).map(|e| &e.member));
         let entry = name.and_then(|n| self.others.get(n));
         if let Some(e) = entry
             && e.member.state != MemberState::Live
         {
-            news.insert(0, e.member.clone());
+            updates.insert(0, e.member.clone());
         }
-        news
+        updates
     }
 }
 
-fn at(member: &Member, addr: SocketAddrV4) -> bool {
+fn has_address(member: &Member, addr: SocketAddrV4) -> bool {
     member.addresses.control == addr
 }
 
-fn fallen_to(e: &Entry, now: Millis, patience: Millis) -> Option<MemberState> {
-    let silent = e.asked.is_some_and(|t| now.since(t) >= ACK_TIMEOUT);
+fn next_state(e: &Entry, now: Millis, timeout: Millis) -> Option<MemberState> {
+    let silent = e.probed.is_some_and(|t| now.since(t) >= ACK_TIMEOUT);
     match e.member.state {
         MemberState::Live if silent => Some(MemberState::Suspect),
         MemberState::Leaving if silent => Some(MemberState::Dead),
-        MemberState::Suspect if now.since(e.changed) >= patience => Some(MemberState::Dead),
+        MemberState::Suspect if now.since(e.changed_at) >= timeout => Some(MemberState::Dead),
         _ => None,
     }
 }
 
-/// Suspicion comes and goes and is left out, or views would seem to differ
-/// whenever somebody is slow.
+/// The fingerprint of a member for digests; 0 if it is dead. Suspicion is left
+/// out, since views would seem to differ whenever a member is slow.
 fn fingerprint(member: &Member) -> u64 {
     let state = match member.state {
         MemberState::Live | MemberState::Suspect => "live",
--- a/lib/src/members/rumours.rs
+++ b/lib/src/members/rumours.rs
@@ -1,55 +1,56 @@
-//! News about members that still has to be passed on.
+//! Rumours: updates of members that are still to be passed on.
 
 use super::{Member, NEIGHBOURS};
 use crate::{collections::Map, ids::InstanceName};
 use std::collections::BTreeSet;
 
-/// How many rumours one heartbeat carries at most. With eight heartbeats a
-/// second and some 80 bytes a rumour this adds 2.6 KB/s at most, even when a
-/// failure domain goes or returns and hundreds of members change at once.
+/// Maximum number of rumours in one heartbeat. With eight heartbeats a second
+/// and some 80 bytes a rumour this adds 2.6 KB/s at most, even if a failure
+/// domain goes or returns and hundreds of members change at once.
 pub const MAX_RUMOURS: usize = 4;
-/// How often a rumour is passed on: about once on each kept connection, since
-/// both of its ends pass it on. Connections lose nothing while they stand, so
-/// that this floods the fleet; what a broken one lost is found by the digests.
-const REPEATS: u32 = NEIGHBOURS as u32;
+/// Number of times that a rumour is passed on: about once on each connection,
+/// since both ends pass it on. An open connection loses nothing, so this floods
+/// the fleet. Losses of a broken connection are found by comparing digests.
+const MAX_SENDS: u32 = NEIGHBOURS as u32;
 
-/// The names of members with news, each with how often it was passed on.
+/// The names of members with updates, each with the number of times that it was
+/// passed on.
 #[derive(Debug, Default)]
 pub(super) struct Rumours {
     sent: Map<InstanceName, u32>,
-    /// The same, the least told first: a failure domain's worth of news must
-    /// not be sorted anew for each heartbeat.
-    order: BTreeSet<(u32, InstanceName)>,
+    /// The same, ordered by that number, so that the hundreds of updates of a
+    /// failure domain are not sorted again for each heartbeat.
+    by_count: BTreeSet<(u32, InstanceName)>,
 }
 
 impl Rumours {
-    /// Marks `name` as news.
+    /// Adds an update of `name`.
     pub(super) fn add(&mut self, name: &InstanceName) {
         self.put(name.clone(), 0);
     }
 
     fn put(&mut self, name: InstanceName, n: u32) {
         if let Some(before) = self.sent.insert(name.clone(), n) {
-            self.order.remove(&(before, name.clone()));
+            self.by_count.remove(&(before, name.clone()));
         }
-        self.order.insert((n, name));
+        self.by_count.insert((n, name));
     }
 
-    /// Takes the least told rumours for one message. A rumour that was told
-    /// often enough is dropped.
+    /// Takes the rumours for one message, those sent least often first. A
+    /// rumour that was sent [`MAX_SENDS`] times is dropped.
     pub(super) fn take<'a>(
         &mut self,
         find: impl Fn(&InstanceName) -> Option<&'a Member>,
     ) -> Vec<Member> {
         let picked: Vec<(u32, InstanceName)> =
-            self.order.iter().take(MAX_RUMOURS).cloned().collect();
+            self.by_count.iter().take(MAX_RUMOURS).cloned().collect();
         let updates = picked.iter().filter_map(|(_, name)| find(name).cloned()).collect();
         for (n, name) in picked {
-            if n + 1 < REPEATS {
+            if n + 1 < MAX_SENDS {
                 self.put(name, n + 1);
             } else {
                 self.sent.remove(&name);
-                self.order.remove(&(n, name));
+                self.by_count.remove(&(n, name));
             }
         }
         updates
