--- a/lib/src/spread/error.rs
+++ b/lib/src/spread/error.rs
@@ -1,46 +1,50 @@
-//! Why a bundle's text is refused.
+//! Reasons for which a bundle's text is refused.
 
+use super::MAX_TEXT;
 use snafu::Snafu;
 
-/// Why a text did not come into force. The one in force stays.
+/// The reason for which a text did not come into force. The bundle in force
+/// stays.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum Refusal {
-    /// The checks failed.
+    /// The text failed a check.
     #[snafu(display("the bundle failed its checks"))]
     Check {
-        /// What the checker says.
+        /// The error of the checker.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
-    /// It failed its checks before and was not checked again.
+    /// The text failed its checks before and was not checked again.
     #[snafu(display("the bundle was refused before"))]
     Repeated,
-    /// It is larger than a bundle may be.
-    #[snafu(display("the bundle has {bytes} bytes, more than allowed"))]
+    /// The text is longer than [`MAX_TEXT`].
+    #[snafu(display("the bundle has {bytes} bytes, more than the maximum of {MAX_TEXT}"))]
     TooLong {
-        /// How long it is.
+        /// The length of the text.
         bytes: usize,
     },
-    /// A peer made the difference to a text that is not here (any more).
-    #[snafu(display("the difference is to an unknown text"))]
+    /// A peer sent a delta to a base text that is not held here, or no longer.
+    #[snafu(display("the delta has a base text that is not held here"))]
     UnknownBase,
-    /// A peer's difference points outside of the text that it is to.
-    #[snafu(display("the difference points at pieces {first}..{first}+{count} of {pieces}"))]
+    /// A peer's delta refers to pieces outside of its base text.
+    #[snafu(display(
+        "the delta refers to pieces {first}..{first}+{count}, its base text has {pieces}"
+    ))]
     OutOfRange {
-        /// The first piece that it points at.
+        /// The position of the first piece referred to.
         first: u32,
-        /// How many it points at.
+        /// The number of pieces referred to.
         count: u32,
-        /// How many there are.
+        /// The number of pieces of the base text.
         pieces: usize,
     },
-    /// A peer sent another piece than its outline announced.
-    #[snafu(display("piece {at} is not the one that was asked for"))]
+    /// A peer sent another piece than the outline announced.
+    #[snafu(display("piece {at} is not the one that the outline announced"))]
     WrongPiece {
         /// The position of the piece.
         at: u32,
     },
-    /// The rebuilt text is not the one that the peer announced.
+    /// The rebuilt text has another digest than the peer announced.
     #[snafu(display("the rebuilt bundle has another digest than announced"))]
     Digest,
 }
--- a/lib/src/spread/mod.rs
+++ b/lib/src/spread/mod.rs
@@ -1,8 +1,8 @@
-//! The bundle in force, and how it reaches every instance.
+//! The bundle in force and its exchange between instances.
 //!
-//! Bundles are ordered by (version, digest) and the larger wins everywhere,
-//! so that whatever a stale platform, a peer that slept or a healed partition
-//! brings, an older one never returns. See `docs/design/bundle-spread.md`.
+//! Bundles are ordered by (version, digest), and the larger wins everywhere. An
+//! older one therefore never returns, whether it comes from a stale platform, a
+//! peer that slept or a healed partition. See `docs/design/bundle-spread.md`.
 
 mod assembly;
 mod error;
@@ -26,26 +26,27 @@
 use snafu::ensure;
 use std::{collections::VecDeque, net::SocketAddrV4, sync::Arc};
 
-/// The largest text that is looked at. The platform holds values up to a
-/// megabyte, so a larger one can only be a fault or an attack on memory.
+/// Maximum length of a text in bytes. The platform holds values up to a
+/// megabyte, so a longer text is a fault or an attack on memory.
 pub const MAX_TEXT: usize = 1 << 20;
-/// How many texts are kept to make differences against: at 4,000 changes a
-/// day a peer may lag by nearly three minutes and still be sent a difference.
+/// Number of texts kept as bases for deltas. At 4,000 changes a day a peer may
+/// be nearly three minutes behind and still get a delta.
 pub const MAX_BASES: usize = 8;
-/// How long an answer is awaited before another peer may be asked: well above
-/// a round trip between failure domains and well under the 4 s for a change.
+/// Time to wait for an answer before another peer may be asked: well above a
+/// round trip between failure domains and well below the 4 s allowed for a
+/// change.
 pub const ANSWER_TIMEOUT: Millis = Millis(500);
-/// How many refused digests are remembered, so that a text that a peer offers
-/// again and again is fetched and checked once.
-const REFUSED: usize = 16;
-/// How many texts that were sound but not the highest are remembered. A
-/// platform that serves an old one again and again would otherwise have it
-/// checked each time, which takes most of a tenth of a second at a megabyte.
-const OUTDATED: usize = 16;
+/// Number of refused digests remembered, so that a text that a peer offers
+/// repeatedly is fetched and checked once.
+const MAX_REFUSED: usize = 16;
+/// Number of sound but outdated texts remembered by digest. Otherwise a text
+/// that the platform serves again and again would be checked each time, which
+/// takes most of a tenth of a second for a megabyte.
+const MAX_OUTDATED: usize = 16;
 
 /// Checks a whole signed text: signature, schema and cross-checks.
 pub trait Check {
-    /// Why a text is refused.
+    /// The reason for which a text is refused.
     type Error: std::error::Error + Send + Sync + 'static;
 
     /// Returns the version of `text` if it may come into force.
@@ -53,19 +54,19 @@
 }
 
 value! {
-    /// A text that passed every check, with what orders it.
+    /// A text that passed every check, with its order.
     pub struct SignedText {
-        /// The text, to the last byte as it was signed.
+        /// The text, byte for byte as signed.
         pub text: Arc<str>,
-        /// The version that it says.
+        /// The version stated in the text.
         pub version: Version,
-        /// Its blake3 digest.
+        /// The blake3 digest of the text.
         pub digest: Digest,
     }
 }
 
 impl SignedText {
-    /// What orders bundles: the larger wins everywhere.
+    /// The order of bundles: the larger one wins everywhere.
     pub fn order(&self) -> (Version, Digest) {
         (self.version, self.digest)
     }
@@ -76,34 +77,34 @@
     *blake3::hash(text.as_bytes()).as_bytes()
 }
 
-/// The bundle in force at one instance and the exchange about it.
+/// The bundle in force at one instance, and its exchange with peers.
 #[derive(Debug)]
 pub struct Spread<C> {
     checker: C,
-    /// The text in force first, then those before it.
+    /// The text in force, followed by the earlier ones.
     texts: VecDeque<Arc<SignedText>>,
-    /// Until when an answer is awaited before another peer is asked.
-    pending: Option<Millis>,
+    /// Time until which an answer is awaited before another peer is asked.
+    awaiting_until: Option<Millis>,
     assembly: Option<Assembly>,
     budget: Budget,
     refused: VecDeque<Digest>,
-    /// Texts that were sound, but behind the one in force. They stay behind,
-    /// since what is in force only rises.
+    /// Sound texts that are older than the bundle in force. They never come
+    /// into force, since the order of the bundle in force only rises.
     outdated: VecDeque<Digest>,
-    /// The latest version that was seen with two contents.
+    /// The latest version that was seen with two different contents.
     pub conflict: Option<Version>,
-    /// Contents that were seen besides another one under the same version.
+    /// Number of contents that conflicted with another one of the same version.
     pub conflicts: u64,
     conflicting: Set<Digest>,
 }
 
 impl<C: Check> Spread<C> {
-    /// Starts with no bundle in force.
+    /// Creates an exchange with no bundle in force.
     pub fn new(checker: C) -> Spread<C> {
         Spread {
             checker,
             texts: VecDeque::new(),
-            pending: None,
+            awaiting_until: None,
             assembly: None,
             budget: Budget::default(),
             refused: VecDeque::new(),
@@ -119,19 +120,19 @@
         self.texts.front()
     }
 
-    /// What orders the bundle in force; the least there is, if there is none.
+    /// The order of the bundle in force, or the lowest order if there is none.
     pub fn order(&self) -> (Version, Digest) {
         self.current().map_or((Version(0), [0; 32]), |t| t.order())
     }
 
-    /// Whether a bundle ordered so would come into force here, as far as can
-    /// be told before it was checked.
+    /// Whether a bundle of this order would come into force here if it passes
+    /// the checks.
     pub fn wants(&self, order: (Version, Digest)) -> bool {
         order > self.order() && !self.refused.contains(&order.1)
     }
 
-    /// Offers a whole text. Returns it if it came into force; `None` if what
-    /// is in force stays because it is the same or a later one.
+    /// Offers a whole text. Returns it if it came into force, and `None` if the
+    /// bundle in force is the same or a later one.
     pub fn offer(&mut self, text: &str) -> Result<Option<Arc<SignedText>>, Refusal> {
         ensure!(text.len() <= MAX_TEXT, error::TooLongSnafu { bytes: text.len() });
         let digest = digest(text);
@@ -143,21 +144,21 @@
             self.refuse(digest);
             Refusal::Check { source: Box::new(source) }
         })?;
-        self.compare(version, digest);
+        self.detect_conflict(version, digest);
         let signed = SignedText { text: text.into(), version, digest };
         if signed.order() > self.order() {
-            return Ok(Some(self.put(signed)));
+            return Ok(Some(self.put_in_force(signed)));
         }
         self.outdated.push_front(digest);
-        self.outdated.truncate(OUTDATED);
+        self.outdated.truncate(MAX_OUTDATED);
         Ok(None)
     }
 
-    fn put(&mut self, signed: SignedText) -> Arc<SignedText> {
+    fn put_in_force(&mut self, signed: SignedText) -> Arc<SignedText> {
         let signed = Arc::new(signed);
         self.texts.push_front(signed.clone());
         self.texts.truncate(MAX_BASES);
-        self.pending = None;
+        self.awaiting_until = None;
         let order = signed.order();
         self.assembly.take_if(|a| a.order <= order);
         signed
@@ -165,12 +166,12 @@
 
     fn refuse(&mut self, digest: Digest) {
         self.refused.push_front(digest);
-        self.refused.truncate(REFUSED);
+        self.refused.truncate(MAX_REFUSED);
     }
 
     /// Flags two contents under one version: two operators published at once,
-    /// and one of them has to know that the other's bundle is in force.
-    fn compare(&mut self, version: Version, digest: Digest) {
+    /// and one of them has to learn that the other's bundle is in force.
+    fn detect_conflict(&mut self, version: Version, digest: Digest) {
         let (ours, other) = self.order();
         if version != ours || digest == other || ours == Version(0) {
             return;
@@ -184,15 +185,16 @@
         }
     }
 
-    /// Hears what the peer at `from` has in force. Returns whether to ask it,
-    /// since its bundle is a later one and nobody else is being asked.
+    /// Handles the claim of the peer at `from` to have a bundle in force.
+    /// Returns whether to request the bundle: it is a later one, and no other
+    /// peer is being asked.
     pub fn handle_claim(
         &mut self,
         now: Millis,
         order: (Version, Digest),
         from: SocketAddrV4,
     ) -> bool {
-        self.compare(order.0, order.1);
+        self.detect_conflict(order.0, order.1);
         if let Some(assembly) = &mut self.assembly
             && assembly.order >= order
         {
@@ -201,20 +203,20 @@
             }
             return false;
         }
-        if !self.wants(order) || self.pending.is_some_and(|until| now < until) {
+        if !self.wants(order) || self.awaiting_until.is_some_and(|until| now < until) {
             return false;
         }
-        self.pending = Some(now + ANSWER_TIMEOUT);
+        self.awaiting_until = Some(now + ANSWER_TIMEOUT);
         true
     }
 
-    /// Asks for the bundle that a peer has; the answer goes to `sender`.
+    /// A request for the bundle that a peer has. The answer goes to `sender`.
     pub fn bundle_request(&self, sender: SocketAddrV4) -> Message {
         Message::BundleRequest(BundleRequest { sender, base: self.current().map(|t| t.digest) })
     }
 
-    /// Answers a peer's request with the difference to what it has, or with
-    /// the outline of the text if what it has is unknown here.
+    /// Answers a peer's request with a delta to the text that it has, or with
+    /// the outline of the whole text if that base is unknown here.
     pub fn answer_request(&self, request: &BundleRequest, me: SocketAddrV4) -> Option<Message> {
         let current = self.current()?;
         let (version, digest) = current.order();
@@ -231,8 +233,8 @@
         })
     }
 
-    /// Takes an outline: from now on the pieces that lack are asked for. If
-    /// none does, offers the whole text.
+    /// Starts the assembly of the text that the outline describes; missing
+    /// pieces are requested from now on. If none is missing, offers the text.
     pub fn apply_outline(
         &mut self,
         now: Millis,
@@ -244,22 +246,22 @@
         }
         let current = self.current().cloned();
         let held = current.iter().flat_map(|t| split(&t.text)).map(Arc::from);
-        let halfway = self.assembly.take().into_iter().flat_map(Assembly::into_pieces);
-        self.assembly = Assembly::new(now, outline, held.chain(halfway));
-        self.finish()
+        let received = self.assembly.take().into_iter().flat_map(Assembly::into_pieces);
+        self.assembly = Assembly::new(now, outline, held.chain(received));
+        self.finish_assembly()
     }
 
-    /// Requests for pieces that still lack, each with whom to ask.
+    /// Requests for missing pieces, each with the address of a peer.
     pub fn piece_requests(
         &mut self,
         now: Millis,
         me: SocketAddrV4,
     ) -> Vec<(SocketAddrV4, Message)> {
-        self.assembly.take_if(|a| a.stuck(now));
-        self.assembly.as_mut().map(|a| a.fetch(now, me)).unwrap_or_default()
+        self.assembly.take_if(|a| a.is_stuck(now));
+        self.assembly.as_mut().map(|a| a.requests(now, me)).unwrap_or_default()
     }
 
-    /// Answers a request for pieces, within the budget for that.
+    /// Answers a request for pieces, within the budget.
     pub fn answer_pieces(
         &mut self,
         now: Millis,
@@ -267,49 +269,51 @@
         me: SocketAddrV4,
     ) -> Option<Message> {
         let text = self.texts.iter().find(|t| t.digest == request.digest)?;
-        let pieces = self.budget.cut(now, &split(&text.text), &request.runs);
+        let pieces = self.budget.take_pieces(now, &split(&text.text), &request.runs);
         let answer = Pieces { sender: me, digest: request.digest, pieces };
         (!answer.pieces.is_empty()).then_some(Message::Pieces(answer))
     }
 
-    /// Takes pieces; when none lacks, offers the whole text.
+    /// Adds pieces to the assembly. If none is missing any more, offers the
+    /// text.
     pub fn apply_pieces(
         &mut self,
         now: Millis,
         pieces: &Pieces,
     ) -> Result<Option<Arc<SignedText>>, Refusal> {
         if let Some(assembly) = &mut self.assembly {
-            assembly.fill(now, pieces)?;
+            assembly.add_pieces(now, pieces)?;
         }
-        self.finish()
+        self.finish_assembly()
     }
 
-    fn finish(&mut self) -> Result<Option<Arc<SignedText>>, Refusal> {
-        let Some(assembly) = self.assembly.as_ref().filter(|a| a.complete()) else {
+    fn finish_assembly(&mut self) -> Result<Option<Arc<SignedText>>, Refusal> {
+        let Some(assembly) = self.assembly.as_ref().filter(|a| a.is_complete()) else {
             return Ok(None);
         };
         let text = assembly.text();
         let wanted = assembly.order.1;
-        // Whatever comes of it: this one is done, or its outline was wrong.
+        // The assembly ends here in any case: either the text is complete, or
+        // its outline was wrong.
         self.assembly = None;
         ensure!(digest(&text) == wanted, error::DigestSnafu);
         self.offer(&text)
     }
 
-    /// Takes a peer's answer: rebuilds the whole text and offers it.
+    /// Rebuilds a text from a peer's delta and offers it.
     pub fn apply_delta(&mut self, delta: &BundleDelta) -> Result<Option<Arc<SignedText>>, Refusal> {
         if !self.wants((delta.version, delta.digest)) {
             return Ok(None);
         }
         let text = {
-            let base = self.base(delta.base)?;
+            let base = self.find_base(delta.base)?;
             rebuild(base, &delta.pieces)?
         };
         ensure!(digest(&text) == delta.digest, error::DigestSnafu);
         self.offer(&text)
     }
 
-    fn base(&self, digest: Digest) -> Result<&str, Refusal> {
+    fn find_base(&self, digest: Digest) -> Result<&str, Refusal> {
         let found = self.texts.iter().find(|t| t.digest == digest);
         found.map(|t| &*t.text).ok_or(Refusal::UnknownBase)
     }
--- a/lib/src/spread/readers.rs
+++ b/lib/src/spread/readers.rs
@@ -1,13 +1,16 @@
-//! Who reads the platform: a few instances of each failure domain.
+//! The choice of the instances that read the platform, a few per failure
+//! domain.
 //!
-//! If all watched it, its two thousand calls a second would be spent on a
-//! thousand nodes. The choice comes from the live list, so the readers follow
-//! deaths without a word between them; while views differ there may be one
-//! more or one less for some seconds, which costs a few calls.
+//! If all instances watched the platform, its limit of two thousand calls a
+//! second would be spent on a thousand nodes. The readers are chosen from the
+//! live members, so they follow deaths without communication. While views
+//! differ there may be one reader more or less for some seconds, which costs a
+//! few calls.
 
 use crate::members::{Member, is_top};
 
-/// Readers in each failure domain: two, so that one may die unnoticed.
+/// Number of readers in each failure domain; with two, one may die without
+/// effect.
 pub const READERS_PER_DOMAIN: usize = 2;
 
 /// Whether `me` is among the readers of its failure domain.
