--- a/lib/src/flows.rs
+++ b/lib/src/flows.rs
@@ -1,79 +1,80 @@
-//! The flow table of one instance: which target each known flow goes to.
+//! The flow table of one instance, with the target of each known flow.
 //!
-//! An entry is 24 bytes with its key, so that the hundreds of thousands of
-//! flows of an instance, and all that it keeps for others, fit in a few dozen
-//! megabytes. The key is the keyed 64-bit hash, which callers can't aim, so the
-//! map needs no hasher of its own.
+//! An entry takes 24 bytes with its key, so that the hundreds of thousands of
+//! flows of an instance, and all those that it keeps for others, fit in a few
+//! dozen megabytes. The key is the keyed 64-bit hash of the flow. Callers can't
+//! choose it, so the map needs no hasher of its own.
 
 use crate::{bundle::Class, ids::FlowId, time::Millis, view::TargetId};
 use hashbrown::{HashMap, hash_map::Entry};
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// How sure an instance is of a flow's target. More certainty wins when two
-/// beliefs meet, whatever their order.
+/// How certain an instance is of a flow's target. When two entries of a flow
+/// are merged, the more certain one wins, in whatever order they come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Certainty {
-    /// Nobody could be asked; the bucket's earlier owner was taken.
+    /// No instance knew the flow; it was sent to the bucket's earlier owner.
     Guessed,
-    /// Another instance said so.
+    /// Another instance advertised the flow.
     Advertised,
-    /// A packet of it passed here while its bucket had one owner only, or
-    /// after asking.
+    /// A packet of the flow was forwarded here, either while its bucket had one
+    /// owner only or after peers were asked.
     Observed,
-    /// Its first packet was sent from here.
+    /// The flow was opened here.
     Opened,
 }
 
-/// What is known of one flow.
+/// An entry of the flow table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Flow {
-    /// Where it goes.
+    /// The target of the flow.
     pub target: TargetId,
-    /// How sure that is.
+    /// The certainty of the target.
     pub certainty: Certainty,
-    /// Whether the caller has closed its half or given up.
+    /// Whether the caller has closed its half or aborted the flow.
     pub closing: bool,
-    /// Whether only its first packet has passed here.
+    /// Whether only the flow's first packet has passed here.
     pub fresh: bool,
-    /// The class of its work.
+    /// The flow's class.
     pub class: Class,
-    /// When a packet of it last passed here or it was told, in [`TICK`]s.
-    seen: u32,
-    /// When it was first noted here, in [`TICK`]s.
-    first: u32,
+    /// When a packet of the flow last passed here or an advert named it, in
+    /// [`TICK`]s.
+    last_seen: u32,
+    /// When the flow was first recorded here, in [`TICK`]s.
+    first_seen: u32,
 }
 
-/// The grain in which the last packet of a flow is noted, in milliseconds:
-/// 32 bits of it last for 198 days, far longer than an instance.
+/// Resolution of the times of a flow, in milliseconds. At this resolution 32
+/// bits last for 198 days, far longer than an instance.
 const TICK: u64 = 4;
 
 impl Flow {
-    /// Notes a flow now.
+    /// Creates an entry as of `now`.
     pub fn new(target: TargetId, certainty: Certainty, class: Class, now: Millis) -> Flow {
         let (closing, fresh) = (false, false);
-        let seen = ticks(now);
-        Flow { target, certainty, closing, fresh, class, seen, first: seen }
+        let last_seen = ticks(now);
+        Flow { target, certainty, closing, fresh, class, last_seen, first_seen: last_seen }
     }
 
-    /// Notes a flow whose first packet is let in here now.
+    /// Creates an entry of a flow that is opened here.
     pub fn admitted(target: TargetId, class: Class, now: Millis) -> Flow {
         let flow = Flow::new(target, Certainty::Opened, class, now);
         Flow { fresh: true, ..flow }
     }
 
-    /// How long it is known here, to a few milliseconds.
+    /// Time since the flow was first recorded, to a few milliseconds.
     pub fn age(&self, now: Millis) -> Millis {
-        Millis(u64::from(ticks(now).saturating_sub(self.first)) * TICK)
+        Millis(u64::from(ticks(now).saturating_sub(self.first_seen)) * TICK)
     }
 
-    /// How long ago its last packet was, to a few milliseconds.
+    /// Time since the flow's last packet, to a few milliseconds.
     pub fn idle(&self, now: Millis) -> Millis {
-        Millis(u64::from(ticks(now).saturating_sub(self.seen)) * TICK)
+        Millis(u64::from(ticks(now).saturating_sub(self.last_seen)) * TICK)
     }
 
-    /// Notes that a packet of it passes now.
+    /// Records that a packet of the flow passes now.
     pub fn touch(&mut self, now: Millis) {
-        self.seen = ticks(now);
+        self.last_seen = ticks(now);
     }
 }
 
@@ -81,7 +82,7 @@
     (now.0 / TICK) as u32
 }
 
-/// Takes the flow's id as its hash, which it is.
+/// Uses a flow's id, which is a hash already, as its hash.
 #[derive(Debug, Default)]
 pub struct IdHasher(u64);
 
@@ -101,45 +102,47 @@
     }
 }
 
-/// A map from a flow's id.
+/// A map keyed by flow ids.
 pub type FlowMap<V> = HashMap<FlowId, V, BuildHasherDefault<IdHasher>>;
 
-/// All flows that an instance knows.
+/// The flow table of one instance.
 #[derive(Debug, Default)]
 pub struct Flows {
     map: FlowMap<Flow>,
 }
 
 impl Flows {
-    /// Makes room for this many flows, so that no growth stalls the packets.
+    /// Creates a table with space for this many flows, so that growing it
+    /// doesn't stall packets.
     pub fn with_capacity(flows: usize) -> Flows {
         let map = FlowMap::with_capacity_and_hasher(flows, Default::default());
         Flows { map }
     }
 
-    /// How many flows are known.
+    /// The number of known flows.
     pub fn len(&self) -> usize {
         self.map.len()
     }
 
-    /// Whether none is known.
+    /// Whether no flow is known.
     pub fn is_empty(&self) -> bool {
         self.map.is_empty()
     }
 
-    /// What is known of a flow.
+    /// Returns the entry of a flow.
     #[inline]
     pub fn get(&self, id: FlowId) -> Option<&Flow> {
         self.map.get(&id)
     }
 
-    /// What is known of a flow, to be changed.
+    /// Returns the entry of a flow for changes.
     #[inline]
     pub fn get_mut(&mut self, id: FlowId) -> Option<&mut Flow> {
         self.map.get_mut(&id)
     }
 
-    /// Notes a flow. A surer belief is never replaced by a weaker one.
+    /// Records a flow. A more certain entry is never replaced by a less certain
+    /// one.
     pub fn record(&mut self, id: FlowId, flow: Flow) {
         match self.map.entry(id) {
             Entry::Vacant(vacant) => {
@@ -147,25 +150,27 @@
             }
             Entry::Occupied(mut known) => {
                 let known = known.get_mut();
-                known.seen = known.seen.max(flow.seen);
+                known.last_seen = known.last_seen.max(flow.last_seen);
                 if flow.certainty > known.certainty {
-                    *known = Flow { seen: known.seen, first: known.first, ..flow };
+                    *known =
+                        Flow { last_seen: known.last_seen, first_seen: known.first_seen, ..flow };
                 }
             }
         }
     }
 
-    /// Forgets a flow.
+    /// Removes a flow.
     pub fn remove(&mut self, id: FlowId) -> Option<Flow> {
         self.map.remove(&id)
     }
 
-    /// All flows, for scans and listings.
+    /// All flows with their entries.
     pub fn iter(&self) -> impl Iterator<Item = (FlowId, &Flow)> {
         self.map.iter().map(|(id, flow)| (*id, flow))
     }
 
-    /// Forgets the flows for which `is_over` says so and counts them.
+    /// Removes the flows for which `is_over` returns true. Returns their
+    /// number.
     pub fn expire(&mut self, is_over: impl Fn(&Flow) -> bool) -> u64 {
         let before = self.map.len();
         self.map.retain(|_, flow| !is_over(flow));
--- a/lib/src/groups.rs
+++ b/lib/src/groups.rs
@@ -1,14 +1,13 @@
-//! Digests over a set, one a group of its entries, so that two instances find
-//! the few entries in which they differ without listing all.
+//! Digests over groups of the entries of a set, by which two instances find the
+//! few entries in which they differ without listing all.
 
 use crate::members::rank;
 
-/// Into how many groups entries are hashed: enough that a difference leads to
-/// a few entries of some thousand, and few enough that a request stays near
-/// half a kilobyte.
+/// Number of groups. With this many, a group has a few of some thousand
+/// entries, and a request stays near half a kilobyte.
 pub const GROUPS: usize = 64;
 
-/// The digests of a set whose entries have a name and a fingerprint.
+/// The digests of the groups. Entries have a name and a fingerprint.
 #[derive(Debug, Clone)]
 pub struct Groups(Vec<u64>);
 
@@ -19,12 +18,12 @@
 }
 
 impl Groups {
-    /// Adds an entry, or takes one away that was added.
+    /// Adds an entry, or removes one that was added.
     pub fn toggle(&mut self, name: &str, fingerprint: u64) {
         self.0[group(name)] ^= fingerprint;
     }
 
-    /// One digest over all.
+    /// A single digest over all entries.
     pub fn digest(&self) -> u64 {
         self.0.iter().fold(0, |all, g| all.rotate_left(1) ^ g)
     }
@@ -34,7 +33,7 @@
         self.0.clone()
     }
 
-    /// Whether the entry `name` is in a group that differs from `theirs`.
+    /// Whether the group of the entry `name` differs from that in `theirs`.
     pub fn differs(&self, theirs: &[u64], name: &str) -> bool {
         let group = group(name);
         theirs.get(group) != Some(&self.0[group])
--- a/lib/src/keepers.rs
+++ b/lib/src/keepers.rs
@@ -1,9 +1,11 @@
-//! Who keeps the exceptions of a bucket, computed alike by all.
+//! The keepers of the exceptions of each bucket, computed identically by all
+//! instances.
 //!
-//! A keeper is told the flows of a moved bucket that go elsewhere than the
-//! bucket's present owner. A service has at most [`SERVICE_KEEPERS`] of them,
-//! so that "I have told all" is a handful of messages for each change, however
-//! large the fleet; each bucket uses two of these. See `docs/design/keepers.md`.
+//! A keeper receives adverts of the flows of a moved bucket that go elsewhere
+//! than to the bucket's present owner. A service has at most
+//! [`SERVICE_KEEPERS`] keepers, so that reporting all exceptions as advertised
+//! takes a handful of messages per change, however large the fleet; each bucket
+//! uses two of them. See `docs/design/keepers.md`.
 
 use crate::{
     ids::{Bucket, DomainName, InstanceName, ServiceName},
@@ -12,17 +14,17 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher as _;
 
-/// How many instances keep the exceptions of one service.
+/// Maximum number of keepers of one service.
 pub const SERVICE_KEEPERS: usize = 4;
 
-/// The keepers of one service, best first.
+/// The keepers of one service, the highest ranked first.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Keepers(Vec<InstanceName>);
 
 impl Keepers {
-    /// Chooses by rendezvous hash among those that stay. Neighbours in the
-    /// list come from different failure domains where possible, because the
-    /// two keepers of a bucket must not be lost together.
+    /// Chooses keepers by rendezvous hash among the members that stay.
+    /// Consecutive keepers are in different failure domains where possible, so
+    /// that the two keepers of a bucket are not lost together.
     pub fn choose(service: &ServiceName, members: &[Member]) -> Keepers {
         let mut ranked: Vec<_> = members
             .iter()
@@ -41,14 +43,14 @@
         Keepers(chosen)
     }
 
-    /// The two keepers of a bucket; one or none in a very small fleet.
+    /// The two keepers of a bucket, or fewer in a very small fleet.
     pub fn of(&self, bucket: Bucket) -> impl Iterator<Item = &InstanceName> {
         let count = self.0.len();
         let first = usize::from(bucket.0) % count.max(1);
         (0..count.min(2)).map(move |step| &self.0[(first + step) % count])
     }
 
-    /// All of them.
+    /// All keepers of the service.
     pub fn all(&self) -> &[InstanceName] {
         &self.0
     }
--- a/lib/src/message/mod.rs
+++ b/lib/src/message/mod.rs
@@ -1,8 +1,8 @@
-//! What instances say to each other over the control connections.
+//! The messages that instances exchange over control connections.
 //!
 //! Every message is idempotent and its merge does not depend on order, because
-//! messages are lost, repeated and overtaken. The wire form lives in the
-//! package `medlarspur-peer`.
+//! messages are lost, duplicated and reordered. The wire format is defined in
+//! the package `medlarspur-peer`.
 
 mod size;
 
@@ -16,49 +16,51 @@
 pub type Digest = [u8; 32];
 
 value! {
-    /// Says that the sender lives and what it has; carries news of others.
+    /// Reports that the sender is live, digests of its state, and updates of
+    /// other members.
     pub struct Heartbeat {
-        /// The sender as it sees itself.
+        /// The sender's own entry.
         pub sender: Member,
-        /// Whether the sender waits for a heartbeat in return.
+        /// Whether the sender expects a heartbeat in return.
         pub probe: bool,
         /// The digest of the bundle that the sender has in force.
         pub digest: Digest,
-        /// A digest over the members that the sender believes in.
+        /// A digest over the members known to the sender.
         pub members: u64,
         /// A digest over the plans of all services that the sender follows.
         pub plans: u64,
-        /// A digest over the bucket history that the sender knows.
+        /// A digest over the bucket history known to the sender.
         pub history: u64,
-        /// Changes of other members that the sender learned lately.
+        /// Updates of other members that the sender received lately.
         pub rumours: Vec<Member>,
     }
 
-    /// Asks for the members about which the asker and the asked differ.
+    /// Requests the members on which requester and receiver differ.
     pub struct MembersRequest {
-        /// Where the answer goes.
+        /// The address for the answer.
         pub sender: SocketAddrV4,
-        /// The asker's digests over its members, one a group of names.
+        /// The requester's digests over its members, one per group of names.
         pub groups: Vec<u64>,
     }
 
-    /// Members as the sender believes them to be.
+    /// Members as known to the sender.
     pub struct MembersAnswer {
-        /// Some of those about which asker and asked differ.
+        /// Some of the members on which requester and sender differ.
         pub members: Vec<Member>,
     }
 
-    /// Asks for the bundle in force, naming the text that the asker has.
+    /// Requests the bundle in force.
     pub struct BundleRequest {
-        /// Where the answer goes.
+        /// The address for the answer.
         pub sender: SocketAddrV4,
-        /// The digest of the whole text that the asker has, if it has any.
+        /// The digest of the text that the requester has, if any, as a base for
+        /// a delta.
         pub base: Option<Digest>,
     }
 
-    /// A bundle as the difference to a text that the asker said that it has.
+    /// A bundle as the delta to a text that the requester has.
     pub struct BundleDelta {
-        /// The version of the whole.
+        /// The version of the bundle.
         pub version: Version,
         /// The digest of the whole signed text.
         pub digest: Digest,
@@ -68,12 +70,12 @@
         pub pieces: Vec<Piece>,
     }
 
-    /// What a bundle's text consists of, for an asker whose text is none that
-    /// the sender still has.
+    /// The list of pieces of a bundle's text, for a requester whose text the
+    /// sender does not hold.
     pub struct BundleOutline {
-        /// Whom to ask for the pieces.
+        /// The address to request pieces from.
         pub sender: SocketAddrV4,
-        /// The version of the whole.
+        /// The version of the bundle.
         pub version: Version,
         /// The digest of the whole signed text.
         pub digest: Digest,
@@ -81,19 +83,19 @@
         pub pieces: Vec<u64>,
     }
 
-    /// Asks for pieces of a bundle's text.
+    /// Requests pieces of a bundle's text.
     pub struct PieceRequest {
-        /// Where the answer goes.
+        /// The address for the answer.
         pub sender: SocketAddrV4,
         /// The digest of the whole signed text.
         pub digest: Digest,
-        /// Runs of pieces: the position of the first, and how many.
+        /// Runs of pieces: the position of the first, and their number.
         pub runs: Vec<(u32, u32)>,
     }
 
     /// Pieces of a bundle's text.
     pub struct Pieces {
-        /// Who sends them.
+        /// The address of the sender.
         pub sender: SocketAddrV4,
         /// The digest of the whole signed text.
         pub digest: Digest,
@@ -101,53 +103,55 @@
         pub pieces: Vec<(u32, Arc<str>)>,
     }
 
-    /// Asks for the plans in which the asker and the asked differ.
+    /// Requests the plans in which requester and receiver differ.
     pub struct PlanRequest {
-        /// Where the answers go.
+        /// The address for the answers.
         pub sender: SocketAddrV4,
-        /// The asker's digests over its plans, one a group of services.
+        /// The requester's digests over its plans, one per group of services.
         pub groups: Vec<u64>,
     }
 
-    /// Asks for the history of all services.
+    /// Requests the bucket history of all services.
     pub struct HistoryRequest {
-        /// Where the answers go.
+        /// The address for the answers.
         pub sender: SocketAddrV4,
     }
 
-    /// The moved buckets of one service. The larger (sequence, author) wins.
+    /// The moved buckets of one service. The plan with the larger (sequence,
+    /// author) wins.
     pub struct ServicePlan {
-        /// The service that it is about.
+        /// The service of the buckets.
         pub service: ServiceName,
-        /// Counts the plans of the service.
+        /// Number of the plan, counted per service.
         pub sequence: u64,
         /// The instance that made it.
         pub author: InstanceName,
-        /// Where buckets go that do not go where the table says.
+        /// The buckets that go to another target than by the table.
         pub moves: Vec<(Bucket, TargetName)>,
     }
 
-    /// Flows that a keeper of their bucket has to know.
+    /// Flows for a keeper of their bucket.
     pub struct Advert {
-        /// The instance that tells.
+        /// The instance that sends the advert.
         pub sender: InstanceName,
         /// The service of the flows.
         pub service: ServiceName,
-        /// The flows, each with the target that it goes to.
+        /// The flows, each with its target.
         pub flows: Vec<(FlowId, TargetName)>,
-        /// The table epoch up to which the sender has told all, once it has.
+        /// The stamp up to which the sender has now advertised all its
+        /// exceptions, if it has.
         pub advertised: Option<u64>,
     }
 
-    /// That a target lost a bucket.
+    /// An earlier owner of a bucket.
     pub struct HistoryEntry {
         /// The bucket.
         pub bucket: Bucket,
-        /// The target that may still hold flows of it.
+        /// The target that lost the bucket and may still hold flows of it.
         pub target: TargetName,
-        /// How many milliseconds ago that was.
+        /// Time since the loss, in milliseconds.
         pub age: u64,
-        /// Whether it was the owner, and not only about to become it.
+        /// Whether the target was the owner, and not only about to become it.
         pub owned: bool,
     }
 
@@ -155,15 +159,15 @@
     pub struct History {
         /// The service of the buckets.
         pub service: ServiceName,
-        /// The earlier owners, bucket by bucket.
+        /// The earlier owners, in the order of the buckets.
         pub owners: Vec<HistoryEntry>,
     }
 
-    /// Says that an instance leaves by plan and hands over.
+    /// Announces a planned departure; the instance hands over its duties.
     pub struct Leave {
         /// The instance that leaves.
         pub sender: InstanceName,
-        /// Which of its lives this is about.
+        /// The incarnation that leaves.
         pub incarnation: Incarnation,
     }
 }
@@ -175,14 +179,14 @@
     Copy {
         /// The position of the first piece of the run.
         first: u32,
-        /// How many pieces the run has.
+        /// The number of pieces in the run.
         count: u32,
     },
     /// Text that the base lacks.
     Text(Arc<str>),
 }
 
-/// Any message on a control connection.
+/// A message on a control connection.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Message {
     /// See [`Heartbeat`].
--- a/lib/src/message/size.rs
+++ b/lib/src/message/size.rs
@@ -1,23 +1,22 @@
-//! About how many bytes a message takes on the wire, so that pacing and
-//! measurement in virtual time need no encoder. A test of `medlarspur-peer`
-//! holds it against the encoder.
+//! Estimated sizes of messages on the wire, so that pacing and simulation need
+//! no encoder. A test of `medlarspur-peer` compares them with the encoder.
 
 use super::{Advert, BundleDelta, Heartbeat, Message, Piece, ServicePlan};
 use crate::{collections::Set, members::Member};
 
-/// A tag and a short length or number.
+/// Bytes of a tag and a short length or number.
 const FIELD: usize = 2;
-/// A fixed 64-bit number with its tag.
+/// Bytes of a fixed 64-bit number with its tag.
 const FIXED: usize = 9;
-/// A digest with its tag and length.
+/// Bytes of a digest with its tag and length.
 const DIGEST: usize = 34;
-/// An address with its tag and length.
+/// Bytes of an address with its tag and length.
 const ADDR: usize = 11;
-/// The tags and lengths of a message and of the envelope around it.
+/// Bytes of the tags and lengths of a message and of its envelope.
 const ENVELOPE: usize = 6;
 
 impl Message {
-    /// About how many bytes it takes on the wire, without transport.
+    /// Estimated number of bytes on the wire, without transport.
     pub fn size(&self) -> usize {
         let body = match self {
             Message::Heartbeat(m) => heartbeat(m),
@@ -45,7 +44,7 @@
 }
 
 impl ServicePlan {
-    /// About how many bytes it takes on the wire.
+    /// Estimated number of bytes on the wire.
     pub fn size(&self) -> usize {
         let moves: usize = self.moves.iter().map(|(_, target)| target.as_str().len() + 7).sum();
         let names = self.service.as_str().len() + self.author.as_str().len();
@@ -59,7 +58,7 @@
 }
 
 impl Member {
-    /// About how many bytes it takes on the wire.
+    /// Estimated number of bytes on the wire.
     pub fn size(&self) -> usize {
         member(self)
     }
@@ -71,7 +70,7 @@
     FIELD + names + numbers + FIELD + 3 * ADDR
 }
 
-/// A target's name goes once an advert and not once a flow.
+/// The name of a target is sent once per advert and not once per flow.
 fn advert(m: &Advert) -> usize {
     let targets: Set<&str> = m.flows.iter().map(|(_, target)| target.as_str()).collect();
     let names: usize = targets.iter().map(|name| name.len() + FIELD).sum();
@@ -86,7 +85,7 @@
     number(m.version.0) + 2 * DIGEST + pieces.sum::<usize>()
 }
 
-/// Seven bits go in a byte; zero is left out.
+/// A varint holds seven bits a byte; zero is left out.
 fn number(n: u64) -> usize {
     if n == 0 { 0 } else { 2 + n.ilog2() as usize / 7 }
 }
--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -1,9 +1,10 @@
-//! Moved buckets: where flows go that do not go where the table says.
+//! Plans: buckets that are moved away from the target that the table assigns.
 //!
-//! Whoever ranks first for a service plans for it. Several may believe at
-//! once that they do, and a paused one may wake up and still believe it:
-//! plans are ordered and everyone follows the highest, so two authors cost
-//! some balance and never a flow. See `docs/design/plan.md`.
+//! The instance that ranks first for a service plans for it. Several may
+//! believe at once that they rank first, and one that slept may still believe
+//! it on waking. Plans are therefore ordered and every instance follows the
+//! highest, so two authors cost some balance and never a flow. See
+//! `docs/design/plan.md`.
 
 use crate::{
     collections::Map,
@@ -15,7 +16,7 @@
 use siphasher::sip::SipHasher13;
 use std::{cmp::Ordering, hash::Hasher};
 
-/// Whether `me` is the one that plans for `service`.
+/// Whether `me` is the instance that plans for `service`.
 pub fn is_author<'a>(
     me: &InstanceName,
     service: &ServiceName,
@@ -25,8 +26,9 @@
     is_top(service.as_str(), 1, me.as_str(), live)
 }
 
-/// Orders two plans of one service. The moves come last: an author that lost
-/// its memory may use a sequence twice, and even then all must agree.
+/// Compares two plans of one service. Moves are compared last: an author that
+/// lost its memory may use a sequence twice, and even then all instances have
+/// to agree.
 pub fn compare(a: &ServicePlan, b: &ServicePlan) -> Ordering {
     (a.sequence, &a.author, &a.moves).cmp(&(b.sequence, &b.author, &b.moves))
 }
@@ -39,7 +41,7 @@
 }
 
 impl Plans {
-    /// Starts with nothing moved.
+    /// Creates an empty set of plans.
     pub fn new() -> Plans {
         Plans::default()
     }
@@ -60,7 +62,7 @@
         true
     }
 
-    /// Makes the plan that follows the one held.
+    /// Makes the plan that succeeds the one followed.
     pub fn next(&self, author: &InstanceName, service: &ServiceName, moves: Moves) -> ServicePlan {
         let sequence = self.get(service).map_or(0, |p| p.sequence).saturating_add(1);
         ServicePlan { service: service.clone(), sequence, author: author.clone(), moves }
@@ -71,23 +73,23 @@
         self.plans.values()
     }
 
-    /// A digest over all plans; alike wherever they are alike.
+    /// A digest over all plans. Equal plans have equal digests.
     pub fn digest(&self) -> u64 {
         self.groups.digest()
     }
 
-    /// A digest a group of services.
+    /// The digests of the groups of services.
     pub fn groups(&self) -> Vec<u64> {
         self.groups.to_vec()
     }
 
-    /// The plans in the groups whose digest differs from the asker's.
+    /// The plans in groups whose digests differ from the requester's.
     pub fn differing<'a>(&'a self, groups: &'a [u64]) -> impl Iterator<Item = &'a ServicePlan> {
         self.plans.values().filter(|plan| self.groups.differs(groups, plan.service.as_str()))
     }
 }
 
-/// Buckets with the targets that they go to.
+/// Buckets with the targets that they are moved to.
 pub type Moves = Vec<(crate::ids::Bucket, crate::ids::TargetName)>;
 
 fn fingerprint(plan: &ServicePlan) -> u64 {
--- a/lib/src/question.rs
+++ b/lib/src/question.rs
@@ -1,10 +1,10 @@
-//! The small question on the packet path: "where does this flow go?"
+//! Questions on the packet path about the target of a flow.
 //!
-//! An instance that never saw a flow asks those that may know it while it
-//! holds the packet for some milliseconds. The exchange is one UDP datagram
-//! each way with a keyed checksum, because a forged answer could send a
-//! caller's packets to a target of the forger's choice. Nothing is repeated:
-//! when an answer is lost, the time limit decides.
+//! An instance that does not know a flow asks those that may know it, while it
+//! holds the packet for some milliseconds. The exchange is one UDP datagram in
+//! each direction. Each has a keyed checksum, because a forged answer could
+//! send a caller's packets to a target of the forger's choice. Nothing is
+//! retransmitted: if an answer is lost, the timeout decides.
 
 use crate::{
     ids::FlowId,
@@ -14,39 +14,41 @@
 use snafu::{Snafu, ensure};
 
 value! {
-    /// Asks where a flow goes.
+    /// A question about a flow's target.
     pub struct Question {
         /// The flow.
         pub flow: FlowId,
-        /// Its service, so that a keeper can speak for flows it doesn't know.
+        /// The flow's service, so that a keeper can answer for a flow that it
+        /// doesn't know.
         pub service: ServiceKey,
-        /// Which of the asker's questions this is; the answer repeats it.
+        /// Number of the question at the instance that asks; repeated in the
+        /// answer.
         pub nonce: u32,
     }
 
-    /// Says where a flow goes.
+    /// An answer about a flow's target.
     pub struct Answer {
         /// The flow.
         pub flow: FlowId,
-        /// The number of the question.
+        /// The nonce of the question.
         pub nonce: u32,
-        /// What the answering instance knows.
+        /// What the answering instance knows of the flow.
         pub result: LookupResult,
     }
 }
 
-/// What an instance knows of a flow.
+/// The knowledge of an instance about a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LookupResult {
-    /// It goes to this target.
+    /// The flow goes to this target.
     Known(TargetKey),
-    /// The instance never saw it and can't speak for others.
+    /// The instance does not know the flow and can't rule out that others do.
     Unknown,
-    /// The instance keeps the bucket's exceptions, all of them, and this flow
-    /// is none.
+    /// The instance is a keeper that knows all exceptions of the bucket, and
+    /// this flow is none of them.
     NoException {
         /// Whether the bucket has no exceptions left at all, so that nobody
-        /// need ask about it any more.
+        /// needs to ask about it any more.
         empty: bool,
     },
 }
@@ -60,26 +62,27 @@
     Answer(Answer),
 }
 
-/// Why a datagram from a peer is refused.
+/// The reason for which a datagram of a peer is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum QuestionError {
-    /// Of another length than any message.
+    /// The datagram has the length of no message.
     #[snafu(display("the datagram has a length that no message has"))]
     Length,
-    /// The checksum does not fit: altered, or from outside the site.
+    /// The checksum does not match: the datagram was altered or comes from
+    /// outside the site.
     #[snafu(display("the datagram's checksum is wrong"))]
     Checksum,
-    /// A kind that this version does not know.
+    /// The kind is unknown to this version.
     #[snafu(display("the datagram is of an unknown kind"))]
     Kind,
 }
 
 impl QuestionError {
-    /// All of them, in the order of their values.
+    /// All errors, in the order of their values.
     pub const ALL: [QuestionError; 3] =
         [QuestionError::Length, QuestionError::Checksum, QuestionError::Kind];
 
-    /// The label under which it is counted.
+    /// The metric label of the error.
     pub fn label(self) -> &'static str {
         match self {
             QuestionError::Length => "length",
@@ -94,19 +97,19 @@
 const KIND_UNKNOWN: u8 = 3;
 const KIND_NO_EXCEPTION: u8 = 4;
 const KIND_EMPTY: u8 = 5;
-const CHECKSUM: usize = 8;
-const HEAD: usize = 1 + 4 + 8;
-const SHORT: usize = HEAD + CHECKSUM;
-const ASKING: usize = HEAD + 4 + CHECKSUM;
-const LONG: usize = HEAD + 8 + CHECKSUM;
+const CHECKSUM_LENGTH: usize = 8;
+const HEAD_LENGTH: usize = 1 + 4 + 8;
+const PLAIN_LENGTH: usize = HEAD_LENGTH + CHECKSUM_LENGTH;
+const QUESTION_LENGTH: usize = HEAD_LENGTH + 4 + CHECKSUM_LENGTH;
+const KNOWN_LENGTH: usize = HEAD_LENGTH + 8 + CHECKSUM_LENGTH;
 
 impl Datagram {
-    /// The wire form.
+    /// Encodes the datagram for the wire.
     pub fn encode(&self, secret: &Secret) -> Vec<u8> {
-        let mut bytes = Vec::with_capacity(LONG);
+        let mut bytes = Vec::with_capacity(KNOWN_LENGTH);
         match self {
             Datagram::Question(q) => {
-                head(&mut bytes, KIND_QUESTION, q.nonce, q.flow);
+                write_head(&mut bytes, KIND_QUESTION, q.nonce, q.flow);
                 bytes.extend(q.service.0.to_be_bytes());
             }
             Datagram::Answer(a) => {
@@ -116,7 +119,7 @@
                     LookupResult::NoException { empty: false } => KIND_NO_EXCEPTION,
                     LookupResult::NoException { empty: true } => KIND_EMPTY,
                 };
-                head(&mut bytes, kind, a.nonce, a.flow);
+                write_head(&mut bytes, kind, a.nonce, a.flow);
                 if let LookupResult::Known(target) = a.result {
                     bytes.extend(target.0.to_be_bytes());
                 }
@@ -127,23 +130,23 @@
         bytes
     }
 
-    /// Reads a datagram from anybody.
+    /// Decodes a datagram from an untrusted source.
     pub fn decode(bytes: &[u8], secret: &Secret) -> Result<Datagram, QuestionError> {
-        ensure!([SHORT, ASKING, LONG].contains(&bytes.len()), LengthSnafu);
-        let (body, sum) = bytes.split_at(bytes.len() - CHECKSUM);
+        ensure!([PLAIN_LENGTH, QUESTION_LENGTH, KNOWN_LENGTH].contains(&bytes.len()), LengthSnafu);
+        let (body, sum) = bytes.split_at(bytes.len() - CHECKSUM_LENGTH);
         ensure!(checksum(secret, body) == sum, ChecksumSnafu);
         let nonce = u32::from_be_bytes(array(&body[1..5]));
-        let flow = FlowId(u64::from_be_bytes(array(&body[5..HEAD])));
+        let flow = FlowId(u64::from_be_bytes(array(&body[5..HEAD_LENGTH])));
         let result = match (body[0], body.len()) {
-            (KIND_QUESTION, length) if length == HEAD + 4 => {
-                let service = ServiceKey(u32::from_be_bytes(array(&body[HEAD..])));
+            (KIND_QUESTION, length) if length == HEAD_LENGTH + 4 => {
+                let service = ServiceKey(u32::from_be_bytes(array(&body[HEAD_LENGTH..])));
                 return Ok(Datagram::Question(Question { flow, service, nonce }));
             }
-            (KIND_UNKNOWN, HEAD) => LookupResult::Unknown,
-            (KIND_NO_EXCEPTION, HEAD) => LookupResult::NoException { empty: false },
-            (KIND_EMPTY, HEAD) => LookupResult::NoException { empty: true },
-            (KIND_KNOWN, length) if length == HEAD + 8 => {
-                LookupResult::Known(TargetKey(u64::from_be_bytes(array(&body[HEAD..]))))
+            (KIND_UNKNOWN, HEAD_LENGTH) => LookupResult::Unknown,
+            (KIND_NO_EXCEPTION, HEAD_LENGTH) => LookupResult::NoException { empty: false },
+            (KIND_EMPTY, HEAD_LENGTH) => LookupResult::NoException { empty: true },
+            (KIND_KNOWN, length) if length == HEAD_LENGTH + 8 => {
+                LookupResult::Known(TargetKey(u64::from_be_bytes(array(&body[HEAD_LENGTH..]))))
             }
             _ => return KindSnafu.fail(),
         };
@@ -151,20 +154,20 @@
     }
 }
 
-fn head(bytes: &mut Vec<u8>, kind: u8, nonce: u32, flow: FlowId) {
+fn write_head(bytes: &mut Vec<u8>, kind: u8, nonce: u32, flow: FlowId) {
     bytes.push(kind);
     bytes.extend(nonce.to_be_bytes());
     bytes.extend(flow.0.to_be_bytes());
 }
 
-/// Copies a slice whose length was checked before.
+/// Copies a slice whose length has been checked.
 fn array<const N: usize>(bytes: &[u8]) -> [u8; N] {
     let mut array = [0; N];
     array.copy_from_slice(bytes);
     array
 }
 
-fn checksum(secret: &Secret, bytes: &[u8]) -> [u8; CHECKSUM] {
+fn checksum(secret: &Secret, bytes: &[u8]) -> [u8; CHECKSUM_LENGTH] {
     let hash = blake3::keyed_hash(&secret.0, bytes);
-    array(&hash.as_bytes()[..CHECKSUM])
+    array(&hash.as_bytes()[..CHECKSUM_LENGTH])
 }
--- a/lib/src/table.rs
+++ b/lib/src/table.rs
@@ -1,12 +1,12 @@
-//! The table: which target owns which bucket of a service.
+//! The table that assigns the buckets of a service to targets.
 //!
-//! It is a pure function of the bundle, so that instances which never spoke
-//! agree on it. Buckets are dealt by the Maglev method (Eisenbud et al., NSDI
-//! 2016): each target has its own random order of the buckets and the targets
-//! take turns, as often as their weight says. That keeps the shares within one
-//! bucket of the weights, which plain rendezvous hashing does not, and moves
-//! few buckets beyond those of a target that comes or goes. See
-//! `docs/design/table.md`.
+//! It is a pure function of the bundle, so instances that never communicated
+//! agree on it. Buckets are assigned by the Maglev method (Eisenbud et al.,
+//! NSDI 2016): each target has its own permutation of the buckets, and the
+//! targets take turns, as often as their weight says. This keeps the shares
+//! within one bucket of the weights, which plain rendezvous hashing does not,
+//! and moves few buckets besides those of a target that is added or removed.
+//! See `docs/design/table.md`.
 
 use crate::{
     bundle::{Service, Target, TargetState},
@@ -15,19 +15,19 @@
 use siphasher::sip::SipHasher13;
 use std::hash::Hasher as _;
 
-/// Deals the buckets of a service to the targets that take new flows. `None`
-/// if there is none: then nothing can be opened.
+/// Assigns the buckets of a service to the targets that take new flows. Returns
+/// `None` if there are none; then no flow can be opened.
 pub fn assign_buckets(service: &Service) -> Option<Vec<TargetIx>> {
-    let mut seats = seats(service);
-    let heaviest = seats.iter().map(|seat| seat.weight).max()?;
+    let mut permutations = permutations(service);
+    let heaviest = permutations.iter().map(|permutation| permutation.weight).max()?;
     let size = usize::from(service.buckets);
     let mut owners = vec![None; size];
     let mut left = size;
     while left > 0 {
-        for seat in &mut seats {
-            if left > 0 && seat.has_turn(heaviest) {
-                let bucket = seat.take(&owners);
-                owners[bucket] = Some(seat.target);
+        for permutation in &mut permutations {
+            if left > 0 && permutation.has_turn(heaviest) {
+                let bucket = permutation.take_bucket(&owners);
+                owners[bucket] = Some(permutation.target);
                 left -= 1;
             }
         }
@@ -35,24 +35,25 @@
     owners.into_iter().collect()
 }
 
-/// One target at the deal.
-struct Seat {
+/// A target with its permutation of the buckets.
+struct Permutation {
     target: TargetIx,
     weight: u32,
     credit: u32,
     next: usize,
-    skip: usize,
+    step: usize,
 }
 
-impl Seat {
-    fn new(service: &Service, (position, target): (usize, &Target)) -> Seat {
+impl Permutation {
+    fn new(service: &Service, (position, target): (usize, &Target)) -> Permutation {
         let mask = usize::from(service.buckets) - 1;
-        let hash = place(service, target);
-        // An odd skip visits every bucket, since their number is a power of two.
-        let skip = (hash >> 32) as usize & mask | 1;
+        let hash = permutation_hash(service, target);
+        // An odd step visits every bucket, since their number is a power of
+        // two.
+        let step = (hash >> 32) as usize & mask | 1;
         let target_ix = TargetIx(position as u16);
         let next = hash as usize & mask;
-        Seat { target: target_ix, weight: u32::from(target.weight), credit: 0, next, skip }
+        Permutation { target: target_ix, weight: u32::from(target.weight), credit: 0, next, step }
     }
 
     fn has_turn(&mut self, heaviest: u32) -> bool {
@@ -64,11 +65,11 @@
         true
     }
 
-    /// The first free bucket in the target's own order.
-    fn take(&mut self, owners: &[Option<TargetIx>]) -> usize {
+    /// Takes the first free bucket in the target's permutation.
+    fn take_bucket(&mut self, owners: &[Option<TargetIx>]) -> usize {
         loop {
             let bucket = self.next;
-            self.next = (self.next + self.skip) & (owners.len() - 1);
+            self.next = (self.next + self.step) & (owners.len() - 1);
             if owners[bucket].is_none() {
                 return bucket;
             }
@@ -76,22 +77,22 @@
     }
 }
 
-/// The targets that take part, ordered by name, so that the order of lines in
-/// the bundle moves no bucket.
-fn seats(service: &Service) -> Vec<Seat> {
-    let mut takers: Vec<_> =
+/// The targets that take new flows, ordered by name, so that the order of
+/// targets in the bundle has no effect on the table.
+fn permutations(service: &Service) -> Vec<Permutation> {
+    let mut eligible: Vec<_> =
         service.targets.iter().enumerate().filter(|(_, target)| takes_new_flows(target)).collect();
-    takers.sort_by(|(_, a), (_, b)| a.name.cmp(&b.name));
-    takers.into_iter().map(|taker| Seat::new(service, taker)).collect()
+    eligible.sort_by(|(_, a), (_, b)| a.name.cmp(&b.name));
+    eligible.into_iter().map(|entry| Permutation::new(service, entry)).collect()
 }
 
-/// Whether a target is dealt buckets.
+/// Whether a target takes new flows, so that buckets are assigned to it.
 pub(crate) fn takes_new_flows(target: &Target) -> bool {
     target.state == TargetState::Active && target.weight > 0
 }
 
-/// Where a target's own order of the buckets starts and how it goes on.
-fn place(service: &Service, target: &Target) -> u64 {
+/// Hash that determines the start and the step of a target's permutation.
+fn permutation_hash(service: &Service, target: &Target) -> u64 {
     let mut hasher = SipHasher13::new();
     hasher.write(service.name.as_str().as_bytes());
     hasher.write_u8(0);
--- a/lib/src/view/bucket.rs
+++ b/lib/src/view/bucket.rs
@@ -1,21 +1,22 @@
-//! Where one bucket of a service stands.
+//! The owner, the pending move and the earlier owners of a bucket.
 
 use super::{HISTORY_DEPTH, SETTLE_TIME, Stamp, TargetId};
 use crate::{ids::Version, time::Millis};
 
-/// Where one bucket stands.
+/// The state of one bucket of a service.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct BucketView {
-    /// Gets its new flows; `None` while no target takes any.
+    /// The target of new flows; `None` while no target takes any.
     pub owner: Option<TargetId>,
-    /// What hardly any bucket has. A large site has millions of buckets, and
-    /// with room for this in each their table alone would take 205 MB.
-    doubt: Option<Box<Doubt>>,
+    /// The moves of the bucket, if any. Boxed because hardly any bucket has
+    /// moved: a large site has millions of buckets, and with this inline their
+    /// table alone would take 205 MB.
+    record: Option<Box<MoveRecord>>,
 }
 
-/// Why a flow of a bucket may go elsewhere than to its owner.
+/// The moves by which a flow of the bucket may go elsewhere than to its owner.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-struct Doubt {
+struct MoveRecord {
     pending: Option<PendingMove>,
     history: Vec<EarlierOwner>,
     stamp: Stamp,
@@ -24,51 +25,53 @@
 /// A move that is known and not carried out yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingMove {
-    /// The owner to be.
+    /// The next owner.
     pub target: TargetId,
-    /// Since when it is known here.
+    /// The time at which this instance learned of the move.
     pub since: Millis,
-    /// The bundle that causes it. Instances say which bundle they have, so the
-    /// move may be carried out early; of plans they don't say it.
+    /// The version of the bundle that causes the move, or `None` for a plan.
+    /// Instances report which bundle they have, so the move may be carried out
+    /// early; they don't report plans.
     pub version: Option<Version>,
 }
 
 /// An earlier owner of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EarlierOwner {
-    /// The target.
+    /// The former owner.
     pub target: TargetId,
-    /// When this instance saw it lose the bucket.
+    /// The time at which this instance saw it lose the bucket.
     pub since: Millis,
-    /// Whether it was the owner here, and not only about to become it when the
-    /// move was called off: then few flows, if any, were opened at it.
+    /// Whether it was the owner here. Otherwise it was only about to become the
+    /// owner when the move was called off, and hardly any flows were opened at
+    /// it.
     pub owned: bool,
 }
 
 impl BucketView {
-    /// A bucket that has always had this owner.
+    /// Creates a bucket that has always had this owner.
     pub fn settled(owner: Option<TargetId>) -> BucketView {
         BucketView { owner, ..BucketView::default() }
     }
 
-    /// The move that is about to give its new flows to another target.
+    /// The move that is about to give the bucket's new flows to another target.
     pub fn pending(&self) -> Option<PendingMove> {
-        self.doubt.as_ref()?.pending
+        self.record.as_ref()?.pending
     }
 
     /// Earlier owners that may hold flows, the latest last. A target appears
-    /// more than once when the bucket went to and fro.
+    /// several times if the bucket went back and forth.
     pub fn history(&self) -> &[EarlierOwner] {
-        self.doubt.as_ref().map_or(&[], |doubt| &doubt.history)
+        self.record.as_ref().map_or(&[], |record| &record.history)
     }
 
-    /// The bundle and plan by which it last moved: who has told all up to here
-    /// has told the bucket's exceptions.
+    /// The stamp of the bucket's last move. An instance that has advertised up
+    /// to this stamp has advertised the bucket's exceptions.
     pub fn stamp(&self) -> Stamp {
-        self.doubt.as_ref().map_or(Stamp::default(), |doubt| doubt.stamp)
+        self.record.as_ref().map_or(Stamp::default(), |record| record.stamp)
     }
 
-    /// The targets of the history, each once.
+    /// The earlier owners, each target once.
     pub fn distinct_owners(&self) -> impl Iterator<Item = &EarlierOwner> {
         let history = self.history();
         let is_first = move |ix: usize| {
@@ -78,24 +81,25 @@
         (0..history.len()).filter(move |&ix| is_first(ix)).map(|ix| &history[ix])
     }
 
-    /// Whether a flow that is not known here may go elsewhere than to the
-    /// owner, so that others have to be asked.
+    /// Whether an unknown flow may go elsewhere than to the owner, so that
+    /// peers have to be asked about it.
     pub fn may_have_exceptions(&self) -> bool {
-        self.doubt.is_some()
+        self.record.is_some()
     }
 
-    /// Whether the move is so fresh that the keepers can't know all.
+    /// Whether the last move is so recent that the keepers may not know all
+    /// exceptions yet.
     pub fn is_settling(&self, now: Millis) -> bool {
         let fresh = |earlier: &EarlierOwner| now.since(earlier.since) < SETTLE_TIME;
         self.pending().is_some() || self.history().last().is_some_and(fresh)
     }
 
-    /// The target that most likely has a flow of which nobody knows. If an
-    /// instance went at `orphaned`, that is the bucket's owner of that time,
-    /// else the owner before the last move.
-    pub fn fallback(&self, orphaned: Millis) -> Option<TargetId> {
+    /// The target that most likely has a flow that nobody knows. If an instance
+    /// has gone, `orphaned_since` being the time, this is the bucket's owner at that
+    /// time, otherwise the owner before the last move.
+    pub fn fallback(&self, orphaned_since: Millis) -> Option<TargetId> {
         let owners = || self.history().iter().filter(|earlier| earlier.owned);
-        if let Some(earlier) = owners().find(|earlier| earlier.since >= orphaned) {
+        if let Some(earlier) = owners().find(|earlier| earlier.since >= orphaned_since) {
             return Some(earlier.target);
         }
         match self.pending() {
@@ -106,39 +110,40 @@
 
     pub(super) fn set_pending(&mut self, pending: Option<PendingMove>) {
         if self.pending() != pending {
-            self.edit(|doubt| doubt.pending = pending);
+            self.edit(|record| record.pending = pending);
         }
     }
 
-    /// Says that it moved by this stamp; one without doubt has no use for it.
+    /// Sets the stamp of the last move; discarded if the bucket has never
+    /// moved.
     pub(super) fn set_stamp(&mut self, stamp: Stamp) {
-        self.edit(|doubt| doubt.stamp = stamp);
+        self.edit(|record| record.stamp = stamp);
     }
 
-    /// Notes an earlier owner. When there are too many, the oldest that is
-    /// named more than once goes first, since its flows are still found by the
-    /// other.
-    pub(super) fn remember(&mut self, earlier: EarlierOwner) {
-        self.edit(|doubt| {
-            let history = &mut doubt.history;
+    /// Adds an earlier owner. If there are too many, the oldest entry of a
+    /// target that has a later one is dropped first, since its flows are still
+    /// found by the later entry.
+    pub(super) fn add_earlier(&mut self, earlier: EarlierOwner) {
+        self.edit(|record| {
+            let history = &mut record.history;
             history.push(earlier);
             history.sort_by_key(|earlier| earlier.since);
             if history.len() > HISTORY_DEPTH {
-                let again = |ix: &usize| {
+                let repeated = |ix: &usize| {
                     let target = history[*ix].target;
                     history[*ix + 1..].iter().any(|earlier| earlier.target == target)
                 };
-                let oldest = (0..history.len()).find(again).unwrap_or(0);
+                let oldest = (0..history.len()).find(repeated).unwrap_or(0);
                 history.remove(oldest);
             }
         });
     }
 
-    /// Changes the doubt and drops one that has become empty.
-    fn edit(&mut self, change: impl FnOnce(&mut Doubt)) {
-        let mut doubt = self.doubt.take().unwrap_or_default();
-        change(&mut doubt);
-        let is_empty = doubt.pending.is_none() && doubt.history.is_empty();
-        self.doubt = (!is_empty).then_some(doubt);
+    /// Changes the record of moves, and drops it if it has become empty.
+    fn edit(&mut self, change: impl FnOnce(&mut MoveRecord)) {
+        let mut record = self.record.take().unwrap_or_default();
+        change(&mut record);
+        let is_empty = record.pending.is_none() && record.history.is_empty();
+        self.record = (!is_empty).then_some(record);
     }
 }
--- a/lib/src/view/draft.rs
+++ b/lib/src/view/draft.rs
@@ -17,28 +17,29 @@
 };
 use std::sync::Arc;
 
-/// How long departures are remembered at most: no keep-alive may be longer.
-const LONGEST_SILENCE: Millis = Millis::secs(3_600);
+/// Maximum time that departures are remembered; no keep-alive interval may be
+/// longer.
+const MAX_SILENCE: Millis = Millis::secs(3_600);
 
-/// Gathers changes to a view and publishes them together.
+/// Collects changes to a view and publishes them together.
 #[derive(Debug)]
 pub struct Draft {
     view: View,
     plans: Map<ServiceName, ServicePlan>,
     changed: bool,
-    /// Until when nothing is published, while the first bundle is fresh.
-    fresh: Option<Millis>,
+    /// Time until which nothing is published after the first bundle.
+    publish_at: Option<Millis>,
 }
 
 impl Draft {
-    /// Starts with the first bundle that an instance accepts. Its buckets have
-    /// their owners at once: this instance has moved nothing yet, and what the
-    /// others moved before comes as history from them.
+    /// Creates a draft from the first bundle that an instance accepts. Its
+    /// buckets have their owners at once: this instance has moved nothing yet,
+    /// and earlier moves arrive as history from the others.
     ///
-    /// Nothing is published before [`PUBLISH_DELAY`] has passed. Otherwise a new
-    /// instance would open flows at owners of which an instance that is behind
-    /// has not heard, or before the others know it and can ask it, or would
-    /// judge unknown flows before it knows which buckets have moved.
+    /// Nothing is published before [`PUBLISH_DELAY`] has passed. Otherwise a
+    /// new instance would open flows at owners unknown to an instance that is
+    /// behind, or before the others know the new instance and can ask it, or
+    /// would forward unknown flows before it knows which buckets have moved.
     pub fn first(me: InstanceName, bundle: &Arc<Bundle>, now: Millis) -> Draft {
         let view = View {
             epoch: 0,
@@ -53,21 +54,21 @@
             ports: Arc::default(),
             keys: Arc::default(),
         };
-        let fresh = Some(now + PUBLISH_DELAY);
-        let mut draft = Draft { view, plans: Map::default(), changed: true, fresh };
+        let publish_at = Some(now + PUBLISH_DELAY);
+        let mut draft = Draft { view, plans: Map::default(), changed: true, publish_at };
         draft.install(bundle, now);
         draft
     }
 
-    /// What is published at present.
+    /// The view with the changes made so far.
     pub fn view(&self) -> &View {
         &self.view
     }
 
     /// Puts a bundle in force. Moved buckets become pending. A service that the
-    /// bundle leaves as it was keeps its tables: of thousands of changes a day
-    /// each touches a few services, and to deal all of them again would take an
-    /// instance seconds and twice their memory.
+    /// bundle leaves unchanged keeps its table: each of thousands of changes a
+    /// day touches a few services, and assigning all buckets again would take
+    /// seconds and twice the memory.
     pub fn install(&mut self, bundle: &Arc<Bundle>, now: Millis) {
         self.changed = true;
         self.view.bundle = bundle.clone();
@@ -78,17 +79,17 @@
         let services: Vec<_> = (bundle.services.iter())
             .map(|spec| match old.get(&spec.name) {
                 Some(same) if same.spec == *spec => (*same).clone(),
-                old => self.service(spec, old.copied(), &mut registry, now, cause),
+                old => self.build_service(spec, old.copied(), &mut registry, now, cause),
             })
             .collect();
         self.view.registry = Arc::new(registry);
         self.view.services = services;
-        self.view.ports = Arc::new(ports(bundle));
+        self.view.ports = Arc::new(port_map(bundle));
         let keys = self.view.services.iter().enumerate().map(|(at, s)| (s.key, at)).collect();
         self.view.keys = Arc::new(keys);
     }
 
-    /// Follows the plan of a service.
+    /// Applies the plan of a service.
     pub fn apply_plan(&mut self, plan: ServicePlan, now: Millis) {
         let name = plan.service.clone();
         self.plans.insert(name.clone(), plan);
@@ -99,21 +100,21 @@
         let mut registry = (*self.view.registry).clone();
         let old = self.view.services[position].clone();
         self.view.services[position] =
-            self.service(&old.spec, Some(&old), &mut registry, now, None);
+            self.build_service(&old.spec, Some(&old), &mut registry, now, None);
         self.view.registry = Arc::new(registry);
     }
 
-    /// Takes over who takes part.
+    /// Takes over the members.
     pub fn set_members(&mut self, members: Vec<Member>, now: Millis) {
-        // One that leaves by plan opens the time of orphans as well: what moves
-        // after it has gone, it could tell nobody.
-        let there = |members: &[Member]| -> Set<InstanceName> {
-            let there = members.iter().filter(|member| member.state != MemberState::Dead);
-            there.map(|member| member.name.clone()).collect()
+        // A planned departure can orphan flows as well: the instance can't
+        // advertise exceptions of moves made after it has gone.
+        let present = |members: &[Member]| -> Set<InstanceName> {
+            let present = members.iter().filter(|member| member.state != MemberState::Dead);
+            present.map(|member| member.name.clone()).collect()
         };
-        if !there(&self.view.members).is_subset(&there(&members)) {
+        if !present(&self.view.members).is_subset(&present(&members)) {
             self.view.departed.push(Departure { noticed: now, assumed: false });
-            self.view.departed.retain(|d| now.since(d.noticed) < LONGEST_SILENCE);
+            self.view.departed.retain(|d| now.since(d.noticed) < MAX_SILENCE);
         }
         let me = &self.view.me;
         self.view.leaving = (members.iter())
@@ -122,8 +123,9 @@
         self.view.members = members.into();
         self.changed = true;
         if same {
-            // Most news is that a member has the next bundle. To choose the
-            // keepers of all services again for each would take all day.
+            // Most updates only say that a member has the next bundle. Choosing
+            // the keepers of all services again for each of them would take all
+            // day.
             return;
         }
         for service in &mut self.view.services {
@@ -134,36 +136,37 @@
         }
     }
 
-    /// Merges what a peer knows of earlier owners. The union does not depend
+    /// Merges the earlier owners that a peer knows. The union does not depend
     /// on the order of messages.
-    pub fn merge_history(&mut self, news: &History, now: Millis) {
+    pub fn merge_history(&mut self, history: &History, now: Millis) {
         let registry = self.view.registry.clone();
         let Some(service) =
-            self.view.services.iter_mut().find(|service| service.spec.name == news.service)
+            self.view.services.iter_mut().find(|service| service.spec.name == history.service)
         else {
             return;
         };
-        for entry in &news.owners {
-            let Some(target) = registry.find_by_name(&news.service, &entry.target) else {
+        for entry in &history.owners {
+            let Some(target) = registry.find_by_name(&history.service, &entry.target) else {
                 continue;
             };
-            if is_news(service, entry.bucket, target) {
+            if is_new_owner(service, entry.bucket, target) {
                 let service = Arc::make_mut(service);
                 service.revision += 1;
                 let state = &mut service.buckets[usize::from(entry.bucket.0)];
                 let since = now.since(Millis(entry.age));
-                state.remember(EarlierOwner { target, since, owned: entry.owned });
+                state.add_earlier(EarlierOwner { target, since, owned: entry.owned });
                 state.set_stamp(state.stamp().max(service.stamp));
                 self.changed = true;
             }
         }
     }
 
-    /// Carries out the moves whose time has come.
+    /// Carries out the moves that all live instances know or whose wait is
+    /// over.
     pub fn advance(&mut self, now: Millis) {
-        let known = self.known_by_all();
+        let known = self.common_version();
         let is_known = |version: Option<Version>| known.is_some() && version == known;
-        self.fresh = self.fresh.filter(|at| now < *at);
+        self.publish_at = self.publish_at.filter(|at| now < *at);
         let due = |state: &BucketView| {
             state.pending().is_some_and(|pending| {
                 is_known(pending.version) || now.since(pending.since) >= PENDING_LIMIT
@@ -182,25 +185,25 @@
         }
     }
 
-    /// The next view, if anything changed since the last.
+    /// Returns the next view if anything has changed since the last one.
     pub fn commit(&mut self) -> Option<Arc<View>> {
-        if self.fresh.is_some() || !std::mem::take(&mut self.changed) {
+        if self.publish_at.is_some() || !std::mem::take(&mut self.changed) {
             return None;
         }
         self.view.epoch += 1;
         Some(Arc::new(self.view.clone()))
     }
 
-    /// The bundle version that every live instance has, if all have the same.
-    /// One that is ahead does not count as having the earlier bundle too: it
-    /// may have skipped it, and then doesn't know which buckets that one moves.
-    fn known_by_all(&self) -> Option<Version> {
+    /// The bundle version of all live instances, if they agree. An instance
+    /// that is ahead does not count as having an earlier bundle too: it may
+    /// have skipped it, and then doesn't know which buckets that bundle moves.
+    fn common_version(&self) -> Option<Version> {
         let version = self.view.bundle.version;
         let mut live = self.view.others().filter(|member| member.state != MemberState::Leaving);
         live.all(|member| member.version == version).then_some(version)
     }
 
-    fn service(
+    fn build_service(
         &self,
         spec: &Arc<Service>,
         old: Option<&Arc<ServiceView>>,
@@ -209,7 +212,7 @@
         cause: Option<Version>,
     ) -> Arc<ServiceView> {
         let ids: Vec<_> = spec.targets.iter().map(|target| registry.intern(spec, target)).collect();
-        let wanted = self.wanted(spec, &ids);
+        let wanted = self.wanted_owners(spec, &ids);
         let old = old.filter(|old| old.buckets.len() == wanted.len());
         let keepers = Keepers::choose(&spec.name, &self.view.members);
         let Some(old) = old else {
@@ -227,7 +230,7 @@
         let stamp = self.stamp(&spec.name);
         let pairs = old.buckets.iter().zip(wanted);
         let buckets: Vec<_> =
-            pairs.map(|(state, wanted)| turn(state, wanted, now, cause, stamp)).collect();
+            pairs.map(|(state, wanted)| retarget(state, wanted, now, cause, stamp)).collect();
         let moved = buckets != old.buckets;
         let stamp = if moved { stamp } else { old.stamp };
         let revision = old.revision + u64::from(moved);
@@ -239,17 +242,17 @@
         Stamp::new(self.view.bundle.version, sequence)
     }
 
-    /// The owners that bundle and plan ask for.
-    fn wanted(&self, spec: &Service, ids: &[TargetId]) -> Vec<Option<TargetId>> {
-        let Some(dealt) = table::assign_buckets(spec) else {
+    /// The owners according to bundle and plan.
+    fn wanted_owners(&self, spec: &Service, ids: &[TargetId]) -> Vec<Option<TargetId>> {
+        let Some(assigned) = table::assign_buckets(spec) else {
             return vec![None; usize::from(spec.buckets)];
         };
         let mut wanted: Vec<_> =
-            dealt.into_iter().map(|target| Some(ids[usize::from(target.0)])).collect();
+            assigned.into_iter().map(|target| Some(ids[usize::from(target.0)])).collect();
         let moves = self.plans.get(&spec.name).map(|plan| plan.moves.as_slice());
         for (bucket, name) in moves.unwrap_or_default() {
             let (Some(slot), Some(place)) =
-                (wanted.get_mut(usize::from(bucket.0)), active(spec, name))
+                (wanted.get_mut(usize::from(bucket.0)), active_position(spec, name))
             else {
                 continue;
             };
@@ -259,21 +262,21 @@
     }
 }
 
-/// The members that duties are dealt to, and their failure domains.
+/// The members to which duties are assigned, and their failure domains.
 fn eligible(members: &[Member]) -> impl Iterator<Item = (&InstanceName, &DomainName)> {
     let stays = |member: &&Member| matches!(member.state, MemberState::Live | MemberState::Suspect);
     members.iter().filter(stays).map(|member| (&member.name, &member.domain))
 }
 
 /// The position of a target that takes new flows. A plan may be older than the
-/// bundle, and must not bring back a target that has left since.
-fn active(spec: &Service, name: &TargetName) -> Option<usize> {
+/// bundle and must not bring back a target that has left since.
+fn active_position(spec: &Service, name: &TargetName) -> Option<usize> {
     spec.targets
         .iter()
         .position(|target| &target.name == name && target.state == TargetState::Active)
 }
 
-fn ports(bundle: &Bundle) -> Ports {
+fn port_map(bundle: &Bundle) -> Ports {
     let mut map = Ports::default();
     for (position, service) in bundle.services.iter().enumerate() {
         for port in &service.ports {
@@ -283,8 +286,8 @@
     map
 }
 
-/// The state of a bucket that shall have the owner `wanted`.
-fn turn(
+/// The next state of a bucket whose owner should be `wanted`.
+fn retarget(
     state: &BucketView,
     wanted: Option<TargetId>,
     now: Millis,
@@ -292,23 +295,23 @@
     stamp: Stamp,
 ) -> BucketView {
     let mut next = state.clone();
-    let under_way = state.pending().filter(|pending| Some(pending.target) == wanted);
+    let ongoing = state.pending().filter(|pending| Some(pending.target) == wanted);
     next.set_pending(match wanted {
         Some(target) if state.owner != wanted => {
-            Some(under_way.unwrap_or(PendingMove { target, since: now, version: cause }))
+            Some(ongoing.unwrap_or(PendingMove { target, since: now, version: cause }))
         }
-        // No target takes new flows: the old ones stay where they are.
+        // No target takes new flows: flows that exist stay where they are.
         _ => None,
     });
     if wanted.is_none() {
         carry_out_to(&mut next, None, now);
     }
-    // A move that was called off may have been carried out by an instance that
-    // was ahead, so its target may hold flows.
+    // An instance that was ahead may have carried out a move that was called
+    // off, so its target may hold flows.
     if let Some(pending) = state.pending()
-        && under_way.is_none()
+        && ongoing.is_none()
     {
-        next.remember(EarlierOwner { target: pending.target, since: now, owned: false });
+        next.add_earlier(EarlierOwner { target: pending.target, since: now, owned: false });
     }
     if next != *state {
         next.set_stamp(stamp);
@@ -316,8 +319,8 @@
     next
 }
 
-/// The old owner is noted before the move is struck out: a bucket that is
-/// without doubt in between would forget its stamp.
+/// Carries out the pending move. The old owner is added before the move is
+/// cleared, since a bucket without any moves in between would lose its stamp.
 fn carry_out(state: &mut BucketView, now: Millis) {
     let Some(pending) = state.pending() else { return };
     carry_out_to(state, Some(pending.target), now);
@@ -328,12 +331,12 @@
     if let Some(old) = state.owner
         && Some(old) != owner
     {
-        state.remember(EarlierOwner { target: old, since: now, owned: true });
+        state.add_earlier(EarlierOwner { target: old, since: now, owned: true });
     }
     state.owner = owner;
 }
 
-fn is_news(service: &ServiceView, bucket: Bucket, target: TargetId) -> bool {
+fn is_new_owner(service: &ServiceView, bucket: Bucket, target: TargetId) -> bool {
     service
         .buckets
         .get(usize::from(bucket.0))
--- a/lib/src/view/mod.rs
+++ b/lib/src/view/mod.rs
@@ -1,16 +1,15 @@
-//! The view: all that the packet path needs to know, as one immutable value.
+//! The view: the state that the packet path needs, as one immutable value.
 //!
-//! The control thread gathers changes in a [`Draft`] and publishes the next
-//! view whole, so the packet thread never sees half a change.
+//! The control thread collects changes in a [`Draft`] and publishes the next
+//! view as a whole, so the packet thread never sees a partial change.
 //!
-//! A bucket moves in two steps. It first becomes *pending*: everybody learns
-//! that it is about to move, and asks before acting on a flow of it that it
-//! does not know, but new flows still go to the old owner. Only when all live
-//! instances have learnt that, or [`PENDING_LIMIT`] has passed, do new flows go
-//! to the new owner. With one step, a flow opened at the new owner by an
-//! instance that is ahead would have its next packet sent to the old owner by
-//! one that is behind, and the old owner would reset it. See
-//! `docs/design/moves.md`.
+//! A bucket moves in two steps. It first becomes *pending*: instances learn
+//! that it is about to move and ask peers about its flows that they don't know,
+//! but new flows still go to the old owner. Once all live instances have
+//! learned that, or [`PENDING_LIMIT`] has passed, new flows go to the new
+//! owner. With a single step, an instance that is ahead would open a flow at
+//! the new owner, one that is behind would send the next packet of the flow to
+//! the old owner, and the old owner would reset it. See `docs/design/moves.md`.
 
 mod bucket;
 mod draft;
@@ -35,61 +34,62 @@
     sync::Arc,
 };
 
-/// How long a move waits at most for instances that have not confirmed it. A
-/// leaving target must get no new work within two seconds, and news takes a
-/// few hundred milliseconds to spread.
+/// Maximum time that a move waits for instances that have not confirmed it. A
+/// leaving target must get no new work after two seconds, and an update takes a
+/// few hundred milliseconds to reach all instances.
 pub const PENDING_LIMIT: Millis = Millis(1_200);
 
-/// How long a new instance serves nothing after its first bundle: a move may be
-/// pending for [`PENDING_LIMIT`], and the heartbeat that shows its history to
-/// differ comes within a second.
+/// Time after its first bundle in which a new instance serves nothing. A move
+/// may be pending for [`PENDING_LIMIT`], and the heartbeat that shows that its
+/// history differs arrives within a second.
 pub const PUBLISH_DELAY: Millis = Millis(2_500);
 
-/// How long after a move all members, and not only the keepers, are asked
-/// about an unknown flow: covers a handshake in flight and the time that the
-/// exceptions take to reach their keepers under the control budget.
+/// Time after a move in which all members, and not only the keepers, are asked
+/// about an unknown flow. It covers a handshake in flight and the time that
+/// exceptions take to reach their keepers within the budget for control
+/// traffic.
 pub const SETTLE_TIME: Millis = Millis::secs(10);
 
-/// How long an instance may be gone before it is missed: some heartbeats and
-/// the time for refuting a suspicion. A bucket that moved meanwhile was another
-/// target's when the instance opened its flows.
+/// Maximum time until the departure of an instance is noticed: some heartbeats
+/// and the time to refute a suspicion. A bucket that moved in that time
+/// belonged to another target when the instance opened its flows.
 pub const DETECTION_TIME: Millis = Millis(12_000);
 
-/// How many earlier owners a bucket remembers.
+/// Maximum number of earlier owners kept per bucket.
 pub const HISTORY_DEPTH: usize = 8;
 
-/// What the packet path knows, published as a whole.
+/// The state of the packet path, published as a whole.
 #[derive(Debug, Clone)]
 pub struct View {
-    /// Grows by one with each view that an instance publishes.
+    /// Incremented with each view that an instance publishes.
     pub epoch: u64,
     /// The bundle in force.
     pub bundle: Arc<Bundle>,
-    /// Hashes flows with the bundle's key.
+    /// Hashes flows with the bundle's seed.
     pub hasher: Hasher,
     /// Every target that was ever in a bundle here, by its local id.
     pub registry: Arc<Registry>,
-    /// The services in the order of the bundle.
+    /// The services, in the order of the bundle.
     pub services: Vec<Arc<ServiceView>>,
-    /// All instances that are known, this one too.
+    /// All known instances, this one included.
     pub members: Arc<[Member]>,
-    /// This instance.
+    /// The name of this instance.
     pub me: InstanceName,
     /// Whether this instance leaves.
     pub leaving: bool,
-    /// The instances that have gone, the earliest first.
+    /// The departures of instances, the earliest first.
     pub departed: Vec<Departure>,
     ports: Arc<Ports>,
     keys: Arc<Map<ServiceKey, usize>>,
 }
 
 impl View {
-    /// What this instance knows of earlier owners, a message a service.
+    /// The earlier owners known to this instance, as one message per service.
     pub fn histories(&self, now: Millis) -> Vec<History> {
-        self.services.iter().filter_map(|service| self.history(service, now)).collect()
+        self.services.iter().filter_map(|service| self.service_history(service, now)).collect()
     }
 
-    fn history(&self, service: &ServiceView, now: Millis) -> Option<History> {
+    fn service_history(&self, service: &ServiceView, now: Millis) -> Option<History> {
         if service.revision == 0 {
             return None;
         }
@@ -107,8 +107,8 @@
         (!owners.is_empty()).then(|| History { service: service.spec.name.clone(), owners })
     }
 
-    /// A digest over the earlier owners that does not depend on the order in
-    /// which they were learnt, so that peers can compare what they know.
+    /// A digest over the earlier owners. It does not depend on the order in
+    /// which they were learned, so peers can compare their histories.
     pub fn history_digest(&self) -> u64 {
         let mut digest = 0;
         for service in self.services.iter().filter(|service| service.revision > 0) {
@@ -123,22 +123,23 @@
     }
 }
 
-/// That an instance has gone.
+/// The departure of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Departure {
-    /// When this instance noticed it.
+    /// The time at which this instance noticed it.
     pub noticed: Millis,
-    /// Whether it can only be supposed, because this instance has just come:
-    /// then it may have happened any time before.
+    /// Whether the departure is only assumed, because this instance has just
+    /// started: an instance may have gone at any time before.
     pub assumed: bool,
 }
 
-/// The port of a service: its position in the bundle and the class of its work.
+/// The position in the bundle of the service that has a port, and the port's
+/// class.
 type Ports = Map<(Ipv4Addr, u16, Protocol), (usize, Class)>;
 
 impl View {
-    /// The service at an address and port, looked up exactly: this alone keeps
-    /// the traffic of one service from another's targets.
+    /// Returns the service at an address and port. Only an exact match counts,
+    /// which keeps the traffic of one service from the targets of another.
     #[inline]
     pub fn service_at(
         &self,
@@ -149,12 +150,12 @@
         Some((self.services[position].as_ref(), class))
     }
 
-    /// The service that a question names.
+    /// Returns the service that a question names.
     pub fn service_by_key(&self, key: ServiceKey) -> Option<&ServiceView> {
         self.keys.get(&key).map(|&position| self.services[position].as_ref())
     }
 
-    /// The position of each target's service in the bundle, by target id, for
+    /// The position in the bundle of each target's service, by target id, for
     /// scans of all flows.
     pub fn service_positions(&self) -> Vec<Option<usize>> {
         let names: Map<_, _> =
@@ -162,22 +163,24 @@
         self.registry.iter().map(|entry| names.get(&entry.service).copied()).collect()
     }
 
-    /// A service by its name.
+    /// Returns the service with this name.
     pub fn service(&self, name: &ServiceName) -> Option<&Arc<ServiceView>> {
         self.services.iter().find(|service| &service.spec.name == name)
     }
 
-    /// The other instances that can be asked.
+    /// The other instances that are not dead, which can be asked.
     pub fn others(&self) -> impl Iterator<Item = &Member> {
         self.members
             .iter()
             .filter(|member| member.name != self.me && !matches!(member.state, MemberState::Dead))
     }
 
-    /// When the first instance went of those that have gone not longer ago than
-    /// a flow may be silent: flows may have been known only to that one.
+    /// The time since which flows of the service may be orphans, known only to
+    /// an instance that has gone: the first departure within the last keep-alive
+    /// interval.
     ///
-    /// One may always have gone that is not missed yet.
+    /// An instance may always have gone without being missed yet, so the time is
+    /// at least [`DETECTION_TIME`] ago.
     pub fn orphaned_since(&self, service: &ServiceView, now: Millis) -> Millis {
         let keepalive = service.spec.keepalive;
         match self.departed.iter().find(|d| now.since(d.noticed) < keepalive) {
@@ -188,37 +191,37 @@
     }
 }
 
-/// One service on the packet path.
+/// The state of one service on the packet path.
 #[derive(Debug, Clone)]
 pub struct ServiceView {
-    /// What the bundle says of it.
+    /// The service as defined in the bundle.
     pub spec: Arc<Service>,
-    /// Where each bucket stands.
+    /// The state of each bucket.
     pub buckets: Vec<BucketView>,
-    /// Who keeps its exceptions.
+    /// The keepers of its exceptions.
     pub keepers: Keepers,
-    /// Its name in questions.
+    /// Its key in questions.
     pub key: ServiceKey,
-    /// The bundle and plan by which its buckets last moved, alike on all
-    /// instances: "I have told all" is said up to a stamp.
+    /// The bundle and plan by which its buckets last moved, equal on all
+    /// instances. Adverts state the stamp up to which they are complete.
     pub stamp: Stamp,
-    /// Counts the changes of its buckets on this instance. At 0 all are as they
-    /// were dealt, which saves looking at them.
+    /// Counts the changes of its buckets on this instance. At 0 all buckets are
+    /// as assigned, which saves looking at them.
     pub revision: u64,
 }
 
 number! {
-    /// Orders the states of a service's table: the bundle's version, then the
+    /// Orders the states of a service's buckets: the bundle's version, then the
     /// plan's sequence.
     Stamp: u64,
 }
 
-/// How many of a stamp's bits count plans; a plan a minute fills them in two
-/// years of one bundle version.
+/// Number of bits of a stamp that hold the plan's sequence. With a plan a
+/// minute they last for two years of one bundle version.
 const PLAN_BITS: u32 = 20;
 
 impl Stamp {
-    /// The stamp of a bundle with a plan.
+    /// The stamp of a bundle version with a plan's sequence.
     pub fn new(version: Version, sequence: u64) -> Stamp {
         Stamp(version.0 << PLAN_BITS | sequence & ((1 << PLAN_BITS) - 1))
     }
@@ -230,7 +233,8 @@
         self.revision > 0 && self.buckets.iter().any(|state| state.pending().is_some())
     }
 
-    /// Whether some bucket has an earlier owner or is about to move.
+    /// Whether some bucket may have exceptions, as it has an earlier owner or
+    /// is about to move.
     pub fn may_have_exceptions(&self) -> bool {
         self.revision > 0 && self.buckets.iter().any(BucketView::may_have_exceptions)
     }
@@ -241,7 +245,7 @@
         Bucket((flow.0 as usize & (self.buckets.len() - 1)) as u16)
     }
 
-    /// Where a bucket stands.
+    /// The state of a bucket.
     #[inline]
     pub fn state(&self, bucket: Bucket) -> &BucketView {
         &self.buckets[usize::from(bucket.0)]
--- a/lib/src/view/registry.rs
+++ b/lib/src/view/registry.rs
@@ -1,7 +1,7 @@
-//! Local ids of targets that stay the same over all bundles.
+//! Local ids of targets, which stay the same across bundles.
 //!
 //! A flow outlives the bundle in which it was opened, and its target may have
-//! another position in the next one or none at all. Entries are never removed:
+//! another position in the next bundle or be gone. Entries are never removed:
 //! they cost some hundred bytes each, and an instance is replaced long before
 //! that adds up.
 
@@ -14,18 +14,18 @@
 use std::{hash::Hasher as _, net::SocketAddrV4, sync::Arc};
 
 number! {
-    /// A target on this instance, for as long as the process runs.
+    /// A target on this instance, valid while the process runs.
     TargetId: u32,
-    /// A target in messages: a hash of its service, name and address, alike on
-    /// all instances. A target that comes back under another address is
-    /// another target, since its connections are gone.
+    /// A target in messages: a hash of its service, name and address, equal on
+    /// all instances. A target that comes back under another address is another
+    /// target, since its connections are gone.
     TargetKey: u64,
     /// A service in questions between instances: a hash of its name.
     ServiceKey: u32,
 }
 
 impl ServiceKey {
-    /// The key of the service with this name.
+    /// Computes the key of the service with this name.
     pub fn of(name: &ServiceName) -> ServiceKey {
         let mut hasher = SipHasher13::new();
         hasher.write(name.as_str().as_bytes());
@@ -33,12 +33,12 @@
     }
 }
 
-/// A target as the packet path needs it.
+/// The data of a target that the packet path needs.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TargetEntry {
-    /// Its name in messages.
+    /// Its key in messages.
     pub key: TargetKey,
-    /// Its service; a target has just one.
+    /// Its only service.
     pub service: ServiceName,
     /// Its name in the bundle.
     pub name: TargetName,
@@ -46,7 +46,7 @@
     pub address: SocketAddrV4,
 }
 
-/// All targets that this instance has ever seen in a bundle.
+/// All targets that were ever in a bundle on this instance.
 #[derive(Debug, Clone, Default)]
 pub struct Registry {
     entries: Vec<Arc<TargetEntry>>,
@@ -61,12 +61,12 @@
         &self.entries[id.0 as usize]
     }
 
-    /// The id of a target that a message names.
+    /// Returns the id of a target that a message names.
     pub fn find_by_key(&self, key: TargetKey) -> Option<TargetId> {
         self.ids.get(&key).copied()
     }
 
-    /// The target of this name in a service that was last in a bundle here.
+    /// Returns the id of the target that last had this name in the service.
     pub fn find_by_name(&self, service: &ServiceName, name: &TargetName) -> Option<TargetId> {
         self.names.get(&(service.clone(), name.clone())).copied()
     }
@@ -76,7 +76,8 @@
         self.entries.iter().map(|entry| entry.as_ref())
     }
 
-    /// The id of a target of the bundle, given now if it has none.
+    /// Returns the id of a target of the bundle, and assigns one if it has
+    /// none.
     pub fn intern(&mut self, service: &Service, target: &Target) -> TargetId {
         let key = key(service, target);
         let next = TargetId(self.entries.len() as u32);
