--- a/lib/examples/fleet_slopes.rs
+++ b/lib/examples/fleet_slopes.rs
@@ -145,7 +145,7 @@
     const CUT: u64 = 60;
     net.nodes[5].up = false;
     let dead = until(net, 60, |net| seen_dead(net, 5));
-    net.cut.insert(DomainName::new("d1"));
+    net.partitioned.insert(DomainName::new("d1"));
     net.platform = None;
     let text = bundle(100, services);
     net.event(0, Event::PlatformBundle(text.clone()));
@@ -153,7 +153,7 @@
     net.run(Millis::secs(CUT));
     let cut = spent(before, total(net), CUT as f64, nodes);
 
-    net.cut.clear();
+    net.partitioned.clear();
     let (before, healed) = (total(net), net.now);
     let bundle = until(net, 60, |net| net.all_have(&text));
     let members = bundle + until(net, 300, |net| all_know_all(net, nodes - 1));
--- a/lib/tests/fleet.rs
+++ b/lib/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several instances' control state machines in virtual time.
+//! Simulations of several instances' control state machines in virtual time.
 
 #[path = "fleet/net.rs"]
 mod net;
--- a/lib/tests/fleet/net.rs
+++ b/lib/tests/fleet/net.rs
@@ -1,4 +1,5 @@
-//! Controllers joined by a network in memory that loses, doubles and reorders.
+//! Controllers joined by a simulated network that loses, duplicates and
+//! reorders messages.
 
 use medlarspur_lib::{
     control::{Action, ControlSettings, Controller, Event, TICK},
@@ -32,14 +33,14 @@
     }
 }
 
-/// What the network does to a message, by a small generator from a seed.
+/// The faults of the network, drawn by a random generator with a fixed seed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Faults {
-    /// Percent of messages that are lost.
+    /// Percentage of messages that are lost.
     pub lost: u64,
-    /// Percent that come twice.
-    pub doubled: u64,
-    /// The longest delay in milliseconds; messages overtake each other.
+    /// Percentage of messages that are duplicated.
+    pub duplicated: u64,
+    /// Maximum delay in milliseconds; messages overtake each other.
     pub delay: u64,
 }
 
@@ -47,12 +48,12 @@
     pub now: Millis,
     pub nodes: Vec<Node>,
     pub faults: Faults,
-    /// Domains that reach only each other.
-    pub cut: BTreeSet<DomainName>,
-    /// What the platform serves; `None` while it is down.
+    /// The domains on one side of a network partition.
+    pub partitioned: BTreeSet<DomainName>,
+    /// The bundle that the platform returns; `None` while it is down.
     pub platform: Option<Arc<str>>,
     pub list: Vec<Candidate>,
-    flying: BTreeMap<(u64, u64), (SocketAddrV4, SocketAddrV4, Message)>,
+    in_flight: BTreeMap<(u64, u64), (SocketAddrV4, SocketAddrV4, Message)>,
     count: u64,
     random: u64,
 }
@@ -68,7 +69,7 @@
     pub members: Vec<Member>,
     pub slept: usize,
     pub calls: usize,
-    /// Messages and their bytes on the wire, transport apart.
+    /// Messages sent, and their bytes on the wire without transport.
     pub sent: Traffic,
 }
 
@@ -123,10 +124,10 @@
             now: Millis(0),
             nodes,
             faults: Faults { delay: 3, ..Faults::default() },
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             platform: Some(text(1, 4)),
             list: Vec::new(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             count: 0,
             random: seed,
         }
@@ -138,7 +139,7 @@
         (z ^ (z >> 27)) % below.max(1)
     }
 
-    /// Ends a node and starts it again with an empty memory.
+    /// Replaces a node by a restarted one with an empty memory.
     pub fn restart(&mut self, ix: usize) {
         let seeds = self
             .nodes
@@ -151,7 +152,7 @@
         self.nodes[ix] = Node::new(me, seeds);
     }
 
-    /// Lets `span` pass.
+    /// Advances the virtual time by `span`.
     pub fn run(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -187,7 +188,7 @@
         let from = node.me.addresses.control;
         for action in node.controller.handle(self.now, event) {
             match action {
-                Action::Send { to, message } => self.post(from, to, message),
+                Action::Send { to, message } => self.send_message(from, to, message),
                 Action::Accepted(signed) => self.nodes[ix].accepted.push((self.now, signed)),
                 Action::Members(members) => self.nodes[ix].members = members,
                 Action::ReadPlatform(reading) => self.nodes[ix].reading = reading,
@@ -198,7 +199,7 @@
         }
     }
 
-    fn post(&mut self, from: SocketAddrV4, to: SocketAddrV4, message: Message) {
+    fn send_message(&mut self, from: SocketAddrV4, to: SocketAddrV4, message: Message) {
         if let Some(node) = self.at(from) {
             let sent = &mut self.nodes[node].sent;
             sent.messages += 1;
@@ -207,23 +208,23 @@
         if self.random(100) < self.faults.lost {
             return;
         }
-        let copies = if self.random(100) < self.faults.doubled { 2 } else { 1 };
+        let copies = if self.random(100) < self.faults.duplicated { 2 } else { 1 };
         for _ in 0..copies {
             let due = self.now.0 + 1 + self.random(self.faults.delay);
             self.count += 1;
-            self.flying.insert((due, self.count), (from, to, message.clone()));
+            self.in_flight.insert((due, self.count), (from, to, message.clone()));
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.flying.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now.0 {
                 return;
             }
             let (from, to, message) = entry.remove();
             if let (Some(a), Some(b)) = (self.at(from), self.at(to))
-                && self.cut.contains(&self.nodes[a].me.domain)
-                    == self.cut.contains(&self.nodes[b].me.domain)
+                && self.partitioned.contains(&self.nodes[a].me.domain)
+                    == self.partitioned.contains(&self.nodes[b].me.domain)
             {
                 self.event(b, Event::Peer(message));
             }
@@ -236,33 +237,33 @@
         (ix < self.nodes.len()).then_some(ix)
     }
 
-    /// Whether all nodes that are up have this text in force.
+    /// Whether all running nodes have this text in force.
     pub fn all_have(&self, text: &str) -> bool {
         let up = self.nodes.iter().filter(|n| n.up);
         up.into_iter().all(|n| n.controller.current().is_some_and(|t| &*t.text == text))
     }
 
-    /// Whether no node ever went back to an older bundle.
-    pub fn never_back(&self) -> bool {
+    /// Whether no node ever reverted to an older bundle.
+    pub fn never_reverted(&self) -> bool {
         self.nodes.iter().all(|n| n.accepted.windows(2).all(|w| w[0].1.order() < w[1].1.order()))
     }
 
-    /// How `watcher` sees `ix`.
-    pub fn seen(&self, watcher: usize, ix: usize) -> Option<&Member> {
+    /// The belief of `watcher` about `ix`.
+    pub fn belief(&self, watcher: usize, ix: usize) -> Option<&Member> {
         self.nodes[watcher].members.iter().find(|m| m.name == self.nodes[ix].me.name)
     }
 
-    /// Whether all that are up see all that are up as live.
+    /// Whether all running nodes see each other as live.
     pub fn all_live(&self) -> bool {
         let up: Vec<usize> = (0..self.nodes.len()).filter(|ix| self.nodes[*ix].up).collect();
         let live =
-            |a: usize, b: usize| self.seen(a, b).is_some_and(|m| m.state == MemberState::Live);
+            |a: usize, b: usize| self.belief(a, b).is_some_and(|m| m.state == MemberState::Live);
         up.iter().all(|a| up.iter().all(|b| live(*a, *b)))
     }
 }
 
 impl Node {
-    /// Its line in the platform's list.
+    /// The node's entry in the platform's list.
     pub fn candidate(&self) -> Candidate {
         Candidate {
             name: self.me.name.clone(),
--- a/lib/tests/fleet/test_faults.rs
+++ b/lib/tests/fleet/test_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that come together, in any order.
+//! Combinations of faults in any order.
 
 use crate::net::{Faults, Net, member, text};
 use medlarspur_lib::{
@@ -10,11 +10,11 @@
 use proptest::prelude::*;
 use std::sync::Arc;
 
-/// One thing that goes wrong, or right again.
+/// A fault or its end.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Publish(u64),
-    Race(u64),
+    Conflict(u64),
     Stale(u64),
     PlatformDown,
     Kill(usize),
@@ -33,7 +33,7 @@
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         (1u64..9).prop_map(Fault::Publish),
-        (1u64..9).prop_map(Fault::Race),
+        (1u64..9).prop_map(Fault::Conflict),
         (1u64..9).prop_map(Fault::Stale),
         Just(Fault::PlatformDown),
         (0..NODES).prop_map(Fault::Kill),
@@ -50,7 +50,7 @@
 fn apply(net: &mut Net, fault: Fault) {
     match fault {
         Fault::Publish(version) | Fault::Stale(version) => net.platform = Some(text(version, 4)),
-        Fault::Race(version) => {
+        Fault::Conflict(version) => {
             let (a, b): (Arc<str>, Arc<str>) = (text(version, 5), text(version, 6));
             net.event(0, Event::PlatformBundle(a));
             net.event(1, Event::PlatformBundle(b));
@@ -61,15 +61,16 @@
         Fault::Sleep(ix) => net.nodes[ix].asleep = true,
         Fault::Wake(ix) => net.nodes[ix].asleep = false,
         Fault::Cut(d) => {
-            net.cut.insert(DomainName::new(&format!("d{d}")));
+            net.partitioned.insert(DomainName::new(&format!("d{d}")));
         }
-        Fault::Heal => net.cut.clear(),
+        Fault::Heal => net.partitioned.clear(),
         Fault::Plan(service, moves) => plan(net, service, moves),
-        Fault::Loss(lost) => net.faults = Faults { lost, doubled: 20, delay: 40 },
+        Fault::Loss(lost) => net.faults = Faults { lost, duplicated: 20, delay: 40 },
     }
 }
 
-/// Each instance wants buckets moved; those that believe that they plan do so.
+/// Proposes moves at each instance; those that believe to be the author plan
+/// them.
 fn plan(net: &mut Net, service: u8, moves: u16) {
     for ix in 0..NODES {
         let target = |ix: usize| TargetName::new(&format!("t{ix}"));
@@ -80,7 +81,7 @@
 }
 
 /// The highest bundle that any instance has in force.
-fn witness(net: &Net) -> Option<Arc<str>> {
+fn highest_bundle(net: &Net) -> Option<Arc<str>> {
     let up = net.nodes.iter().filter_map(|n| n.controller.current());
     up.max_by_key(|t| t.order()).map(|t| t.text.clone())
 }
@@ -88,11 +89,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever goes wrong, alone, together or twice: no instance goes back to
-    /// an older bundle, and soon after all is well again, all have the highest
-    /// one that any has, follow the same plans and see each other as live.
-    /// Otherwise some callers would be sent by a withdrawn bundle, or two new
-    /// flows of one bucket to two targets, for as long as nobody notices.
+    /// After any combination of faults, no instance reverts to an older bundle,
+    /// and soon after the faults end, all have the highest bundle, follow the
+    /// same plans and see each other as live. Otherwise some callers would be
+    /// sent by a withdrawn bundle, or two new flows of one bucket to two
+    /// targets, without anybody noticing.
     #[test]
     fn fleet_agrees_after_any_faults(
         seed in any::<u64>(),
@@ -106,7 +107,7 @@
         }
 
         net.faults = Faults { delay: 3, ..Faults::default() };
-        net.cut.clear();
+        net.partitioned.clear();
         for ix in 0..NODES {
             net.nodes[ix].asleep = false;
             if !net.nodes[ix].up {
@@ -115,42 +116,42 @@
         }
         net.run(Millis::secs(25));
 
-        let highest = witness(&net).expect("a bundle was in force");
-        prop_assert!(net.all_have(&highest), "some lack the highest");
-        prop_assert!(net.never_back());
-        prop_assert!(net.all_live(), "some are not seen as live");
+        let highest = highest_bundle(&net).expect("a bundle was in force");
+        prop_assert!(net.all_have(&highest), "some instances lack the highest bundle");
+        prop_assert!(net.never_reverted());
+        prop_assert!(net.all_live(), "some instances are not seen as live");
         let plans = net.nodes.iter().map(|n| n.controller.plans().digest());
         prop_assert!(plans.clone().all(|digest| Some(digest) == plans.clone().next()), "plans differ");
     }
 
-    /// Beliefs about members arrive in any order, again and again. Whoever has
-    /// heard all of them believes the same.
+    /// Updates of members arrive in any order, some repeatedly. Instances that
+    /// received the same updates must have the same view.
     #[test]
-    fn beliefs_do_not_depend_on_order(
-        news in proptest::collection::vec((1usize..4, 1u64..4, 0usize..3), 1..20)
-            .prop_flat_map(|news| (Just(news.clone()), Just(news).prop_shuffle())),
+    fn merge_of_members_does_not_depend_on_order(
+        updates in proptest::collection::vec((1usize..4, 1u64..4, 0usize..3), 1..20)
+            .prop_flat_map(|updates| (Just(updates.clone()), Just(updates).prop_shuffle())),
     ) {
         let states = [MemberState::Live, MemberState::Suspect, MemberState::Leaving];
-        let believed = |news: &[(usize, u64, usize)]| {
+        let merged = |updates: &[(usize, u64, usize)]| {
             let mut roster = Roster::new(member(0, 1, 1));
-            for (ix, incarnation, state) in news {
+            for (ix, incarnation, state) in updates {
                 let belief = Member { state: states[*state], ..member(*ix, 1, *incarnation) };
                 roster.merge(Millis(0), &belief);
             }
             roster
         };
 
-        let (a, b) = (believed(&news.0), believed(&news.1));
+        let (a, b) = (merged(&updates.0), merged(&updates.1));
 
         prop_assert!(a.members().eq(b.members()));
         prop_assert_eq!(a.digest(), b.digest());
     }
 }
 
-/// News of a member's life before its death arrives late. If it revived the
-/// dead one, duties would be given to it again and questions wait for it.
+/// An update older than a member's death arrives late. If it revived the dead
+/// member, duties would be assigned to it and questions to it would time out.
 #[test]
-fn late_news_does_not_revive_the_dead() {
+fn late_update_does_not_revive_a_dead_member() {
     let mut roster = Roster::new(member(0, 1, 1));
     let live = member(1, 1, 5);
     roster.merge(Millis(0), &live);
--- a/lib/tests/fleet/test_members.rs
+++ b/lib/tests/fleet/test_members.rs
@@ -1,4 +1,4 @@
-//! Who is believed to be live.
+//! Detection of live, leaving and dead members.
 
 use crate::net::{Net, member};
 use medlarspur_lib::{
@@ -8,8 +8,8 @@
     time::Millis,
 };
 
-/// An instance is killed. Its peers have to notice, or they would go on
-/// sending it questions; callers would wait for each.
+/// An instance is killed. If its peers didn't notice, they would go on sending
+/// it questions, and callers would wait for each.
 #[test]
 fn killed_instance_is_found_dead() {
     let mut net = Net::new(8, 4, 1);
@@ -19,12 +19,12 @@
     net.run(Millis::secs(12));
 
     for watcher in [0, 1, 2, 4, 5, 6, 7] {
-        assert_eq!(net.seen(watcher, 3).map(|m| m.state), Some(MemberState::Dead));
+        assert_eq!(net.belief(watcher, 3).map(|m| m.state), Some(MemberState::Dead));
     }
 }
 
-/// An instance is replaced under its old name, with an empty memory. The
-/// belief that the old one is dead must not exclude the new one.
+/// An instance is replaced under its old name, with an empty memory. The belief
+/// that the old one is dead must not exclude the new one.
 #[test]
 fn replaced_instance_is_live_again() {
     let mut net = Net::new(8, 4, 1);
@@ -39,9 +39,8 @@
     assert!(net.nodes[3].ready.is_some());
 }
 
-/// An instance is frozen for less than it takes to be buried, and for longer.
-/// Woken up, it hears what the others believe of it and refutes; otherwise it
-/// would be excluded for good.
+/// An instance is frozen, once for less than the time until it counts as dead
+/// and once for longer. Unless it refutes on waking, it is excluded for good.
 #[test]
 fn frozen_instance_is_live_again_after_waking() {
     for frozen in [5, 40] {
@@ -58,8 +57,8 @@
     }
 }
 
-/// An instance that slept finds all others silent, though the silence was its
-/// own. If it believed that, it would take all duties at once.
+/// After a sleep all others seem silent to an instance. If it took them for
+/// dead, it would take over all duties at once.
 #[test]
 fn woken_instance_suspects_nobody() {
     let mut net = Net::new(8, 4, 1);
@@ -75,10 +74,10 @@
     assert_eq!(net.nodes[3].slept, 1);
 }
 
-/// The platform's list is empty for a while, or still names an instance that
-/// is long gone. Neither may change what peers found out themselves.
+/// The platform's list is empty for a while, or still names an instance that is
+/// gone. Neither must change what peers found out by heartbeats.
 #[test]
-fn list_of_the_platform_is_only_a_hint() {
+fn platform_list_does_not_override_heartbeats() {
     let mut net = Net::new(8, 4, 1);
     net.list = net.nodes.iter().map(|n| n.candidate()).collect();
     net.run(Millis::secs(10));
@@ -87,49 +86,49 @@
     net.list.retain(|c| c.name != net.nodes[2].me.name);
     net.run(Millis::secs(15));
 
-    assert_eq!(net.seen(0, 3).map(|m| m.state), Some(MemberState::Dead));
-    assert_eq!(net.seen(0, 2).map(|m| m.state), Some(MemberState::Live));
+    assert_eq!(net.belief(0, 3).map(|m| m.state), Some(MemberState::Dead));
+    assert_eq!(net.belief(0, 2).map(|m| m.state), Some(MemberState::Live));
 }
 
-/// A failure domain is cut off. Each side goes on with whom it reaches, and
-/// after healing all see all again.
+/// A failure domain is cut off and reachable again. Both sides have to go on
+/// alone, and all instances have to see each other after healing.
 #[test]
 fn cut_off_domain_is_dead_and_returns() {
     let mut net = Net::new(8, 4, 1);
     net.run(Millis::secs(10));
-    net.cut.insert(DomainName::new("d1"));
+    net.partitioned.insert(DomainName::new("d1"));
     net.run(Millis::secs(20));
-    assert_eq!(net.seen(0, 1).map(|m| m.state), Some(MemberState::Dead));
-    assert_eq!(net.seen(1, 0).map(|m| m.state), Some(MemberState::Dead));
-    assert_eq!(net.seen(1, 5).map(|m| m.state), Some(MemberState::Live));
+    assert_eq!(net.belief(0, 1).map(|m| m.state), Some(MemberState::Dead));
+    assert_eq!(net.belief(1, 0).map(|m| m.state), Some(MemberState::Dead));
+    assert_eq!(net.belief(1, 5).map(|m| m.state), Some(MemberState::Live));
 
-    net.cut.clear();
+    net.partitioned.clear();
     net.run(Millis::secs(10));
 
     assert!(net.all_live());
 }
 
-/// The instances that settings name as seeds are long replaced and the
-/// platform's list is empty when a cut heals. Each side believes the other
-/// dead, and unless the dead are asked too, it would do so for ever.
+/// A partition heals when the seeds of the settings are replaced and the
+/// platform's list is empty. Each side believes the other dead; unless dead
+/// members are probed too, the sides never find each other again.
 #[test]
 fn sides_of_a_cut_find_each_other_without_seeds_and_list() {
     let mut net = Net::new(8, 4, 1);
     net.run(Millis::secs(10));
     net.nodes[0].up = false;
     net.nodes[1].up = false;
-    net.cut.insert(DomainName::new("d3"));
+    net.partitioned.insert(DomainName::new("d3"));
     net.run(Millis::secs(30));
-    assert_eq!(net.seen(2, 3).map(|m| m.state), Some(MemberState::Dead));
+    assert_eq!(net.belief(2, 3).map(|m| m.state), Some(MemberState::Dead));
 
-    net.cut.clear();
+    net.partitioned.clear();
     net.run(Millis::secs(15));
 
     assert!(net.all_live());
 }
 
-/// An instance says that it leaves. If it were seen as live, it would be given
-/// new duties that end with it a moment later.
+/// An instance leaves. If it were seen as live, it would be given new duties
+/// that end a moment later.
 #[test]
 fn leaving_instance_is_seen_as_leaving_and_reads_no_more() {
     let mut net = Net::new(8, 4, 1);
@@ -138,12 +137,12 @@
     net.event(3, Event::SetLeaving);
     net.run(Millis::secs(2));
 
-    assert!((0..8).all(|ix| net.seen(ix, 3).map(|m| m.state) == Some(MemberState::Leaving)));
+    assert!((0..8).all(|ix| net.belief(ix, 3).map(|m| m.state) == Some(MemberState::Leaving)));
     assert!(!net.nodes[3].reading);
 }
 
-/// Heartbeats to everybody would make control bytes grow with the fleet; a
-/// member that nobody watches would be believed live after its death.
+/// Heartbeats to all members would make control traffic grow with the fleet,
+/// and a member without a watcher would be believed live after its death.
 #[test]
 fn neighbours_are_few_and_watch_everybody() {
     let members: Vec<Member> = (0..100).map(|ix| member(ix, 10, 1)).collect();
--- a/lib/tests/fleet/test_plan.rs
+++ b/lib/tests/fleet/test_plan.rs
@@ -1,4 +1,4 @@
-//! Moved buckets across the fleet.
+//! Plans across the fleet.
 
 use crate::net::{Net, member};
 use medlarspur_lib::{
@@ -36,7 +36,7 @@
     net
 }
 
-fn agreed(net: &Net, service_n: u8) -> bool {
+fn all_follow_one(net: &Net, service_n: u8) -> bool {
     let first = net.nodes[0].controller.plans().get(&service(service_n));
     first.is_some()
         && net.nodes.iter().all(|n| n.controller.plans().get(&service(service_n)) == first)
@@ -59,39 +59,39 @@
     propose_at_all(&mut net, 0, 3);
     net.run(Millis::secs(1));
 
-    assert!(agreed(&net, 0));
-    let plan = net.nodes[0].controller.plans().get(&service(0)).expect("it is followed");
+    assert!(all_follow_one(&net, 0));
+    let plan = net.nodes[0].controller.plans().get(&service(0)).expect("the plan is followed");
     assert_eq!((plan.sequence, plan.moves.len()), (1, 3));
 }
 
-/// A failure domain is cut off and each side has its own author for a while.
-/// After healing, two instances with different plans would send the same new
-/// flow to different targets.
+/// A failure domain is cut off and each side has its own author for a while. If
+/// two plans remained after healing, two instances would send the same new flow
+/// to different targets.
 #[test]
 fn plans_of_both_sides_of_a_cut_merge_to_one() {
     let mut net = settled();
-    net.cut.insert(DomainName::new("d1"));
+    net.partitioned.insert(DomainName::new("d1"));
     net.run(Millis::secs(30));
     for n in 0..40 {
         propose_at_all(&mut net, n, 1 + u16::from(n) % 5);
     }
     net.run(Millis::secs(5));
 
-    net.cut.clear();
+    net.partitioned.clear();
     net.run(Millis::secs(15));
 
-    assert!((0..40).all(|n| agreed(&net, n)));
+    assert!((0..40).all(|n| all_follow_one(&net, n)));
 }
 
-/// The author is frozen; another takes its place and plans on. Woken up, the
-/// old one still believes that it plans. If its plan won, buckets would go
-/// back to where an old picture has them.
+/// The author is frozen, and another instance takes its place and plans. On
+/// waking, the old author still believes that it plans. If its plan won,
+/// buckets would be moved by a stale view.
 #[test]
 fn woken_author_yields() {
     let mut net = settled();
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
     let old = members.iter().position(|m| is_author(&m.name, &service(0), members.iter()));
-    let old = old.expect("somebody plans");
+    let old = old.expect("one instance plans");
     propose_at_all(&mut net, 0, 1);
     net.run(Millis::secs(1));
     net.nodes[old].asleep = true;
@@ -105,20 +105,20 @@
     net.event(old, Event::Propose { service: service(0), moves: moves(9) });
     net.run(Millis::secs(6));
 
-    assert!(agreed(&net, 0));
-    let plan = net.nodes[old].controller.plans().get(&service(0)).expect("it is followed");
+    assert!(all_follow_one(&net, 0));
+    let plan = net.nodes[old].controller.plans().get(&service(0)).expect("the plan is followed");
     assert_eq!((plan.sequence, plan.moves.len()), (3, 3));
 }
 
-/// The author is frozen and nobody plans meanwhile. Woken up, it has loads and
-/// members of an old picture; a plan of them would be the highest one and all
+/// The author is frozen and nobody plans meanwhile. On waking, its loads and
+/// members are stale; a plan made from them would be the highest one and all
 /// would follow it.
 #[test]
 fn woken_author_plans_nothing_until_refreshed() {
     let mut net = settled();
     let members: Vec<Member> = net.nodes.iter().map(|n| n.me.clone()).collect();
     let author = members.iter().position(|m| is_author(&m.name, &service(0), members.iter()));
-    let author = author.expect("somebody plans");
+    let author = author.expect("one instance plans");
     net.nodes[author].asleep = true;
     net.run(Millis::secs(4));
     net.nodes[author].asleep = false;
@@ -136,8 +136,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Plans arrive in any order, again and again, from several is_author; some
-    /// lost their memory and use a sequence twice.
+    /// Plans of several authors arrive in any order, some repeatedly. Some
+    /// authors lost their memory and use a sequence twice.
     #[test]
     fn merge_does_not_depend_on_order(
         plans in proptest::collection::vec((0u8..3, 0u64..4, 0u8..3, 0u16..3), 1..20)
--- a/lib/tests/fleet/test_spread.rs
+++ b/lib/tests/fleet/test_spread.rs
@@ -28,11 +28,11 @@
     net.run(Millis::secs(1));
 
     assert!(net.all_have(&text(2, 4)));
-    assert!(net.never_back());
+    assert!(net.never_reverted());
 }
 
 #[test]
-fn two_read_the_platform_in_each_domain() {
+fn two_instances_per_domain_read_the_platform() {
     let mut net = settled(24);
 
     net.run(Millis::secs(5));
@@ -43,8 +43,8 @@
     }
 }
 
-/// The platform's service falls back to an older copy of itself. Callers would
-/// be sent by a withdrawn bundle.
+/// The platform falls back to an older copy of itself. If instances followed,
+/// callers would be sent by a withdrawn bundle.
 #[test]
 fn stale_platform_brings_nothing_back() {
     let mut net = settled(8);
@@ -55,12 +55,12 @@
     net.run(Millis::secs(20));
 
     assert!(net.all_have(&text(3, 4)));
-    assert!(net.never_back());
+    assert!(net.never_reverted());
 }
 
-/// An instance is replaced while the platform serves an older bundle. Its
-/// memory is empty, so only its peers can tell it that there is a later one;
-/// if it were ready before, callers would be sent by a withdrawn bundle.
+/// An instance is replaced while the platform returns an older bundle. Its
+/// memory is empty, so only its peers can tell it of the later one. If it were
+/// ready earlier, callers would be sent by a withdrawn bundle.
 #[test]
 fn restarted_instance_serves_from_the_highest_bundle_only() {
     let mut net = settled(8);
@@ -72,15 +72,15 @@
     net.run(Millis::secs(10));
 
     let node = &net.nodes[5];
-    let ready = node.ready.expect("it becomes ready");
+    let ready = node.ready.expect("the instance becomes ready");
     let serving = node.accepted.iter().rfind(|(at, _)| *at <= ready).expect("a bundle is in force");
     assert_eq!(serving.1.version, Version(3));
     assert!(net.all_have(&text(3, 4)));
 }
 
-/// As before, and the network is slow: the stale platform answers at once and
-/// the peers a second later. Ready on the first answer, the instance would
-/// serve from the withdrawn bundle for that second.
+/// As before, with a slow network: the stale platform answers at once and the
+/// peers a second later. If the instance were ready on the first answer, it
+/// would serve from the withdrawn bundle for that second.
 #[test]
 fn restarted_instance_waits_for_slow_peers() {
     let mut net = settled(8);
@@ -99,8 +99,8 @@
     assert!(node.ready.is_some_and(|ready| ready >= last.0));
 }
 
-/// An instance is replaced while the platform is down. Its peers alone can
-/// give it the bundle; without them it could serve nobody.
+/// An instance is replaced while the platform is down. Only its peers can give
+/// it the bundle, and without one it can serve nobody.
 #[test]
 fn restarted_instance_learns_the_bundle_from_peers_alone() {
     let mut net = settled(8);
@@ -115,8 +115,8 @@
     assert!(net.all_have(&text(2, 3_000)));
 }
 
-/// With neither platform nor peers there is no bundle, and an instance that
-/// said it were ready would be handed packets that it can't place.
+/// Without platform and peers there is no bundle. An instance that reported
+/// itself ready would be given packets that it can't forward.
 #[test]
 fn instance_without_platform_and_peers_is_not_ready() {
     let mut net = Net::new(1, 1, 1);
@@ -127,9 +127,9 @@
     assert_eq!(net.nodes[0].ready, None);
 }
 
-/// Two operators publish at once, each under version 2, and the platform shows
-/// one to some readers and the other to others. Parts of the fleet would stay
-/// with different bundles, and one operator would believe the wrong one in force.
+/// Two operators publish at once, both as version 2, and the platform returns
+/// either to different readers. Parts of the fleet could stay with different
+/// bundles, and one operator could believe that the wrong one is in force.
 #[test]
 fn two_contents_under_one_version_converge_and_are_flagged() {
     let mut net = settled(8);
@@ -142,31 +142,31 @@
 
     let winner = if digest(&a) > digest(&b) { a } else { b };
     assert!(net.all_have(&winner));
-    assert!(net.never_back());
+    assert!(net.never_reverted());
     assert!(net.nodes.iter().any(|n| n.controller.spread().conflict == Some(Version(2))));
 }
 
-/// A failure domain is cut off while a new bundle is published, and no push
-/// reaches it. After healing only heartbeats tell it that it is behind.
+/// A failure domain is cut off while a bundle is published, so no push reaches
+/// it. After healing only heartbeats show that it is behind.
 #[test]
 fn cut_off_domain_catches_up_after_healing() {
     let mut net = settled(8);
-    net.cut.insert(DomainName::new("d1"));
+    net.partitioned.insert(DomainName::new("d1"));
     net.run(Millis::secs(2));
     net.platform = None;
     net.event(0, Event::PlatformBundle(text(2, 4)));
     net.run(Millis::secs(60));
     assert!(!net.all_have(&text(2, 4)));
 
-    net.cut.clear();
+    net.partitioned.clear();
     net.run(Millis::secs(8));
 
     assert!(net.all_have(&text(2, 4)));
     assert!(net.all_live());
 }
 
-/// An instance is frozen, many bundles pass, and it wakes up and tells its
-/// peers of the old one that it still has in force.
+/// An instance is frozen while many bundles are published. On waking it claims
+/// the old one that it still has in force.
 #[test]
 fn woken_instance_reverts_nobody_and_catches_up() {
     let mut net = settled(8);
@@ -182,11 +182,11 @@
 
     assert_eq!(net.nodes[2].slept, 1);
     assert!(net.all_have(&text(19, 4)));
-    assert!(net.never_back());
+    assert!(net.never_reverted());
 }
 
 #[test]
-fn difference_carries_only_what_changed() {
+fn delta_carries_only_changes() {
     let base = text(1, 400);
     let next = base.replace("address: 198.51.100.17\n", "address: 203.0.113.17\n");
 
@@ -194,11 +194,11 @@
 
     let fresh: usize = ops.iter().map(|op| if let Piece::Text(t) = op { t.len() } else { 0 }).sum();
     assert!(fresh < 100, "{fresh} bytes");
-    assert_eq!(rebuild(&base, &ops).expect("it was made so"), next);
+    assert_eq!(rebuild(&base, &ops).expect("the delta fits its base"), next);
 }
 
-/// A peer that can no longer make a difference must not answer with one to a
-/// text that the asker lacks, nor send a megabyte in one message.
+/// A peer without the base text must not answer with a delta to a text that the
+/// requester lacks, nor send a megabyte in one message.
 #[test]
 fn unknown_base_is_answered_by_an_outline() {
     let mut spread = Spread::new(VersionCheck);
@@ -211,11 +211,11 @@
     assert_eq!(outline.pieces.len(), split(&text(1, 9)).len());
 }
 
-/// A broken peer announces a bundle and sends a difference that rebuilds to
-/// another text. It must not come into force, and must not keep the announced
-/// one away when a sound peer sends it.
+/// A faulty peer announces a bundle and sends a delta that rebuilds to another
+/// text. That text must not come into force, and must not keep out the
+/// announced one when a correct peer sends it.
 #[test]
-fn wrong_difference_is_refused_and_the_right_one_taken() {
+fn wrong_delta_is_refused_and_the_right_one_accepted() {
     let mut spread = Spread::new(VersionCheck);
     let (base, next) = (text(1, 4), text(2, 4));
     spread.offer(&base).expect("accepted");
@@ -249,18 +249,19 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// A byte too many or too few and the signature no longer holds: the
-    /// change would be in force on the platform's readers only.
+    /// With a byte too many or too few the signature does not hold, and the
+    /// change would be in force on the readers of the platform only.
     #[test]
-    fn any_text_rebuilds_to_the_last_byte(base in any_text(), next in any_text()) {
+    fn any_text_rebuilds_byte_for_byte(base in any_text(), next in any_text()) {
         prop_assert_eq!(split(&next).concat(), next.as_str());
-        prop_assert_eq!(rebuild(&base, &diff(&base, &next)).expect("it was made so"), next);
+        prop_assert_eq!(rebuild(&base, &diff(&base, &next)).expect("the delta fits its base"), next);
     }
 
-    /// The platform, peers and two operators bring bundles in any order, again
-    /// and again. Whoever has heard all of them has the same one in force.
+    /// The platform, peers and two operators offer bundles in any order, some
+    /// repeatedly. Instances that received the same bundles must have the same
+    /// one in force.
     #[test]
-    fn order_of_arrival_does_not_matter(
+    fn bundle_in_force_does_not_depend_on_order(
         offers in proptest::collection::vec((1u64..5, 1usize..5), 1..12),
         turn in 0usize..12,
     ) {
@@ -272,8 +273,8 @@
             let mut spread = Spread::new(VersionCheck);
             let mut last = spread.order();
             for text in texts {
-                spread.offer(text).expect("it passes the check");
-                assert!(spread.order() >= last, "went back");
+                spread.offer(text).expect("the text passes the check");
+                assert!(spread.order() >= last, "reverted to an older bundle");
                 last = spread.order();
             }
             last
