--- a/load/src/vacancy.rs
+++ b/load/src/vacancy.rs
@@ -1,165 +1,180 @@
-//! Whether a target has room for one more flow, learnt from the openings that it takes
-//! and leaves unanswered.
+//! Detects whether a target has a free connection, from the openings that it accepts or
+//! leaves unanswered.
 //!
-//! Answers the pattern that targets run out of connections: each holds a bounded number
-//! of flows, feeds stay for minutes, and one that is full answers neither openings nor
-//! questions, while it serves the flows that it has. No instance knows how many flows
-//! the others have there, and what operators write about it may be wrong or absent.
+//! Handles targets that run out of connections. Each holds a limited number of flows, feeds
+//! stay for minutes, and a full target answers neither openings nor probes while it serves
+//! its open flows. No instance knows how many flows the others have there, and the
+//! configured limit may be wrong or missing.
 //!
-//! Without it, openings go on to the full target as readily as to others, and each
-//! caller waits until something else gives up; or the target is taken for dead, and the
-//! flows that it serves are reset. Their callers come back as new flows and fill the
-//! next one.
+//! Without this detection, openings go to a full target as readily as to others, and each
+//! caller waits until something else gives up. Or the target is taken for dead and the
+//! flows that it serves are reset; their callers return as new flows and fill the next
+//! target.
 //!
-//! A target that leaves an opening unanswered is left at once. Places become free there
-//! when flows end, and an instance sees the ends of those that it carries: for each it may
-//! open one in its place. What a request leaves is kept for requests: a feed would hold
-//! the place for as long as hundreds of them, and requests, which operators rank first and
-//! which can't be repeated, found no place at all while feeds did. Where no end is seen,
-//! the target is asked after a pause that doubles, and tried by one opening at a time:
-//! when a place becomes free, all instances may see it, and would send a crowd for it. A
-//! feed waits for several answers in a row, since the place that one answer shows is mostly
-//! that of a request which has just ended at another instance.
+//! New flows avoid a target as soon as it leaves an opening unanswered. Its connections
+//! become free when flows end, and an instance sees the ends of the flows that it carries:
+//! for each it may open one flow. A connection that a request leaves is reserved for
+//! requests. A feed would hold it for as long as hundreds of requests, and requests, which
+//! operators prioritize and which can't be repeated, find no connection while feeds take
+//! them.
+//!
+//! If an instance sees no end, it probes the target after a pause that doubles, and then
+//! tries one opening at a time: when a connection becomes free, all instances may see it
+//! and would send a burst. A feed needs several probe answers in a row, since a single one
+//! mostly shows the connection of a request that has just ended at another instance.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 
-/// The first pause: a few requests end meanwhile, and a target that was only late for a
-/// moment is missed for no longer.
-const FIRST_PAUSE: Millis = Millis(500);
-/// The longest pause of an instance of a small fleet. Of 25 feeds that stay for 17 s, one and
-/// a half end meanwhile.
-const LAST_PAUSE: Millis = Millis(1_000);
-/// How many instances may ask a full target at that pace. Each question takes a connection of
-/// the target for a moment, so the instances of a larger fleet ask less often.
-const SMALL_FLEET: u64 = 8;
-/// How many openings in a row must be taken before the target counts as free again: a
-/// few may be places that somebody has just left.
-const TAKEN: u32 = 8;
-
-/// How many questions in a row a full target must answer before a request or a feed is
-/// tried there. Six seconds in which there is room are no place that somebody just left.
-const ANSWERS_REQUEST: u32 = 1;
-const ANSWERS_FEED: u32 = 6;
-
-/// Whether a target has room, as far as it is known.
+/// First pause. A few requests end in that time, and a target that was only late for a
+/// moment is avoided no longer than this.
+const MIN_PAUSE: Millis = Millis(500);
+/// Longest pause of an instance of a small fleet. Of 25 feeds that stay for 17 s, one and a
+/// half end in that time.
+const MAX_PAUSE: Millis = Millis(1_000);
+/// Number of instances that may probe a full target at that rate. Each probe takes a
+/// connection of the target for a moment, so the instances of a larger fleet probe less
+/// often.
+const BASE_FLEET_SIZE: u64 = 8;
+/// Number of openings in a row that a target must accept before it counts as free. A few
+/// could be connections that another flow has just left.
+const ACCEPTED_TO_FREE: u32 = 8;
+
+/// Number of probe answers in a row after which a request or a feed is tried at a full
+/// target. Free capacity over six seconds is more than a connection that another flow has
+/// just left.
+const PROBES_FOR_REQUEST: u32 = 1;
+const PROBES_FOR_FEED: u32 = 6;
+
+/// Whether a target has a free connection, as far as is known.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Vacancy(Option<Full>);
 
-/// What is known of a target that left an opening unanswered.
+/// State of a target that left an opening unanswered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Full {
-    /// When it is asked whether it has room.
-    retry: Millis,
+    /// Time of the next probe.
+    next_probe: Millis,
     pause: Millis,
-    /// How many places were left since, and may be filled; of requests, by requests only.
-    places: u32,
-    short: u32,
-    /// How many questions it has answered since, so that one opening may be tried.
-    answers: u32,
-    /// How many openings it has taken since.
-    taken: u32,
+    /// Number of flows that have ended since then, each of which may be replaced. Flows of
+    /// requests are counted apart and replaced by requests only.
+    freed: u32,
+    freed_by_requests: u32,
+    /// Number of probe answers since then; with enough of them one opening may be tried.
+    probe_answers: u32,
+    /// Number of openings accepted since then.
+    accepted: u32,
 }
 
 impl Vacancy {
-    /// An opening stayed unanswered, or a question after it did. Answers whether that is
-    /// new.
-    pub fn refuse(&mut self, now: Millis) -> bool {
+    /// Records an unanswered opening, or an unanswered probe after one. Returns whether the
+    /// target was not known to be full.
+    pub fn record_unanswered(&mut self, now: Millis) -> bool {
         let Some(full) = &mut self.0 else {
             self.0 = Some(Full::new(now));
             return true;
         };
-        if full.answers > 0 || full.retry <= now {
-            full.back_off(now, LAST_PAUSE);
+        if full.probe_answers > 0 || full.next_probe <= now {
+            full.back_off(now, MAX_PAUSE);
         }
-        let Full { retry, pause, .. } = *full;
-        self.0 = Some(Full { retry, pause, ..Full::new(now) });
+        let Full { next_probe, pause, .. } = *full;
+        self.0 = Some(Full { next_probe, pause, ..Full::new(now) });
         false
     }
 
-    /// An opening was taken. Answers whether the target counts as free again by that.
-    pub fn take(&mut self, class: Class) -> bool {
+    /// Records an accepted opening. Returns whether the target thereby counts as free
+    /// again.
+    pub fn record_accepted(&mut self, class: Class) -> bool {
         let Some(full) = &mut self.0 else { return false };
-        full.fill(class);
-        full.taken += 1;
-        let is_free = full.taken >= TAKEN;
+        full.use_connection(class);
+        full.accepted += 1;
+        let is_free = full.accepted >= ACCEPTED_TO_FREE;
         if is_free {
             self.0 = None;
         }
         is_free
     }
 
-    /// A flow there has ended.
-    pub fn leave(&mut self, class: Class) {
+    /// Records the end of a flow at the target.
+    pub fn record_flow_end(&mut self, class: Class) {
         let Some(full) = &mut self.0 else { return };
         match class {
-            Class::Request => full.short += 1,
-            Class::Feed | Class::Upload => full.places += 1,
+            Class::Request => full.freed_by_requests += 1,
+            Class::Feed | Class::Upload => full.freed += 1,
         }
     }
 
-    /// It answers questions again, so it has room for one at least.
-    pub fn answer(&mut self) {
+    /// Records a probe answer, which shows at least one free connection.
+    pub fn record_probe_answer(&mut self) {
         if let Some(full) = &mut self.0 {
-            full.answers += 1;
+            full.probe_answers += 1;
         }
     }
 
-    /// It is asked now, by one of so many instances, and need not be again before the pause
-    /// is over once more.
-    pub fn ask(&mut self, now: Millis, instances: usize) {
+    /// Records a probe that is sent now by one of `instances` instances, and schedules the
+    /// next one after the pause.
+    pub fn record_probe(&mut self, now: Millis, instances: usize) {
         let Some(full) = &mut self.0 else { return };
-        if full.retry <= now {
-            full.back_off(now, longest_pause(instances));
+        if full.next_probe <= now {
+            full.back_off(now, max_pause(instances));
         } else {
-            full.retry = now + full.pause;
+            full.next_probe = now + full.pause;
         }
     }
 
-    /// Whether one more may be opened there while `opening` are under way.
-    pub fn admits(&self, class: Class, opening: u32) -> bool {
+    /// Returns whether one more flow may be opened while `opening` flows are being opened.
+    pub fn can_open(&self, class: Class, opening: u32) -> bool {
         let Some(full) = &self.0 else { return true };
-        let (short, answers) = match class {
-            Class::Request => (full.short, ANSWERS_REQUEST),
-            Class::Feed | Class::Upload => (0, ANSWERS_FEED),
+        let (freed_for_class, needed_answers) = match class {
+            Class::Request => (full.freed_by_requests, PROBES_FOR_REQUEST),
+            Class::Feed | Class::Upload => (0, PROBES_FOR_FEED),
         };
-        opening < full.places + short || full.answers >= answers && opening == 0
+        opening < full.freed + freed_for_class
+            || full.probe_answers >= needed_answers && opening == 0
     }
 
-    /// Whether it has left openings unanswered since it was last known to have room.
+    /// Returns whether the target has left openings unanswered since it last had a free
+    /// connection.
     pub fn is_full(&self) -> bool {
         self.0.is_some()
     }
 
-    /// When a full target should be asked whether it has room.
-    pub fn retry(&self) -> Option<Millis> {
-        self.0.map(|full| full.retry)
+    /// Returns when a full target should be probed next.
+    pub fn next_probe(&self) -> Option<Millis> {
+        self.0.map(|full| full.next_probe)
     }
 }
 
 impl Full {
     fn new(now: Millis) -> Full {
-        let pause = FIRST_PAUSE;
-        Full { retry: now + pause, pause, places: 0, short: 0, answers: 0, taken: 0 }
+        let pause = MIN_PAUSE;
+        Full {
+            next_probe: now + pause,
+            pause,
+            freed: 0,
+            freed_by_requests: 0,
+            probe_answers: 0,
+            accepted: 0,
+        }
     }
 
-    /// Has the pause that begins now be twice as long as the last one, up to the longest.
-    fn back_off(&mut self, now: Millis, longest: Millis) {
-        self.pause = longest.min(self.pause + self.pause).max(self.pause);
-        self.retry = now + self.pause;
+    /// Doubles the pause up to `max_pause` and starts it now.
+    fn back_off(&mut self, now: Millis, max_pause: Millis) {
+        self.pause = max_pause.min(self.pause + self.pause).max(self.pause);
+        self.next_probe = now + self.pause;
     }
 
-    /// A flow of a class has taken a place.
-    fn fill(&mut self, class: Class) {
+    /// Accounts for a flow of a class that took a connection.
+    fn use_connection(&mut self, class: Class) {
         match class {
-            Class::Request if self.short > 0 => self.short -= 1,
-            _ if self.places > 0 => self.places -= 1,
+            Class::Request if self.freed_by_requests > 0 => self.freed_by_requests -= 1,
+            _ if self.freed > 0 => self.freed -= 1,
             Class::Request => {}
-            Class::Feed | Class::Upload => self.answers = 0,
+            Class::Feed | Class::Upload => self.probe_answers = 0,
         }
     }
 }
 
-fn longest_pause(instances: usize) -> Millis {
-    let instances = (instances as u64).max(SMALL_FLEET);
-    Millis(LAST_PAUSE.0 * instances / SMALL_FLEET)
+fn max_pause(instances: usize) -> Millis {
+    let instances = (instances as u64).max(BASE_FLEET_SIZE);
+    Millis(MAX_PAUSE.0 * instances / BASE_FLEET_SIZE)
 }
--- a/load/tests/model/host.rs
+++ b/load/tests/model/host.rs
@@ -1,14 +1,14 @@
-//! A target: some slots, a queue before them, and connections.
+//! A simulated target: slots, a queue in front of them, and connections.
 
 use super::scene::Fault;
-use medlarspur_load::Told;
+use medlarspur_load::Report;
 use std::collections::VecDeque;
 
-/// Work that reached a target by an instance.
+/// Work that an instance sent to a target.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
     pub work: usize,
-    pub by: usize,
+    pub instance: usize,
 }
 
 #[derive(Debug)]
@@ -18,8 +18,8 @@
     pub connections: u32,
     pub busy: u32,
     pub queue: VecDeque<Job>,
-    /// What its endpoint says.
-    pub told: Told,
+    /// What its endpoint reports.
+    pub report: Report,
 }
 
 impl Host {
@@ -30,15 +30,15 @@
             connections: 0,
             busy: 0,
             queue: VecDeque::new(),
-            told: told(0, 0),
+            report: report(0, 0),
         }
     }
 
-    pub fn full(&self) -> bool {
+    pub fn is_full(&self) -> bool {
         self.connections >= self.limit
     }
 
-    /// The next job, if a slot is free for it.
+    /// Removes and returns the next job if a slot is free for it.
     pub fn take(&mut self) -> Option<Job> {
         if self.busy >= self.slots {
             return None;
@@ -48,16 +48,16 @@
         Some(job)
     }
 
-    /// Renews what its endpoint says.
+    /// Updates what its endpoint reports.
     pub fn refresh(&mut self, fault: Option<Fault>) {
-        self.told = match fault {
-            Some(Fault::SaysIdle) => told(0, 0),
-            Some(Fault::SaysFull) => told(self.slots * 10, self.limit),
-            _ => told(self.busy + self.queue.len() as u32, self.connections),
+        self.report = match fault {
+            Some(Fault::SaysIdle) => report(0, 0),
+            Some(Fault::SaysFull) => report(self.slots * 10, self.limit),
+            _ => report(self.busy + self.queue.len() as u32, self.connections),
         };
     }
 }
 
-fn told(slots: u32, connections: u32) -> Told {
-    Told { healthy: true, draining: false, slots, connections }
+fn report(work: u32, connections: u32) -> Report {
+    Report { healthy: true, draining: false, work, connections }
 }
