--- a/load/src/estimate.rs
+++ b/load/src/estimate.rs
@@ -39,8 +39,8 @@
         self.count = self.count.saturating_add(1);
     }
 
-    /// Returns the longest time that is still usual, or `None` with fewer than
-    /// [`MIN_SAMPLES`] times.
+    /// Returns the longest time that is still usual, or `None` with too few
+    /// times.
     pub fn upper_bound(&self) -> Option<Millis> {
         let bound = self.mean + self.deviation * DEVIATIONS;
         (self.count >= MIN_SAMPLES).then_some(Millis(bound as u64))
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -138,7 +138,7 @@
 #[derive(Debug, Clone, Copy)]
 struct Work {
     class: Class,
-    asked: u64,
+    sent: u64,
     /// When it arrived at its instance.
     arrived: u64,
     instance: usize,
@@ -213,8 +213,8 @@
 
     fn tally_where(&self, from: u64, to: u64, counts: impl Fn(Class) -> bool) -> Tally {
         let mut tally = Tally::default();
-        let asked = self.answers.iter().filter(|it| (from..to).contains(&it.0) && counts(it.1));
-        for (.., span) in asked {
+        let sent = self.answers.iter().filter(|it| (from..to).contains(&it.0) && counts(it.1));
+        for (.., span) in sent {
             match span {
                 Some(span) if *span <= self.scene.objective => tally.in_time += 1,
                 Some(_) => tally.late += 1,
@@ -261,7 +261,7 @@
         let class = if is_request { Class::Request } else { Class::Feed };
         let work = Work {
             class,
-            asked: now,
+            sent: now,
             arrived: now,
             instance,
             tries: 0,
@@ -277,13 +277,13 @@
 
     /// Returns when an instance first sees a request. Callers repeat an opening after 200
     /// and 600 ms and open a new flow after 1.4 s.
-    fn first_seen(&self, asked: u64) -> u64 {
+    fn first_seen(&self, sent: u64) -> u64 {
         let (from, to) = self.scene.outage;
-        if !(from..to).contains(&asked) {
-            return asked;
+        if !(from..to).contains(&sent) {
+            return sent;
         }
         let repeats = [200, 600, 1_400, 1_600, 2_000, 2_800, 3_000, 3_400];
-        let seen = repeats.into_iter().map(|after| asked + after).find(|at| *at >= to);
+        let seen = repeats.into_iter().map(|after| sent + after).find(|at| *at >= to);
         seen.unwrap_or(to)
     }
 
@@ -314,9 +314,9 @@
         }
         let deadline = Millis(now) + max_wait(Millis(self.scene.objective));
         // A repeated opening shows how long its caller has waited; a new flow does not.
-        let known = now.saturating_sub(work.asked);
-        let asked = if known >= 1_400 { now - (known - 1_400) } else { work.asked };
-        let waiting = Waiting { key: id, class: work.class, since: Millis(asked), deadline };
+        let known = now.saturating_sub(work.sent);
+        let sent = if known >= 1_400 { now - (known - 1_400) } else { work.sent };
+        let waiting = Waiting { key: id, class: work.class, since: Millis(sent), deadline };
         if self.backlogs[at].push(waiting).is_some() {
             return self.refuse(id, now);
         }
@@ -371,7 +371,7 @@
             self.limits[at].adjust(in_flight, own_slots, Millis(now));
         }
         self.requests_in_flight[at] -= u32::from(work.class == Class::Request);
-        self.answers.push((work.asked, work.class, Some(now - work.asked)));
+        self.answers.push((work.sent, work.class, Some(now - work.sent)));
         self.release(at, now);
     }
 
@@ -397,7 +397,7 @@
         work.tries += 1;
         work.on_feed = false;
         if work.tries > RETRIES {
-            self.answers.push((work.asked, work.class, None));
+            self.answers.push((work.sent, work.class, None));
         } else {
             self.push(now + ROUND_TRIP, Event::Arrive(id));
         }
--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -35,9 +35,9 @@
 
 #[test]
 fn openings_count_as_work() {
-    let asked = Candidate { opening: 1, ..idle() };
+    let opening = Candidate { opening: 1, ..idle() };
 
-    assert_eq!(choose(&[asked, idle()], Class::Request, 0), Some(1));
+    assert_eq!(choose(&[opening, idle()], Class::Request, 0), Some(1));
 }
 
 /// A request that is not idempotent is answered where a slot is free now. Open idle feeds
@@ -101,10 +101,13 @@
 /// requests don't wait behind them.
 #[test]
 fn feeds_leave_reserved_targets_to_requests_while_others_have_capacity() {
-    let kept = Candidate { reserved: true, ..idle() };
+    let reserved = Candidate { reserved: true, ..idle() };
     let busy = Candidate { in_flight: 2, ..idle() };
 
-    assert_eq!(choose(&[kept, Candidate { idle_feeds: 5, ..idle() }], Class::Feed, 0), Some(1));
-    assert_eq!(choose(&[kept, busy], Class::Feed, 0), Some(0));
-    assert_eq!(choose(&[kept, Candidate { idle_feeds: 5, ..idle() }], Class::Request, 0), Some(0));
+    assert_eq!(choose(&[reserved, Candidate { idle_feeds: 5, ..idle() }], Class::Feed, 0), Some(1));
+    assert_eq!(choose(&[reserved, busy], Class::Feed, 0), Some(0));
+    assert_eq!(
+        choose(&[reserved, Candidate { idle_feeds: 5, ..idle() }], Class::Request, 0),
+        Some(0)
+    );
 }
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -108,8 +108,8 @@
                     refused.remove(&flow);
                 }
                 Step::Report(target, work, connections, draining) => {
-                    let told = Report { healthy: true, draining, work, connections };
-                    gate.record_signal(now, ServiceIx(0), TargetIx(target), Signal::Report(told));
+                    let report = Report { healthy: true, draining, work, connections };
+                    gate.record_signal(now, ServiceIx(0), TargetIx(target), Signal::Report(report));
                 }
                 Step::Leave(target) => {
                     leaving = target;
@@ -139,14 +139,14 @@
         }
     }
 
-    /// The memory stays bounded for any input. Otherwise a flood of openings would take the
+    /// The cache stays bounded for any input. Otherwise a flood of openings would take the
     /// instance down.
     #[test]
     fn decision_cache_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
-        let mut memory = DecisionCache::default();
+        let mut cache = DecisionCache::default();
         for (at, &flow) in flows.iter().enumerate() {
-            memory.insert(Millis(at as u64 * 200), FlowId(flow), Decision::Admitted(Millis(0)));
+            cache.insert(Millis(at as u64 * 200), FlowId(flow), Decision::Admitted(Millis(0)));
         }
-        prop_assert!(memory.len() <= 2 * 64_000 / 200 + 2);
+        prop_assert!(cache.len() <= 2 * 64_000 / 200 + 2);
     }
 }
