--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -118,12 +118,12 @@
 
 fn catalog(targets: usize) {
     let before = resident();
-    let news = site(targets, (targets / 8).max(2));
-    let bytes = message::encode_update(&news).map_or(0, |it| it.len());
+    let snapshot = site(targets, (targets / 8).max(2));
+    let bytes = message::encode_update(&snapshot).map_or(0, |it| it.len());
     row("whole picture, bytes to another instance", targets, bytes as f64, "B");
     let mut catalog = Catalog::default();
     let start = Instant::now();
-    catalog.merge(news, Millis(0));
+    catalog.merge(snapshot, Millis(0));
     row("whole picture, merged", targets, start.elapsed().as_secs_f64() * 1e6, "us");
     row("whole picture, resident", targets, (resident() - before) / 1024.0, "KiB");
     let change = |nth: u32| Update {
