--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -1,4 +1,4 @@
-//! Where a new flow goes, by the work that is known.
+//! Tests the choice of a target for a new flow.
 
 use medlarspur_lib::bundle::Class;
 use medlarspur_load::{
@@ -10,25 +10,25 @@
     Candidate {
         tier: Tier::Good,
         slots: 2,
-        working: 0,
+        in_flight: 0,
         opening: 0,
-        feeds: 0,
+        idle_feeds: 0,
         cold: false,
-        near: true,
-        kept: false,
-        shared: false,
+        same_domain: true,
+        reserved: false,
+        outside_subset: false,
     }
 }
 
 #[test]
-fn nothing_is_chosen_from_nothing() {
+fn no_target_is_chosen_without_candidates() {
     assert_eq!(choose(&[], Class::Feed, 1), None);
 }
 
 #[test]
-fn the_target_with_the_least_work_a_slot_is_taken() {
-    let busy = Candidate { working: 2, ..idle() };
-    let large = Candidate { working: 2, slots: 8, ..idle() };
+fn the_target_with_the_least_work_per_slot_is_chosen() {
+    let busy = Candidate { in_flight: 2, ..idle() };
+    let large = Candidate { in_flight: 2, slots: 8, ..idle() };
 
     assert_eq!(choose(&[busy, large, busy], Class::Request, 0), Some(1));
 }
@@ -40,45 +40,45 @@
     assert_eq!(choose(&[asked, idle()], Class::Request, 0), Some(1));
 }
 
-/// A request that is not idempotent is answered where a slot is free now; feeds
-/// that are open but idle hardly matter to it, a request under way does.
+/// A request that is not idempotent is answered where a slot is free now. Open idle feeds
+/// hardly delay it, a request in flight does.
 #[test]
 fn idle_feeds_count_less_than_work() {
-    let feeds = Candidate { feeds: 5, ..idle() };
-    let works = Candidate { working: 1, ..idle() };
+    let feeds = Candidate { idle_feeds: 5, ..idle() };
+    let works = Candidate { in_flight: 1, ..idle() };
 
     assert_eq!(choose(&[works, feeds], Class::Request, 0), Some(1));
 }
 
-/// A target that has just started takes longer for everything.
+/// A target that has just started takes longer for all work.
 #[test]
-fn a_cold_target_is_taken_later_but_not_never() {
+fn a_cold_target_is_chosen_only_when_others_are_busy() {
     let cold = Candidate { cold: true, ..idle() };
-    let busy = Candidate { working: 4, ..idle() };
+    let busy = Candidate { in_flight: 4, ..idle() };
 
     assert_eq!(choose(&[cold, idle()], Class::Feed, 0), Some(1));
     assert_eq!(choose(&[cold, busy], Class::Feed, 0), Some(0));
 }
 
-/// A failure domain is cut off, and its targets answer nobody here. However
-/// idle they look, nothing new must go there while others can take it.
+/// A failure domain is cut off, and its targets answer nobody here. However idle they look,
+/// new flows must not go there while other targets can take them.
 #[test]
 fn a_doubtful_target_is_the_last_choice() {
     let doubtful = Candidate { tier: Tier::Doubtful, ..idle() };
-    let unlisted = Candidate { tier: Tier::Unlisted, working: 9, ..idle() };
-    let busy = Candidate { working: 9, ..idle() };
+    let unlisted = Candidate { tier: Tier::Unlisted, in_flight: 9, ..idle() };
+    let busy = Candidate { in_flight: 9, ..idle() };
 
     assert_eq!(choose(&[doubtful, unlisted, busy], Class::Feed, 0), Some(2));
     assert_eq!(choose(&[doubtful, unlisted], Class::Feed, 0), Some(1));
     assert_eq!(choose(&[doubtful], Class::Feed, 0), Some(0));
 }
 
-/// An upload carries 80 kB to its target; a feed's request hardly anything.
+/// An upload carries 80 kB to its target, a request of a feed hardly anything.
 #[test]
-fn uploads_stay_near_unless_it_is_crowded_there() {
-    let far = Candidate { near: false, ..idle() };
-    let busy = Candidate { working: 2, ..idle() };
-    let crowded = Candidate { working: 6, ..idle() };
+fn uploads_stay_in_their_domain_unless_it_is_crowded() {
+    let far = Candidate { same_domain: false, ..idle() };
+    let busy = Candidate { in_flight: 2, ..idle() };
+    let crowded = Candidate { in_flight: 6, ..idle() };
 
     assert_eq!(choose(&[busy, far], Class::Upload, 0), Some(0));
     assert_eq!(choose(&[busy, far], Class::Request, 0), Some(1));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn equals_are_taken_evenly() {
+fn equal_targets_are_chosen_equally_often() {
     let candidates = [idle(); 10];
     let mut random = Random::new(5);
     let mut counts = [0; 10];
@@ -97,14 +97,14 @@
     assert!(counts.iter().all(|count| (900..1100).contains(count)), "{counts:?}");
 }
 
-/// Feeds that are open ask whatever is decided; where they are not, requests don't wait
-/// behind them.
+/// Open feeds send requests whatever the instances decide. At targets without feeds,
+/// requests don't wait behind them.
 #[test]
-fn feeds_leave_kept_targets_to_requests_while_others_have_room() {
-    let kept = Candidate { kept: true, ..idle() };
-    let busy = Candidate { working: 2, ..idle() };
+fn feeds_leave_reserved_targets_to_requests_while_others_have_capacity() {
+    let kept = Candidate { reserved: true, ..idle() };
+    let busy = Candidate { in_flight: 2, ..idle() };
 
-    assert_eq!(choose(&[kept, Candidate { feeds: 5, ..idle() }], Class::Feed, 0), Some(1));
+    assert_eq!(choose(&[kept, Candidate { idle_feeds: 5, ..idle() }], Class::Feed, 0), Some(1));
     assert_eq!(choose(&[kept, busy], Class::Feed, 0), Some(0));
-    assert_eq!(choose(&[kept, Candidate { feeds: 5, ..idle() }], Class::Request, 0), Some(0));
+    assert_eq!(choose(&[kept, Candidate { idle_feeds: 5, ..idle() }], Class::Request, 0), Some(0));
 }
--- a/load/tests/test_overload.rs
+++ b/load/tests/test_overload.rs
@@ -1,77 +1,89 @@
-//! A service that is asked for more than it can do for some seconds.
+//! Tests what callers get while a service is overloaded for some seconds.
 
-use super::overload::{Got, Scene, play};
+use super::overload::{Scene, Tally, play};
 use medlarspur_lib::bundle::Class;
 
-/// What callers got over some seeds, without and with openings that wait.
-fn compare(scene: fn(u64) -> Scene, from: u64, to: u64) -> [Got; 2] {
+/// Returns the results over some seeds, without and with openings that wait.
+fn compare(scene: fn(u64) -> Scene, from: u64, to: u64) -> [Tally; 2] {
     [false, true].map(|limited| {
-        let got = (1..=6).map(|seed| play(scene(seed), limited).got(from, to));
-        got.fold(Got::default(), |sum, it| sum + it)
+        let tally = (1..=6).map(|seed| play(scene(seed), limited).tally(from, to));
+        tally.fold(Tally::default(), |sum, it| sum + it)
     })
 }
 
-/// Eight of 14 targets are gone for five seconds and their successors aren't known.
-/// The other six could answer nine of ten requests in time, but their queues fill and
-/// each request waits for the whole queue. A caller sees that nearly every answer is
-/// late.
+/// Eight of 14 targets are gone for five seconds and their successors are not known. The
+/// other six could answer nine of ten requests in time, but their queues fill, each request
+/// waits for the whole queue, and nearly every answer is late.
 #[test]
 fn more_are_answered_in_time_while_half_of_the_targets_are_gone() {
     let [without, with] = compare(Scene::half_gone, 4_000, 10_000);
 
-    assert!(with.part() > without.part() + 0.03, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() + 0.03,
+        "{without:?}, then {with:?}"
+    );
     assert!(with.refused < without.refused * 2, "{without:?}, then {with:?}");
 }
 
-/// The same with a quarter more requests than on an ordinary day: what can't be done
-/// must not make all the rest late.
+/// The same with a quarter more requests than usual. Work that can't be done must not make
+/// all the rest late.
 #[test]
-fn a_larger_excess_gains_more() {
+fn a_larger_overload_gains_more() {
     let [without, with] = compare(Scene::more_asked, 4_000, 10_000);
 
-    assert!(with.part() > without.part() + 0.12, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() + 0.12,
+        "{without:?}, then {with:?}"
+    );
     assert!(with.refused < without.refused, "{without:?}, then {with:?}");
 }
 
-/// Nobody is served for 1.7 s, and what was asked meanwhile comes within the next
-/// second. Fewer are told that they were not served, and no fewer are in time.
+/// Nobody is served for 1.7 s, and what was sent meanwhile arrives within the next second.
+/// Fewer callers are refused, and no fewer are answered in time.
 #[test]
-fn a_crowd_after_an_outage_is_served_with_fewer_refusals() {
+fn a_burst_after_an_outage_is_served_with_fewer_refusals() {
     let [without, with] = compare(Scene::outage, 4_000, 8_000);
 
     assert!(with.in_time >= without.in_time, "{without:?}, then {with:?}");
     assert!(with.refused * 2 < without.refused, "{without:?}, then {with:?}");
 }
 
-/// Nothing waits where targets keep up: the limit must cost nothing on all other days.
+/// Nothing waits where targets keep up: the limit must cost nothing under ordinary load.
 #[test]
-fn an_ordinary_day_is_as_before() {
+fn ordinary_load_is_not_affected() {
     let [without, with] = compare(Scene::site, 0, 14_000);
 
     assert_eq!(with.refused, 0);
-    assert!(with.part() > without.part() - 0.001, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() - 0.001,
+        "{without:?}, then {with:?}"
+    );
 }
 
-/// Requests of another site take two thirds of their goal, so answers always look slow.
-/// Held back for that, they would be later still while targets stand idle.
+/// Requests of a site take two thirds of their latency objective, so answers always look
+/// slow. Held back for that, they would be later still while targets are idle.
 #[test]
-fn a_service_that_is_slow_by_nature_is_not_limited() {
+fn a_service_with_long_work_is_not_limited() {
     let [without, with] = compare(Scene::slow, 3_000, 14_000);
 
-    assert!(with.part() > without.part() - 0.01, "{without:?}, then {with:?}");
+    assert!(
+        with.fraction_in_time() > without.fraction_in_time() - 0.01,
+        "{without:?}, then {with:?}"
+    );
 }
 
-/// A crowd comes, most of it on feeds that are open and go on whatever is decided. What is
-/// ranked first waits only for what is ranked as high, so that it is not late first.
+/// A burst arrives, mostly on open feeds, which continue whatever the limit. Requests wait
+/// only for requests, so that they are not late first.
 #[test]
-fn in_an_excess_of_feeds_requests_are_not_the_first_that_are_late() {
+fn requests_are_not_late_first_in_an_excess_of_feeds() {
     let of = |class| {
-        let got = (1..=6).map(|seed| play(Scene::excess(seed), true).got_of(class, 2_000, 14_000));
-        got.fold(Got::default(), |sum, it| sum + it)
+        let tally =
+            (1..=6).map(|seed| play(Scene::excess(seed), true).tally_class(class, 2_000, 14_000));
+        tally.fold(Tally::default(), |sum, it| sum + it)
     };
 
     let (requests, feeds) = (of(Class::Request), of(Class::Feed));
 
-    assert!(requests.part() > feeds.part(), "{requests:?} {feeds:?}");
-    assert!(requests.refused_part() < feeds.refused_part(), "{requests:?} {feeds:?}");
+    assert!(requests.fraction_in_time() > feeds.fraction_in_time(), "{requests:?} {feeds:?}");
+    assert!(requests.fraction_refused() < feeds.fraction_refused(), "{requests:?} {feeds:?}");
 }
--- a/marked/src/fleet/seats.rs
+++ b/marked/src/fleet/seats.rs
@@ -1,5 +1,5 @@
 //! Seats of the instances of a failure domain. A seat decides which targets are
-//! [assigned](medlarspur_load::dealing) to an instance and which targets in slow start it
+//! [assigned](medlarspur_load::subset) to an instance and which targets in slow start it
 //! [owns](medlarspur_load::warmup).
 //!
 //! The reader of a domain with the smallest address knows all instances of the domain. It sends
