--- a/marked/src/delta.rs
+++ b/marked/src/delta.rs
@@ -1,9 +1,9 @@
-//! The difference between two configs, to be told instead of the whole.
+//! The difference between two configs, which is sent in place of the whole config.
 //!
-//! At the size aimed for a config has 3,400 routes, some 100 KB between
-//! instances, and changes 4,000 times a day by one or a few of them. Passed on
-//! whole to a hundred instances of a failure domain, each change would take a
-//! reader's share of traffic for minutes; the difference fits into a datagram.
+//! At the intended scale a config has 3,400 routes, some 100 KB between instances, and changes
+//! 4,000 times a day in one or a few of them. Sent whole to the hundred instances of a failure
+//! domain, each change would use up a reader's share of traffic for minutes. The difference fits
+//! into a datagram.
 
 use crate::{Config, Route, Service};
 use medlarspur_lib::{
@@ -14,27 +14,27 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddrV4;
 
-/// What makes one config of another one.
+/// Turns one config into another.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The version of the config that it changes.
+    /// Version of the config that the delta applies to.
     pub base: Version,
-    /// That of the config that it makes.
+    /// Version of the resulting config.
     pub(crate) version: Version,
     idle: Millis,
     omitted: u32,
     routes: Vec<Route>,
-    dropped: Vec<SocketAddrV4>,
+    removed_routes: Vec<SocketAddrV4>,
     services: Vec<Service>,
-    ended: Vec<ServiceName>,
+    removed_services: Vec<ServiceName>,
 }
 
 impl Delta {
-    pub(crate) fn is_sound(&self) -> bool {
-        self.routes.iter().all(Route::is_sound) && self.services.iter().all(Service::is_sound)
+    pub(crate) fn is_valid(&self) -> bool {
+        self.routes.iter().all(Route::is_valid) && self.services.iter().all(Service::is_valid)
     }
 
-    /// The difference from `old` to `new`.
+    /// Computes the delta from `old` to `new`.
     pub fn between(old: &Config, new: &Config) -> Delta {
         let known: Map<_, _> = old.routes.iter().map(|it| (it.address, it)).collect();
         let kept: Set<_> = new.routes.iter().map(|it| it.address).collect();
@@ -50,19 +50,19 @@
             idle: new.idle,
             omitted: new.omitted,
             routes: new.routes.iter().filter(is_new).cloned().collect(),
-            dropped: addresses.filter(|it| !kept.contains(it)).collect(),
+            removed_routes: addresses.filter(|it| !kept.contains(it)).collect(),
             services: new.services.iter().filter(is_other).cloned().collect(),
-            ended: ended.cloned().collect(),
+            removed_services: ended.cloned().collect(),
         }
     }
 
-    /// The config that `old` becomes. The order of its routes is not kept; no
-    /// two have one address.
+    /// Applies the delta to `old`. The order of routes is not preserved; no two routes have the
+    /// same address.
     pub fn apply(&self, old: &Config) -> Config {
-        let dropped: Set<_> = self.dropped.iter().copied().collect();
+        let dropped: Set<_> = self.removed_routes.iter().copied().collect();
         let set: Set<_> = self.routes.iter().map(|it| it.address).collect();
         let stays = |it: &&Route| !dropped.contains(&it.address) && !set.contains(&it.address);
-        let ended: Set<_> = self.ended.iter().collect();
+        let ended: Set<_> = self.removed_services.iter().collect();
         let named: Set<_> = self.services.iter().map(|it| &it.name).collect();
         let remains = |it: &&Service| !ended.contains(&it.name) && !named.contains(&it.name);
         Config {
--- a/marked/tests/test_catalog.rs
+++ b/marked/tests/test_catalog.rs
@@ -1,8 +1,8 @@
-//! News in any order makes one picture.
+//! Merging updates: any order results in the same catalog.
 
-use super::fixtures::{FEED, change, config, millis, name, news, one, started, target};
+use super::fixtures::{FEED, change, config, incremental, millis, name, started, target, update};
 use medlarspur_lib::ids::ServiceName;
-use medlarspur_marked::{Catalog, Content, Incarnation, News, Presence, Revision, Scope};
+use medlarspur_marked::{Catalog, Content, Incarnation, Presence, Revision, Scope, Update};
 use proptest::prelude::*;
 
 fn listed(catalog: &Catalog) -> Vec<(Incarnation, Revision, bool)> {
@@ -14,7 +14,7 @@
     entries
 }
 
-fn histories() -> impl Strategy<Value = Vec<News>> {
+fn histories() -> impl Strategy<Value = Vec<Update>> {
     let content = (1..6u64, 0..4u64, 0..6u8).prop_map(|(number, start, kind)| match kind {
         0 => Content::Removed(name(number)),
         1 => Content::Unusable(name(number)),
@@ -22,7 +22,11 @@
         _ => Content::Config(config(number)),
     });
     proptest::collection::vec(content, 1..30).prop_map(|contents| {
-        contents.into_iter().zip(1..).map(|(content, revision)| one(revision, content)).collect()
+        contents
+            .into_iter()
+            .zip(1..)
+            .map(|(content, revision)| incremental(revision, content))
+            .collect()
     })
 }
 
@@ -30,10 +34,10 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn order_and_repetition_of_news_do_not_matter(
+    fn order_and_repetition_of_updates_do_not_matter(
         history in histories(), order in any::<prop::sample::Index>(), seed in any::<u64>()
     ) {
-        let mut straight = Catalog::default();
+        let mut ordered = Catalog::default();
         let mut shuffled = Catalog::default();
         let mut mixed = history.clone();
         let again = order.index(history.len());
@@ -43,63 +47,63 @@
             mixed.swap(last, (random.draw() % (last as u64 + 1)) as usize);
         }
 
-        for news in history {
-            straight.merge(news, millis(1));
+        for update in history {
+            ordered.merge(update, millis(1));
         }
-        for news in mixed {
-            shuffled.merge(news, millis(1));
+        for update in mixed {
+            shuffled.merge(update, millis(1));
         }
 
         let present = |catalog: &Catalog| {
             let entries = listed(catalog).into_iter().filter(|(.., listed)| *listed);
             entries.collect::<Vec<_>>()
         };
-        prop_assert_eq!(present(&straight), present(&shuffled));
-        prop_assert_eq!(straight.config(), shuffled.config());
-        // With news missing in between it doesn't claim to know all; asking for
+        prop_assert_eq!(present(&ordered), present(&shuffled));
+        prop_assert_eq!(ordered.config(), shuffled.config());
+        // While updates are missing in between, the catalog does not claim to be complete. Pulling
         // what it lacks closes the gap.
-        prop_assert!(shuffled.revision() <= straight.revision());
-        shuffled.merge(straight.since(shuffled.revision(), millis(2)), millis(2));
-        prop_assert_eq!(present(&straight), present(&shuffled));
-        prop_assert_eq!(straight.revision(), shuffled.revision());
+        prop_assert!(shuffled.revision() <= ordered.revision());
+        shuffled.merge(ordered.update_since(shuffled.revision(), millis(2)), millis(2));
+        prop_assert_eq!(present(&ordered), present(&shuffled));
+        prop_assert_eq!(ordered.revision(), shuffled.revision());
     }
 }
 
-/// A slow source tells an older config after a newer one is in force. Taking
+/// Guards against a slow store that lists an older config while a newer one is in force. Applying
 /// it would bring back routes that operators have removed.
 #[test]
-fn an_older_config_never_comes_back() {
+fn an_older_config_is_ignored() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(20, Content::Config(config(7))), millis(0));
+    catalog.merge(incremental(20, Content::Config(config(7))), millis(0));
 
-    catalog.merge(one(10, Content::Config(config(6))), millis(1));
+    catalog.merge(incremental(10, Content::Config(config(6))), millis(1));
 
     assert_eq!(catalog.config().expect("a config").version.0, 7);
 }
 
-/// The news of a removal overtakes that of the entry. Without a memory of the
-/// removal, the late entry would bring a dead target into use.
+/// Guards against a removal that overtakes the update of its entry. Without a tombstone, the late
+/// entry would bring a dead target back into use.
 #[test]
-fn a_removal_that_came_first_keeps_the_entry_out() {
+fn a_removal_that_arrives_first_outdates_the_entry() {
     let mut catalog = Catalog::default();
     let gone = target(1, "desk");
-    catalog.merge(one(9, Content::Removed(gone.name.clone())), millis(0));
+    catalog.merge(incremental(9, Content::Removed(gone.name.clone())), millis(0));
 
-    catalog.merge(one(8, Content::Target(gone)), millis(1));
+    catalog.merge(incremental(8, Content::Target(gone)), millis(1));
 
     assert_eq!(catalog.entries().count(), 0);
 }
 
-/// The store forgets its history, and an instance reads all again. What it does
-/// not find any more was removed meanwhile.
+/// Guards against keeping removed items after the store has compacted its history and an instance
+/// makes a full read.
 #[test]
-fn reading_all_removes_what_is_not_there() {
+fn a_snapshot_removes_items_that_it_does_not_list() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(1, Content::Target(target(1, "desk"))), millis(0));
-    catalog.merge(one(2, Content::Target(target(2, "desk"))), millis(0));
+    catalog.merge(incremental(1, Content::Target(target(1, "desk"))), millis(0));
+    catalog.merge(incremental(2, Content::Target(target(2, "desk"))), millis(0));
 
     let kept = change(2, Content::Target(target(2, "desk")));
-    catalog.merge(news(30, Scope::All, vec![kept]), millis(5));
+    catalog.merge(update(30, Scope::Snapshot, vec![kept]), millis(5));
 
     let presence =
         |number| catalog.entry(target(number, "desk").incarnation).expect("still known").presence;
@@ -107,45 +111,46 @@
     assert_eq!(presence(2), Presence::Listed);
 }
 
-/// Reading all takes several calls. A target that was listed by a newer change
-/// while it was under way must not be taken for removed.
+/// Guards against removing a target that was listed by a newer change during a full read, which
+/// takes several calls.
 #[test]
-fn reading_all_does_not_remove_what_is_newer() {
+fn a_snapshot_does_not_remove_newer_items() {
     let mut catalog = Catalog::default();
-    catalog.merge(one(40, Content::Target(target(1, "desk"))), millis(0));
+    catalog.merge(incremental(40, Content::Target(target(1, "desk"))), millis(0));
 
-    catalog.merge(news(30, Scope::All, Vec::new()), millis(5));
+    catalog.merge(update(30, Scope::Snapshot, Vec::new()), millis(5));
 
     let entry = catalog.entry(target(1, "desk").incarnation).expect("still known");
     assert_eq!(entry.presence, Presence::Listed);
 }
 
-/// An entry lapses while the store is away and is back when it returns.
+/// Guards against ignoring an entry that lapsed during an outage of the store and is written again
+/// afterwards.
 #[test]
 fn an_entry_that_is_written_again_is_listed_again() {
     let mut catalog = Catalog::default();
     let it = target(1, "desk");
-    catalog.merge(one(1, Content::Target(it.clone())), millis(0));
-    catalog.merge(one(2, Content::Removed(it.name.clone())), millis(10));
+    catalog.merge(incremental(1, Content::Target(it.clone())), millis(0));
+    catalog.merge(incremental(2, Content::Removed(it.name.clone())), millis(10));
 
-    catalog.merge(one(3, Content::Target(it.clone())), millis(20));
+    catalog.merge(incremental(3, Content::Target(it.clone())), millis(20));
 
     assert_eq!(catalog.entry(it.incarnation).expect("known").presence, Presence::Listed);
     assert_eq!(catalog.targets(&ServiceName::new("desk")).count(), 1);
 }
 
-/// Flows to a removed target go on for a minute; its memory must not grow with
-/// every target that ever was.
+/// Guards against memory that grows with every target that ever existed, and against forgetting a
+/// removed target while its flows, which take up to a minute, continue.
 #[test]
 fn a_removed_target_is_forgotten_after_its_flows_have_ended() {
     let mut catalog = Catalog::default();
     let it = target(1, "desk");
-    catalog.merge(one(1, Content::Target(it.clone())), millis(0));
-    catalog.merge(one(2, Content::Removed(it.name.clone())), millis(0));
+    catalog.merge(incremental(1, Content::Target(it.clone())), millis(0));
+    catalog.merge(incremental(2, Content::Removed(it.name.clone())), millis(0));
 
-    catalog.merge(one(3, Content::Config(config(1))), millis(60_000));
+    catalog.merge(incremental(3, Content::Config(config(1))), millis(60_000));
     assert!(catalog.entry(it.incarnation).is_some());
-    catalog.merge(one(4, Content::Config(config(2))), millis(91_000));
+    catalog.merge(incremental(4, Content::Config(config(2))), millis(91_000));
 
     assert!(catalog.entry(it.incarnation).is_none());
     assert_eq!(catalog.targets(&ServiceName::new("desk")).count(), 0);
@@ -157,73 +162,73 @@
     split.shares[0].weight = 90;
     split.shares.push(medlarspur_marked::Share { service: ServiceName::new("new"), weight: 10 });
 
-    let desk = (0..100).filter(|draw| split.share(*draw).as_str() == "desk").count();
+    let desk = (0..100).filter(|draw| split.pick_service(*draw).as_str() == "desk").count();
 
     assert_eq!(desk, 90);
 }
 
-/// Two removals of one target that was never listed here come out of order. The
-/// later one must be remembered, or an entry from between brings it back.
+/// Guards against remembering the earlier of two removals of an unknown target that arrive out of
+/// order. An entry from between them would then be listed.
 #[test]
-fn the_latest_of_two_removals_counts() {
+fn the_later_of_two_removals_wins() {
     let mut catalog = Catalog::default();
     let gone = target(1, "desk");
-    catalog.merge(one(9, Content::Removed(gone.name.clone())), millis(0));
-    catalog.merge(one(4, Content::Removed(gone.name.clone())), millis(0));
+    catalog.merge(incremental(9, Content::Removed(gone.name.clone())), millis(0));
+    catalog.merge(incremental(4, Content::Removed(gone.name.clone())), millis(0));
 
-    catalog.merge(one(6, Content::Target(gone)), millis(1));
+    catalog.merge(incremental(6, Content::Target(gone)), millis(1));
 
     assert_eq!(catalog.entries().count(), 0);
 }
 
-/// An instance was away for minutes. Removals from that time are no longer
-/// remembered by the one that it asks, so it must be told all, or it would
-/// send flows to targets that are gone.
+/// Guards against an incremental update for an instance that was away for minutes. The sender no
+/// longer retains the removals of that time, so the instance would send flows to targets that are
+/// gone.
 #[test]
-fn who_was_away_for_long_is_told_all() {
+fn an_instance_that_was_away_for_long_gets_a_snapshot() {
     let (kept, gone) = (target(1, "desk"), target(2, "desk"));
-    let mut asked = Catalog::default();
-    asked.merge(one(1, Content::Target(kept.clone())), millis(0));
-    asked.merge(one(2, Content::Target(gone.clone())), millis(0));
+    let mut source = Catalog::default();
+    source.merge(incremental(1, Content::Target(kept.clone())), millis(0));
+    source.merge(incremental(2, Content::Target(gone.clone())), millis(0));
     let mut away = Catalog::default();
-    away.merge(asked.since(Revision::new(0, 0), millis(0)), millis(0));
-    asked.merge(one(3, Content::Removed(gone.name.clone())), millis(10));
-    asked.merge(one(4, Content::Config(config(1))), millis(100_000));
+    away.merge(source.update_since(Revision::new(0, 0), millis(0)), millis(0));
+    source.merge(incremental(3, Content::Removed(gone.name.clone())), millis(10));
+    source.merge(incremental(4, Content::Config(config(1))), millis(100_000));
 
-    let told = asked.since(away.revision(), millis(100_000));
-    away.merge(told, millis(100_000));
+    let update = source.update_since(away.revision(), millis(100_000));
+    away.merge(update, millis(100_000));
 
     let entry = away.entry(gone.incarnation).expect("known for a while");
     assert_eq!(entry.presence, Presence::Removed(millis(100_000)));
-    assert_eq!(away.revision(), asked.revision());
+    assert_eq!(away.revision(), source.revision());
 }
 
-/// News between two that came was lost on the way. The instance must know that
-/// it lacks something, or a removal in between would never be noticed.
+/// Guards against missing a removal because an update between two received ones was lost.
 #[test]
-fn lost_news_is_noticed() {
+fn a_lost_update_is_detected() {
     let mut catalog = Catalog::default();
-    catalog.merge(news(10, Scope::All, vec![]), millis(0));
-    let later = news(14, Scope::Since(Revision::new(0, 12)), vec![]);
+    catalog.merge(update(10, Scope::Snapshot, vec![]), millis(0));
+    let later = update(14, Scope::Incremental(Revision::new(0, 12)), vec![]);
 
-    assert!(catalog.lacks(&later));
+    assert!(catalog.has_gap_before(&later));
     catalog.merge(later, millis(1));
 
     assert_eq!(catalog.revision(), Revision::new(0, 10));
 }
 
-/// Guards against listing a target for good that went before the reader read all.
+/// Guards against a target that stays listed for good because it was removed before the reader's
+/// full read.
 #[test]
-fn a_reader_that_read_all_does_not_hide_earlier_removals() {
+fn a_reader_after_a_full_read_does_not_hide_earlier_removals() {
     let gone = target(1, "desk");
     let mut listener = Catalog::default();
-    listener.merge(one(1, Content::Target(gone.clone())), millis(0));
+    listener.merge(incremental(1, Content::Target(gone.clone())), millis(0));
     let mut reader = Catalog::default();
     let kept = change(2, Content::Target(target(2, "desk")));
-    reader.merge(news(3, Scope::All, vec![kept]), millis(10));
+    reader.merge(update(3, Scope::Snapshot, vec![kept]), millis(10));
 
     for _ in 0..2 {
-        listener.merge(reader.since(listener.basis(), millis(20)), millis(20));
+        listener.merge(reader.update_since(listener.pull_base(), millis(20)), millis(20));
     }
 
     assert_eq!(listener.revision(), reader.revision());
