--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -15,8 +15,8 @@
 use medlarspur_lib::{
     bundle::{Class, Limits, Service, TargetState},
     collections::Map,
-    control::DISTRUST,
-    flows::{Belief, Flow, FlowMap},
+    control::STALE_TIME,
+    flows::{Certainty, Flow, FlowMap},
     forwarder::{Gate, Opening, Verdict as Opened},
     ids::{FlowId, ServiceIx, TargetIx, TargetName},
     members::MemberState,
@@ -87,7 +87,7 @@
 
     /// Says that this process slept.
     pub fn wake(&mut self, now: Millis) {
-        self.waking = now + DISTRUST;
+        self.waking = now + STALE_TIME;
         for holder in self.holders.drain(..) {
             self.gate.mark_leaving(holder.service, holder.target);
         }
@@ -114,7 +114,7 @@
                 self.recorders.insert((ServiceIx(at as u16), port.class), recorder);
             }
             for (position, target) in spec.targets.iter().enumerate() {
-                if let Some(id) = view.registry.named(&spec.name, &target.name) {
+                if let Some(id) = view.registry.find_by_name(&spec.name, &target.name) {
                     self.places.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
                     self.names.insert(target.name.clone(), id);
                 }
@@ -218,27 +218,27 @@
         }
     }
 
-    fn after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
+    fn retry_after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
         let place = target.and_then(|target| self.places.get(&target));
         let wait = place.and_then(|(service, _)| self.waits.get(usize::from(service.0)));
         wait.copied().unwrap_or(FIRST_WAIT)
     }
 
-    fn followed(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
+    fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
             recorder.handshake(span(after));
         }
         self.signal(now, target, load::Signal::Established { after: Some(after) });
     }
 
-    fn aborted(&mut self, now: Millis, target: TargetId) {
+    fn on_abort(&mut self, now: Millis, target: TargetId) {
         self.signal(now, target, load::Signal::Reset);
     }
 
-    fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow) {
+    fn on_close(&mut self, now: Millis, id: FlowId, flow: &Flow) {
         // Packets of a flow may pass any instance; only the one that opened it
         // knows how long it lasted.
-        if flow.belief == Belief::Opened
+        if flow.certainty == Certainty::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
             recorder.length(span(flow.age(now)));
@@ -249,7 +249,7 @@
         }
     }
 
-    fn follow(&mut self, view: &View, now: Millis) {
+    fn set_view(&mut self, view: &View, now: Millis) {
         let live = view.members.iter().filter(|member| member.state == MemberState::Live).count();
         self.gate.set_instances(live.max(1) as u16);
         if self.version != Some(view.bundle.version) {
@@ -272,7 +272,7 @@
             if target.state == TargetState::Active {
                 continue;
             }
-            let id = view.registry.named(&service.spec.name, &target.name);
+            let id = view.registry.find_by_name(&service.spec.name, &target.name);
             if let Some(id) = id.filter(|id| owns(service, *id)) {
                 found.push(Holder {
                     service: ServiceIx(at as u16),
--- a/peer/src/decode.rs
+++ b/peer/src/decode.rs
@@ -112,7 +112,7 @@
             control: addr(m.control)?,
         },
         version: Version(m.version),
-        told: m.told,
+        advertised: m.told,
     })
 }
 
@@ -159,14 +159,19 @@
         sender: InstanceName::new(name("sender", &m.sender)?),
         service: service(&m.service)?,
         flows: m.flows.iter().map(flow).collect::<Decoded<_>>()?,
-        told: m.told,
+        advertised: m.told,
     })
 }
 
 fn history(m: &wire::History) -> Decoded<message::History> {
     let owner = |o: &wire::Owner| {
         let bucket = Bucket(small("bucket", o.bucket)?);
-        Ok(message::Loss { bucket, target: target(&o.target)?, age: o.age, owned: !o.called_off })
+        Ok(message::HistoryEntry {
+            bucket,
+            target: target(&o.target)?,
+            age: o.age,
+            owned: !o.called_off,
+        })
     };
     Ok(message::History {
         service: service(&m.service)?,
--- a/peer/tests/test_wire.rs
+++ b/peer/tests/test_wire.rs
@@ -4,8 +4,8 @@
 use medlarspur_lib::{
     ids::{Bucket, FlowId, InstanceName, ServiceName, TargetName, Version},
     message::{
-        Advert, BundleDelta, BundleOutline, BundleRequest, History, HistoryRequest, Leave, Loss,
-        MembersAnswer, MembersRequest, Message, Piece, PieceRequest, Pieces, PlanRequest,
+        Advert, BundleDelta, BundleOutline, BundleRequest, History, HistoryEntry, HistoryRequest,
+        Leave, MembersAnswer, MembersRequest, Message, Piece, PieceRequest, Pieces, PlanRequest,
         ServicePlan,
     },
 };
@@ -66,7 +66,7 @@
     let author = || InstanceName::new("lozenets-1");
     let flows = proptest::collection::vec((any::<u64>().prop_map(FlowId), target()), 0..99);
     let loss = (bucket(), target(), 0..100_000u64, any::<bool>())
-        .prop_map(|(bucket, target, age, owned)| Loss { bucket, target, age, owned });
+        .prop_map(|(bucket, target, age, owned)| HistoryEntry { bucket, target, age, owned });
     let owners = proptest::collection::vec(loss, 0..99);
     prop_oneof![
         proptest::collection::vec(any::<u64>(), 64)
@@ -81,9 +81,9 @@
                 })
             }
         ),
-        (flows, any::<Option<u32>>()).prop_map(move |(flows, told)| {
-            let told = told.map(u64::from);
-            Message::Advert(Advert { sender: author(), service: service(), flows, told })
+        (flows, any::<Option<u32>>()).prop_map(move |(flows, advertised)| {
+            let advertised = advertised.map(u64::from);
+            Message::Advert(Advert { sender: author(), service: service(), flows, advertised })
         }),
         owners.prop_map(move |owners| Message::History(History { service: service(), owners })),
         Just(Message::HistoryRequest(HistoryRequest { sender: addr(6082) })),
