--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! What the decisions where marks are used cost, by size: time and memory.
+//! Costs of forwarding by marks depending on size, in time and memory.
 //!
-//! Prints one row a measure; `docs/measures/marks.md` has a run and says what
-//! follows from it for the size aimed for.
+//! Prints one row for each measure. `docs/measures/marks.md` shows the output of a run and its
+//! consequences for the intended scale.
 
 use medlarspur_lib::{
     bundle::Class,
--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Targets, routes, packets and a place that keeps what was decided.
+//! Targets, routes and packets for tests, and an output that records all decisions.
 
 use medlarspur_lib::{
     bundle::Class,
--- a/marked/tests/test_regions.rs
+++ b/marked/tests/test_regions.rs
@@ -1,4 +1,4 @@
-//! Routes whose requests must stay in some regions.
+//! Routes whose requests must stay in certain regions.
 
 use super::fixtures::{
     FEED, Instance, REQUEST, config, flow, incremental, middle, millis, segment, target,
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -1,4 +1,4 @@
-//! Targets that start again under the name that they had.
+//! Targets that restart under the same name.
 
 use super::fixtures::{
     FEED, Instance, flow, incremental, middle, millis, name, segment, started, target,
