--- a/marked/src/forwarder/estimates.rs
+++ b/marked/src/forwarder/estimates.rs
@@ -3,9 +3,9 @@
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
 use medlarspur_load::{estimate::Estimate, reserve::RequestShare};
 
-/// Number of ambiguous handshakes in a row that are left out of the estimate. A few targets
-/// that are full at the same time cause fewer. A handshake is ambiguous if its opening was sent
-/// more than once.
+/// Maximum number of ambiguous handshakes in a row that are left out of the estimate. A
+/// handshake is ambiguous if its opening was sent more than once. A few targets that are full
+/// at the same time cause fewer.
 const MAX_AMBIGUOUS: u32 = 8;
 
 /// Usual handshake and answer times, and the share of requests in the work.
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 struct ServiceEstimates {
     answers: Estimate,
-    mix: RequestShare,
+    request_share: RequestShare,
 }
 
 impl Estimates {
@@ -42,7 +42,7 @@
     pub(super) fn add_answer(&mut self, service: &ServiceName, class: Class, span: Millis) {
         let service = self.services.entry(service.clone()).or_default();
         service.answers.record(span);
-        service.mix.record(class, span);
+        service.request_share.record(class, span);
     }
 
     /// Whether an opening that arrived later than `since` was answered.
@@ -61,8 +61,8 @@
     }
 
     /// Share of requests in the work of a service.
-    pub(super) fn mix(&self, service: &ServiceName) -> RequestShare {
-        self.services.get(service).map(|service| service.mix).unwrap_or_default()
+    pub(super) fn request_share(&self, service: &ServiceName) -> RequestShare {
+        self.services.get(service).map(|service| service.request_share).unwrap_or_default()
     }
 
     /// Removes services that no longer exist.
--- a/marked/src/forwarder/exclusion.rs
+++ b/marked/src/forwarder/exclusion.rs
@@ -83,8 +83,8 @@
         // Targets that got no flows while their domain was evacuated may have become cold. They
         // announce that only some time after the evacuation has ended; until then they would
         // get all new flows, since they are idle.
-        let restored = self.catalog.evacuation_ended(&entry.target.domain);
-        now < entry.cold_until || restored.is_some_and(|at| now < at + warmup.span)
+        let ended = self.catalog.evacuation_ended(&entry.target.domain);
+        now < entry.cold_until || ended.is_some_and(|at| now < at + warmup.span)
     }
 
     /// Whether this instance owns a target in slow start and may open a flow there now.
@@ -94,10 +94,10 @@
             && last.is_none_or(|at| now.since(at) >= warmup::opening_interval(warmup.rate))
     }
 
-    /// Whether this instance owns a target of its failure domain in slow start.
+    /// Whether the seat of this instance owns a target of its failure domain.
     pub(super) fn owns(&self, entry: &Entry) -> bool {
-        let is_near = entry.target.domain == self.options.domain;
-        is_near && self.seat.is_some_and(|seat| seat.owns(entry.target.incarnation.0))
+        let is_same_domain = entry.target.domain == self.options.domain;
+        is_same_domain && self.seat.is_some_and(|seat| seat.owns(entry.target.incarnation.0))
     }
 
     /// Records that a flow was opened at a target, if the target is in slow start.
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -104,8 +104,8 @@
             address: target.address,
             domain: target.domain.clone(),
             usage: self.usage(entry, restrictions, now),
-            work: state.map_or(0, |state| state.working + state.opening),
-            feeds: state.map_or(0, |state| state.feeds),
+            work: state.map_or(0, |state| state.in_flight + state.opening),
+            feeds: state.map_or(0, |state| state.idle_feeds),
         }
     }
 
--- a/marked/src/forwarder/failover.rs
+++ b/marked/src/forwarder/failover.rs
@@ -6,6 +6,7 @@
 use medlarspur_load::vacancy::Vacancy;
 
 impl Forwarder {
+    /// Marks a target as lost after an unanswered probe and removes its flows.
     pub(super) fn mark_lost(
         &mut self,
         target: Incarnation,
@@ -43,6 +44,7 @@
         }
     }
 
+    /// Moves one flow whose handshake has not ended from a target to another one.
     pub(super) fn move_opening(
         &mut self,
         key: FlowKey,
@@ -75,7 +77,7 @@
             let seq = flow.acked;
             match flow.is_opening() {
                 true => self.move_opening(key, target, now, out),
-                false => self.reset(&key, seq, target, now, out),
+                false => self.reset_lost_flow(&key, seq, target, now, out),
             }
         }
     }
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -73,7 +73,9 @@
 pub struct Forwarder {
     catalog: Catalog,
     flows: SeededMap<FlowKey, Flow>,
+    /// States of the known targets.
     states: Map<Incarnation, TargetState>,
+    /// Scheduled checks of unanswered openings.
     openings: VecDeque<(Millis, FlowKey)>,
     /// Flows held before their opening, and the admission state of their services.
     held: SeededMap<FlowKey, NewFlow>,
@@ -82,6 +84,7 @@
     /// that have targets.
     domain_size: usize,
     domain_count: usize,
+    /// Lost targets that are listed.
     lost: Vec<Incarnation>,
     lapse_probes: LapseProbes,
     /// Targets that accept no openings.
@@ -98,7 +101,7 @@
     stranded: bool,
     /// Time at which any target was last known to be alive.
     last_alive: Millis,
-    /// Time of the first unanswered probe since then.
+    /// Time of the first unanswered probe since then, if there was one.
     isolated_since: Option<Millis>,
     last_sweep: Millis,
     options: ForwarderOptions,
@@ -191,7 +194,7 @@
         self.cancel_held(&segment.key);
         let is_lost = self.states.get(&target).is_some_and(|state| state.health.is_lost());
         if is_lost {
-            self.reset(&segment.key, segment.ack, target, now, out);
+            self.reset_lost_flow(&segment.key, segment.ack, target, now, out);
             return;
         }
         self.track(target, segment, now, out);
@@ -313,7 +316,8 @@
         }
     }
 
-    pub(super) fn reset(
+    /// Resets a flow whose target is lost; `seq` is the next number that the caller expects.
+    pub(super) fn reset_lost_flow(
         &mut self,
         key: &FlowKey,
         seq: u32,
@@ -380,8 +384,9 @@
         let idle = self.catalog.config().map_or(Millis::secs(60), |config: &Config| config.idle);
         let is_over = |flow: &Flow| {
             let limit = if flow.is_opening() { OPENING_LIMIT } else { idle };
-            let waits = flow.pending_since.is_some_and(|since| now.since(since) > MAX_REQUEST_AGE);
-            now.since(flow.last_seen) > limit || waits
+            let is_stalled =
+                flow.pending_since.is_some_and(|since| now.since(since) > MAX_REQUEST_AGE);
+            now.since(flow.last_seen) > limit || is_stalled
         };
         let over: Vec<FlowKey> =
             self.flows.iter().filter(|(_, flow)| is_over(flow)).map(|(key, _)| *key).collect();
@@ -401,6 +406,7 @@
         }
     }
 
+    /// Adds a flow to its target's counts, or subtracts it if `sign` is -1.
     pub(super) fn account(&mut self, flow: &Flow, sign: i32) {
         if let Some(state) = self.states.get_mut(&flow.target) {
             state.account(flow, sign);
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -29,7 +29,7 @@
 const MAX_OPENING_TIMEOUT: Millis = Millis(100);
 /// Age of an unanswered opening after which it is no longer checked. After 200 ms the caller
 /// sends it again by itself, and each copy has the target probed if it is silent.
-const LAST_CHECK: Millis = Millis(200);
+const MAX_CHECK_AGE: Millis = Millis(200);
 /// Time for which a flow must have been held here for its caller to count as possibly gone.
 /// Callers with several flows continue with the one that is free first and end no handshake of
 /// the others. Until 200 ms no caller has sent its opening again, so most are still there.
@@ -168,12 +168,12 @@
         if !restrictions.is_empty() || self.catalog.evacuated().next().is_some() {
             return None;
         }
-        let mix = self.estimates.mix(service);
+        let request_share = self.estimates.request_share(service);
         let mut options = Options::default();
         for entry in subset.own.iter().filter_map(|it| self.catalog.entry(*it)) {
             let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-            candidate.reserved =
-                class != Class::Upload && subset.is_reserved(entry.target.incarnation, mix);
+            candidate.reserved = class != Class::Upload
+                && subset.is_reserved(entry.target.incarnation, request_share);
             options.targets.push(entry.target.incarnation);
             options.candidates.push(candidate);
         }
@@ -207,8 +207,8 @@
             }
         }
         if class != Class::Upload {
-            let mix = self.estimates.mix(service);
-            reserve_for_requests(mix, &entries, &mut options.candidates);
+            let request_share = self.estimates.request_share(service);
+            reserve_for_requests(request_share, &entries, &mut options.candidates);
         }
         options.targets = entries.iter().map(|entry| entry.target.incarnation).collect();
         options
@@ -290,9 +290,9 @@
         Some(Candidate {
             tier,
             slots: entry.target.slots,
-            in_flight: state.working,
+            in_flight: state.in_flight,
             opening: state.opening,
-            idle_feeds: state.feeds,
+            idle_feeds: state.idle_feeds,
             cold: now < entry.cold_until,
             same_domain,
             reserved: false,
@@ -326,7 +326,7 @@
             self.send(target, &key, &packet, out);
             self.suspect_opening(target, key, since, now, out);
         }
-        if now.since(since) < LAST_CHECK {
+        if now.since(since) < MAX_CHECK_AGE {
             self.schedule_opening_check(key, now);
         }
     }
@@ -357,20 +357,24 @@
 
 /// Marks the candidates that feeds leave to requests: the first ones of each failure domain by
 /// incarnation, an order that is the same at all instances.
-fn reserve_for_requests(mix: RequestShare, entries: &[&Entry], candidates: &mut [Candidate]) {
+fn reserve_for_requests(
+    request_share: RequestShare,
+    entries: &[&Entry],
+    candidates: &mut [Candidate],
+) {
     let mut domains: Map<&DomainName, Vec<(Incarnation, usize)>> = Map::default();
     for (at, entry) in entries.iter().enumerate() {
         let domain = domains.entry(&entry.target.domain).or_default();
         domain.push((entry.target.incarnation, at));
     }
     for domain in domains.values_mut() {
-        let kept = mix.reserved_targets(domain.len());
+        let reserved = request_share.reserved_targets(domain.len());
         // Every opening of a feed runs this, and only membership in the first part is needed,
         // so a selection replaces a full sort.
-        if kept < domain.len() {
-            domain.select_nth_unstable(kept);
+        if reserved < domain.len() {
+            domain.select_nth_unstable(reserved);
         }
-        for (_, at) in &domain[..kept] {
+        for (_, at) in &domain[..reserved] {
             candidates[*at].reserved = true;
         }
     }
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -43,6 +43,7 @@
         (listed.saturating_sub(self.lost.len()), self.lost.len())
     }
 
+    /// Acts on a changed entry.
     pub(super) fn apply_entry(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let state = match entry.presence {
@@ -130,6 +131,7 @@
         }
     }
 
+    /// Records that a target is alive.
     pub(super) fn record_alive(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
         self.last_alive = now;
@@ -207,6 +209,7 @@
         self.probe(target, now, out);
     }
 
+    /// Sends a probe to a target.
     pub(super) fn probe(&mut self, incarnation: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(incarnation) else { return };
         let Some(service) = self.catalog.service(&entry.target.service) else { return };
@@ -281,6 +284,7 @@
         }
     }
 
+    /// Probes lost targets whose backoff is over.
     pub(super) fn probe_lost(&mut self, now: Millis, out: &mut impl Output) {
         let states = &self.states;
         let catalog = &self.catalog;
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -14,6 +14,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TargetState {
     pub(super) health: Health,
+    /// Time at which the target was last suspected, if it was not known to be alive since.
     pub(super) suspected_at: Option<Millis>,
     /// Whether the target has capacity for new flows.
     pub(super) vacancy: Vacancy,
@@ -31,10 +32,13 @@
     pub(super) check_at: Option<Millis>,
     /// Time of the last flow that this instance opened there during slow start.
     pub(super) warmed_at: Option<Millis>,
-    pub(super) working: u32,
+    /// Number of requests in flight.
+    pub(super) in_flight: u32,
+    /// Number of unanswered openings.
     pub(super) opening: u32,
-    pub(super) feeds: u32,
-    /// The part of `working` and `opening` that belongs to requests.
+    /// Number of open feeds without a request in flight.
+    pub(super) idle_feeds: u32,
+    /// The part of `in_flight` and `opening` that belongs to requests.
     pub(super) requests: u32,
     /// Number of all flows there.
     pub(super) flows: u32,
@@ -55,9 +59,9 @@
             silent: false,
             check_at: None,
             warmed_at: None,
-            working: 0,
+            in_flight: 0,
             opening: 0,
-            feeds: 0,
+            idle_feeds: 0,
             requests: 0,
             flows: 0,
             unprobed: false,
@@ -95,9 +99,9 @@
         let field = if flow.is_opening() {
             &mut self.opening
         } else if flow.has_pending_request() {
-            &mut self.working
+            &mut self.in_flight
         } else if flow.class == Class::Feed {
-            &mut self.feeds
+            &mut self.idle_feeds
         } else {
             return;
         };
--- a/marked/src/forwarder/stranded.rs
+++ b/marked/src/forwarder/stranded.rs
@@ -5,7 +5,7 @@
 //! partition ends would leave healthy targets unused. Therefore the instances of such a domain
 //! use its targets as long as neither the store nor a target in another domain can be reached.
 //! One of the two alone is not enough: without the store the other domains can still serve, and
-//! if the store answers, operators can be heard and have not ended the evacuation.
+//! if the store answers, the end of the evacuation would have arrived.
 
 use super::{Forwarder, Output};
 use crate::{Entry, FlowKey, Incarnation, Note};
--- a/marked/src/forwarder/subset.rs
+++ b/marked/src/forwarder/subset.rs
@@ -1,4 +1,6 @@
-//! The subset of a service's targets that an instance prefers; see [`subset`](medlarspur_load::subset).
+//! The subset of a service's targets that an instance prefers.
+//!
+//! The subset is computed by [`medlarspur_load::subset`].
 
 use super::Forwarder;
 use crate::{Entry, Incarnation};
@@ -21,9 +23,9 @@
     }
 
     /// Whether feeds leave a target to requests, which get the first ones by incarnation.
-    pub(super) fn is_reserved(&self, target: Incarnation, mix: RequestShare) -> bool {
-        let kept = mix.reserved_targets(self.all.len());
-        self.all[..kept].last().is_some_and(|last| target <= *last)
+    pub(super) fn is_reserved(&self, target: Incarnation, request_share: RequestShare) -> bool {
+        let reserved = request_share.reserved_targets(self.all.len());
+        self.all[..reserved].last().is_some_and(|last| target <= *last)
     }
 }
 
--- a/marked/src/forwarder/update.rs
+++ b/marked/src/forwarder/update.rs
@@ -36,7 +36,7 @@
             self.clear_subsets();
         }
         for incarnation in outcome.former_targets {
-            // This instance has never heard from it, so it gets new flows only once it has
+            // Nothing was received from it here yet, so it gets new flows only once it has
             // answered.
             let health = Health::new(Millis(0));
             let state = TargetState { unprobed: true, health, ..TargetState::new(now) };
@@ -53,7 +53,7 @@
             out.note(Note::Config { version: config.version, revision, routes });
         }
         self.count_domains();
-        self.drop_unused_admissions();
+        self.drop_unused_services();
         let catalog = &self.catalog;
         self.states.retain(|incarnation, _| catalog.entry(*incarnation).is_some());
     }
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -43,7 +43,7 @@
 struct Load {
     work: InFlight,
     /// This instance's share of the slots of all targets.
-    part: f32,
+    slot_share: f32,
 }
 
 impl Forwarder {
@@ -65,7 +65,7 @@
     }
 
     /// Removes the admission state and estimates of services without targets.
-    pub(super) fn drop_unused_admissions(&mut self) {
+    pub(super) fn drop_unused_services(&mut self) {
         let catalog = &self.catalog;
         self.admissions.retain(|service, admission| {
             !admission.backlog.is_empty() || catalog.targets(service).next().is_some()
@@ -145,9 +145,9 @@
         {
             return;
         }
-        let Load { work, part } = self.load(&service);
+        let Load { work, slot_share } = self.load(&service);
         if let Some(admission) = self.admissions.get_mut(&service) {
-            admission.limit.adjust(work.all, part, now);
+            admission.limit.adjust(work.all, slot_share, now);
         }
     }
 
@@ -223,13 +223,13 @@
             if self.is_evacuation_active(&entry.target.domain) {
                 continue;
             }
-            work.all += state.working + state.opening;
+            work.all += state.in_flight + state.opening;
             work.requests += state.requests;
             if !entry.target.leaving && !state.health.is_lost() && entry.is_listed() {
                 slots += entry.target.slots;
             }
         }
-        Load { work, part: slots as f32 / self.instance_count() as f32 }
+        Load { work, slot_share: slots as f32 / self.instance_count() as f32 }
     }
 }
 
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -265,7 +265,7 @@
 }
 
 /// Guards against flows in an evacuated domain after all instances lost their power: a starting
-/// instance gets a snapshot from another one and serves nobody before, so the snapshot must
+/// instance gets a snapshot from another one and forwards nothing before, so the snapshot must
 /// contain evacuations.
 #[test]
 fn a_snapshot_for_a_starting_instance_contains_evacuations() {
@@ -447,7 +447,7 @@
 }
 
 /// Guards against an evacuated domain that is used because no target answers elsewhere. The
-/// store does, so operators can be heard and have not ended the evacuation.
+/// store does, so the end of the evacuation would have arrived.
 #[test]
 fn an_evacuated_domain_stays_unused_while_only_other_targets_are_silent() {
     let (mut instance, own, _) = evacuated_home();
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -79,7 +79,7 @@
 }
 
 /// Guards against healthy flows reset because this machine's own link is saturated for a
-/// moment, so that no target is heard. At a site of 300 machines, snapshots for starting
+/// moment, so that no answers arrive. At a site of 300 machines, snapshots for starting
 /// instances filled links of 10 Mbit/s, and dozens of flows were reset. Another target is
 /// probed along with the silent one.
 #[test]
