--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -3,11 +3,11 @@
 //! A target that has run out of connections answers neither openings nor probes, like a dead
 //! one, but still serves its open flows. Unanswered openings therefore say nothing about open
 //! flows. A target that leaves openings and probes unanswered is full: new flows avoid it at
-//! once, and [`Vacancy`](medlarspur_load::vacancy::Vacancy) decides when to try it again. It is
-//! lost only if its open flows are unanswered too: a caller has retransmitted, and nothing on
-//! any flow there was answered for longer than answers usually take. Resetting the flows of a
-//! target that serves them would break them and bring their callers back as new flows that fill
-//! the next target. The design alternatives are in `docs/design/full.md`.
+//! once, and [`Vacancy`] decides when to try it again. It is lost only if its open flows are
+//! unanswered too: a caller has retransmitted, and nothing on any flow there was answered for
+//! longer than answers usually take. Resetting the flows of a target that serves them would
+//! break them and bring their callers back as new flows that fill the next target. The design
+//! alternatives are in `docs/design/full.md`.
 
 use super::{Forwarder, Output, TargetState};
 use crate::{Entry, Incarnation, Note, ProbeResult};
