--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -24,11 +24,14 @@
 /// The schedule of heartbeats, and the bundles that peers claimed to have.
 #[derive(Debug)]
 pub(super) struct Heartbeats {
+    /// Time of the next heartbeats to the neighbours.
     next: Option<Millis>,
-    probe: Option<Millis>,
+    /// Time of the next probes to addresses without contact.
+    next_probe: Option<Millis>,
     /// Offset of the schedule, so that instances started together don't all
     /// send at the same moment.
     phase: u64,
+    /// Counts these probes, to take the addresses in turn.
     turn: u64,
     /// The bundle that each peer claimed to have; kept until this instance is
     /// ready.
@@ -38,13 +41,13 @@
 impl Heartbeats {
     pub(super) fn new(me: &InstanceName) -> Heartbeats {
         let phase = rank("phase", me.as_str()) % HEARTBEAT_INTERVAL.0;
-        Heartbeats { next: None, probe: None, phase, turn: phase, claims: Map::default() }
+        Heartbeats { next: None, next_probe: None, phase, turn: phase, claims: Map::default() }
     }
 
     /// Makes all heartbeats due at once, after a sleep.
     pub(super) fn wake(&mut self) {
         self.next = None;
-        self.probe = None;
+        self.next_probe = None;
     }
 
     /// The bundles that peers claimed to have while this instance started.
@@ -59,16 +62,16 @@
     fn take_due(&mut self, now: Millis) -> bool {
         let due = self.next.is_none_or(|t| now >= t);
         if due {
-            let first = if self.next.is_none() { self.phase } else { HEARTBEAT_INTERVAL.0 };
-            self.next = Some(now + Millis(first.max(1)));
+            let delay = if self.next.is_none() { self.phase } else { HEARTBEAT_INTERVAL.0 };
+            self.next = Some(now + Millis(delay.max(1)));
         }
         due
     }
 
     fn take_probe_due(&mut self, now: Millis) -> bool {
-        let due = self.probe.is_none_or(|t| now >= t);
+        let due = self.next_probe.is_none_or(|t| now >= t);
         if due {
-            self.probe = Some(now + PROBE_INTERVAL);
+            self.next_probe = Some(now + PROBE_INTERVAL);
         }
         due
     }
--- a/lib/src/forwarder/mod.rs
+++ b/lib/src/forwarder/mod.rs
@@ -2,8 +2,10 @@
 //!
 //! [`Forwarder`] is given packets, datagrams of peers, views and ticks, and
 //! writes its output to a [`Sink`]. An *exception* is a flow of a moved bucket
-//! that goes elsewhere than to the bucket's present owner. These rules apply in
-//! order:
+//! that goes elsewhere than to the bucket's present owner. An *orphan* is a flow
+//! whose opener went before it had advertised the flow to the keepers.
+//!
+//! These rules apply in order:
 //!
 //! 1. A flow that is known here goes to the same target as before.
 //! 2. An unknown flow in a bucket that has always had one owner goes to that
@@ -176,7 +178,7 @@
     }
 
     /// Handles a sleep of the process. In addition to [`Forwarder::distrust`],
-    /// no flows are opened for [`WAKE_TIME`]. The openings that wait in the
+    /// no flows are opened for `WAKE_TIME`. The openings that wait in the
     /// socket are old: their callers have been served elsewhere or have given
     /// up, and by the old view they would go to a target that has left since. A
     /// caller that still wants to open retransmits its SYN, which reaches
