--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Targets, routes, packets and a place that keeps what was decided.
+//! Targets, routes and packets for tests, and an output that records all decisions.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -7,33 +7,33 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, News, Note, Output,
-    Refusal, Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Tuning,
+    Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, Note, Output, Refusal,
+    Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Tuning, Update,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// Where feeds of `desk` are asked for.
+/// Service address for feeds to `desk`.
 pub const FEED: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 8443);
-/// Where requests of `desk` are asked for.
+/// Service address for requests to `desk`.
 pub const REQUEST: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 1), 8080);
-/// Where uploads of `ingest` are asked for.
+/// Service address for uploads to `ingest`.
 pub const UPLOAD: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(198, 18, 0, 2), 8443);
 
 pub fn millis(millis: u64) -> Millis {
     Millis(millis)
 }
 
-/// The name of target `number`.
+/// Name of target `number`.
 pub fn name(number: u64) -> TargetName {
     TargetName::new(&format!("i-{:08x}", 0x7000_0000 + number))
 }
 
-/// Target `number` of a service, at an address of its own.
+/// Target `number` of a service, at its own address.
 pub fn target(number: u64, service: &str) -> Target {
     started(number, service, 1_700_000_000_000)
 }
 
-/// The same, started at a moment of its own clock.
+/// Target `number`, started at the given time of its own clock.
 pub fn started(number: u64, service: &str, start: u64) -> Target {
     let (name, start) = (name(number), Start(start));
     Target {
@@ -52,11 +52,11 @@
 
 pub fn route(address: SocketAddrV4, class: Class, service: &str) -> Route {
     let share = Share { service: ServiceName::new(service), weight: 1 };
-    Route { address, class, goal: None, shares: vec![share], regions: Vec::new() }
+    Route { address, class, objective: None, shares: vec![share], regions: Vec::new() }
 }
 
-/// What a config says of a service.
-pub fn described(name: &str) -> Service {
+/// Properties of a service in a config.
+pub fn service(name: &str) -> Service {
     Service { name: ServiceName::new(name), health: "/health".into(), warmup: None }
 }
 
@@ -68,7 +68,7 @@
             route(REQUEST, Class::Request, "desk"),
             route(UPLOAD, Class::Upload, "ingest"),
         ],
-        services: vec![described("desk"), described("ingest")],
+        services: vec![service("desk"), service("ingest")],
         idle: Millis::secs(15),
         omitted: 0,
     }
@@ -78,24 +78,28 @@
     Change { revision: Revision::new(0, revision), content }
 }
 
-pub fn news(revision: u64, scope: Scope, changes: Vec<Change>) -> News {
-    News::new(Revision::new(0, revision), scope, changes)
+pub fn update(revision: u64, scope: Scope, changes: Vec<Change>) -> Update {
+    Update::new(Revision::new(0, revision), scope, changes)
 }
 
-/// All there is: the config at revision 1, the targets from 2 on.
-pub fn all(targets: &[Target]) -> News {
+/// A snapshot with the config at revision 1 and the targets from revision 2 on.
+pub fn snapshot(targets: &[Target]) -> Update {
     let mut changes = vec![change(1, Content::Config(config(1)))];
     let targets = targets.iter().cloned().zip(2..);
     changes.extend(targets.map(|(target, revision)| change(revision, Content::Target(target))));
-    news(100, Scope::All, changes)
+    update(100, Scope::Snapshot, changes)
 }
 
-/// Change of one item.
-pub fn one(revision: u64, content: Content) -> News {
-    news(revision, Scope::Since(Revision::new(0, revision - 1)), vec![change(revision, content)])
+/// An update of one item, which follows the revision before.
+pub fn incremental(revision: u64, content: Content) -> Update {
+    update(
+        revision,
+        Scope::Incremental(Revision::new(0, revision - 1)),
+        vec![change(revision, content)],
+    )
 }
 
-/// The flow of caller `number` to a service's address.
+/// The flow of caller `number` to a service address.
 pub fn flow(number: u16, service: SocketAddrV4) -> FlowKey {
     FlowKey { caller: SocketAddrV4::new(Ipv4Addr::new(100, 64, 0, 7), number), service }
 }
@@ -104,18 +108,18 @@
     Segment { key, kind, seq: 1000, ack: 0, len: 0, mark: None }
 }
 
-/// What was decided.
+/// Records the output of a forwarder.
 #[derive(Debug, Default)]
 pub struct Decisions {
-    /// Packets that were sent on.
+    /// Packets that were forwarded.
     pub sent: Vec<(Incarnation, Mark, Vec<u8>)>,
     /// Flows that were reset.
     pub resets: Vec<(FlowKey, u32, Refusal)>,
-    /// Targets that were asked.
-    pub asked: Vec<Incarnation>,
-    /// What was written down.
+    /// Targets that were probed.
+    pub probed: Vec<Incarnation>,
+    /// Notes of decisions.
     pub notes: Vec<Note>,
-    /// What was measured.
+    /// Measured times.
     pub spans: Vec<(ServiceName, Class, Span)>,
     reset: Option<(FlowKey, u32)>,
 }
@@ -134,7 +138,7 @@
     }
 
     fn note(&mut self, note: Note) {
-        // The reason of a reset is in the note that follows it.
+        // The note that follows a reset contains its reason.
         if let Note::Reset { flow, refusal, .. } = &note {
             let (reset, seq) = self.reset.take().expect("the reset comes first");
             assert_eq!(reset, *flow);
@@ -144,11 +148,11 @@
     }
 
     fn ask(&mut self, target: &Target, _path: &str) {
-        self.asked.push(target.incarnation);
+        self.probed.push(target.incarnation);
     }
 }
 
-/// An instance with what it decided.
+/// A forwarder with its recorded output.
 pub struct Instance {
     pub forwarder: Forwarder,
     pub out: Decisions,
@@ -156,20 +160,20 @@
 
 impl Instance {
     pub fn new(targets: &[Target]) -> Instance {
-        Instance::seeded(targets, 7)
+        Instance::with_seed(targets, 7)
     }
 
-    /// The same with a seed for what is drawn.
-    pub fn seeded(targets: &[Target], seed: u64) -> Instance {
-        Instance::placed("north", targets, seed)
+    /// Creates an instance with a seed for random choices.
+    pub fn with_seed(targets: &[Target], seed: u64) -> Instance {
+        Instance::create("north", targets, seed)
     }
 
-    /// The same in a failure domain.
+    /// Creates an instance in a failure domain.
     pub fn in_domain(domain: &str, targets: &[Target]) -> Instance {
-        Instance::placed(domain, targets, 7)
+        Instance::create(domain, targets, 7)
     }
 
-    fn placed(domain: &str, targets: &[Target], seed: u64) -> Instance {
+    fn create(domain: &str, targets: &[Target], seed: u64) -> Instance {
         let places = [("north", "here"), ("centre", "here"), ("south", "there")];
         let regions =
             places.map(|(domain, region)| (DomainName::new(domain), RegionName::new(region)));
@@ -177,38 +181,38 @@
         let tuning = Tuning { domain: DomainName::new(domain), regions, seed };
         let mut instance =
             Instance { forwarder: Forwarder::new(tuning), out: Decisions::default() };
-        instance.learn(all(targets), 0);
-        instance.out.asked.clear();
+        instance.learn(snapshot(targets), 0);
+        instance.out.probed.clear();
         instance
     }
 
-    pub fn learn(&mut self, news: News, now: u64) {
-        self.forwarder.learn(news, millis(now), &mut self.out);
+    pub fn learn(&mut self, update: Update, now: u64) {
+        self.forwarder.learn(update, millis(now), &mut self.out);
     }
 
     pub fn packet(&mut self, segment: Segment, now: u64) {
         self.forwarder.packet(&segment, b"packet", millis(now), &mut self.out);
     }
 
-    /// Sends the opening packet of a flow; answers where it went.
+    /// Sends the opening packet of a flow. Returns the target that it went to.
     pub fn open(&mut self, key: FlowKey, now: u64) -> Incarnation {
         self.packet(segment(key, Kind::Open), now);
-        self.last()
+        self.last_target()
     }
 
-    /// Opens a flow and has the target answer; answers the target.
-    pub fn opened(&mut self, key: FlowKey, now: u64) -> Incarnation {
+    /// Opens a flow and lets its target answer. Returns the target.
+    pub fn establish(&mut self, key: FlowKey, now: u64) -> Incarnation {
         let target = self.open(key, now);
         self.packet(middle(key, target, 1001, 500, 0), now + 5);
         target
     }
 
-    /// Has so many requests answered after `span`, one after the other in no time, so that
-    /// it is known how long answers take.
-    pub fn hear_answers(&mut self, service: SocketAddrV4, count: u16, span: u64) {
+    /// Lets `count` requests be answered after `span` each, so that the usual time of answers is
+    /// known.
+    pub fn record_answers(&mut self, service: SocketAddrV4, count: u16, span: u64) {
         for number in 0..count {
             let key = flow(60_000 + number, service);
-            let target = self.opened(key, 0);
+            let target = self.establish(key, 0);
             self.packet(middle(key, target, 1001, 500, 100), 0);
             self.packet(middle(key, target, 1101, 600, 0), span);
             let mut end = middle(key, target, 1101, 600, 0);
@@ -222,20 +226,20 @@
         self.forwarder.tick(millis(now), &mut self.out);
     }
 
-    /// Whether a target takes a flow that is opened now, and if not, why.
+    /// Whether a target can take a flow that is opened now, and if not, the reason.
     pub fn usage(&self, key: FlowKey, at: Incarnation, now: u64) -> TargetUse {
         let explained = self.forwarder.explain(&key, None, millis(now));
         let name = &self.forwarder.catalog().entry(at).expect("known").target.name;
         explained.candidates.iter().find(|it| it.name == *name).expect("a candidate").usage
     }
 
-    /// Where the last packet went.
-    pub fn last(&self) -> Incarnation {
+    /// Target of the last forwarded packet.
+    pub fn last_target(&self) -> Incarnation {
         self.out.sent.last().expect("a packet was sent on").0
     }
 }
 
-/// A packet in mid-flow of a flow at `target`.
+/// A packet in mid-flow, with the mark of `target`.
 pub fn middle(key: FlowKey, target: Incarnation, seq: u32, ack: u32, len: u16) -> Segment {
     let mark = Some(Mark::new(target, &key));
     Segment { key, kind: Kind::Middle, seq, ack, len, mark }
--- a/marked/tests/test_convergence.rs
+++ b/marked/tests/test_convergence.rs
@@ -1,24 +1,25 @@
-//! Instances that read a source, hear of it from each other and miss some of it, while it comes
-//! back from copies.
+//! Instances that read a store, receive updates from each other and miss some, while the store is
+//! restored from copies.
 
 use super::fixtures::{config, millis, name, started};
 use medlarspur_lib::{ids::DomainName, time::Millis};
-use medlarspur_marked::{Catalog, Change, Content, News, Revision, Scope, Target};
+use medlarspur_marked::{Catalog, Change, Content, Revision, Scope, Target, Update};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// The time by which all is written again, and with it what the copy says holds.
-const REWRITTEN: Millis = Millis(3_000);
+/// Time after which everything is written again and what the copy says takes effect.
+const REWRITE_TIME: Millis = Millis(3_000);
 
 fn at(era: u32, count: u64, content: Content) -> Change {
     Change { revision: Revision::new(era, count), content }
 }
 
-fn whole(era: u32, count: u64, changes: Vec<Change>) -> News {
-    News::new(Revision::new(era, count), Scope::All, changes)
+fn snapshot(era: u32, count: u64, changes: Vec<Change>) -> Update {
+    Update::new(Revision::new(era, count), Scope::Snapshot, changes)
 }
 
-/// What the source holds: targets by number, the version of the config, evacuated domains.
+/// Contents of the store: targets by number, evacuated domains, and the version of the config, each
+/// with its revision.
 #[derive(Debug, Default, Clone)]
 struct Items {
     targets: BTreeMap<u64, (u64, Target)>,
@@ -27,7 +28,7 @@
     count: u64,
 }
 
-/// A source with the writers that know what it should hold.
+/// A store, with what its writers want it to contain.
 #[derive(Debug, Default)]
 struct Source {
     items: Items,
@@ -47,8 +48,8 @@
         self.items.count
     }
 
-    /// A target starts, or writes its entry again, which changes if it says something else.
-    /// One that leaves doesn't stay after all.
+    /// A target starts or writes its entry, which only changes if it says something else. A leaving
+    /// target stays leaving.
     fn write(&mut self, number: u64, leaving: bool) {
         let target = match self.wanted.targets.get(&number) {
             Some((_, it)) => {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// A target goes.
+    /// A target ends.
     fn remove(&mut self, number: u64) {
         self.wanted.targets.remove(&number);
         self.lapse(number);
     }
 
-    /// An entry goes, maybe while its target lives.
+    /// An entry lapses, even if its target lives.
     fn lapse(&mut self, number: u64) {
         if self.items.targets.remove(&number).is_some() {
             self.push(Content::Removed(name(number)));
@@ -91,7 +92,7 @@
         } else {
             self.wanted.domains.remove(domain);
             if self.items.domains.remove(domain).is_some() {
-                self.push(Content::Restored(content));
+                self.push(Content::EvacuationEnded(content));
             }
         }
     }
@@ -110,7 +111,7 @@
         self.history.clear();
     }
 
-    /// All writers write again what the copy lacks, and what has gone lapses.
+    /// All writers repeat what the copy lacks, and entries of ended targets lapse.
     fn rewrite(&mut self) {
         for number in self.items.targets.keys().copied().collect::<Vec<_>>() {
             if !self.wanted.targets.contains_key(&number) {
@@ -126,7 +127,7 @@
         self.publish(self.wanted.config.1);
     }
 
-    fn whole(&self) -> News {
+    fn snapshot(&self) -> Update {
         let targets = self.items.targets.values();
         let targets = targets.map(|(count, it)| at(self.era, *count, Content::Target(it.clone())));
         let domains = self.items.domains.iter();
@@ -134,25 +135,25 @@
             .map(|(name, count)| at(self.era, *count, Content::Evacuated(DomainName::new(name))));
         let (count, version) = self.items.config;
         let config = at(self.era, count, Content::Config(config(version)));
-        whole(self.era, self.items.count, targets.chain(domains).chain([config]).collect())
+        snapshot(self.era, self.items.count, targets.chain(domains).chain([config]).collect())
     }
 
-    /// What a reader is told that has read up to there.
-    fn read(&self, known: Revision) -> News {
+    /// The update for a reader that has read up to a revision.
+    fn read(&self, known: Revision) -> Update {
         if known.era != self.era || known.count < self.saved.count {
-            return self.whole();
+            return self.snapshot();
         }
         let changes = self.history.iter().filter(|it| it.revision > known).cloned().collect();
-        News {
+        Update {
             revision: Revision::new(self.era, self.items.count),
-            scope: Scope::Since(known),
+            scope: Scope::Incremental(known),
             changes,
             unconfirmed: Vec::new(),
         }
     }
 }
 
-/// One step of what happens.
+/// An event.
 #[derive(Debug, Clone)]
 enum Step {
     Write { number: u64, leaving: bool },
@@ -185,8 +186,8 @@
     proptest::collection::vec(step, 1..80)
 }
 
-/// What an instance would act on.
-fn picture(catalog: &Catalog) -> (Vec<(u64, bool)>, Vec<bool>, u64) {
+/// The part of the catalog that decides about flows.
+fn view(catalog: &Catalog) -> (Vec<(u64, bool)>, Vec<bool>, u64) {
     let listed = |number| catalog.latest(&name(number)).filter(|it| it.is_listed());
     let targets = (1..5).filter_map(|it| Some((it, listed(it)?.target.leaving))).collect();
     let domains = DOMAINS.iter().map(|it| catalog.is_evacuated(&DomainName::new(it))).collect();
@@ -196,9 +197,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 20_000, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Guards against instances that go on with different pictures after restores.
+    /// Guards against instances that keep different catalogs after restores.
     #[test]
-    fn all_end_with_the_picture_of_the_source(steps in steps()) {
+    fn all_catalogs_converge_on_the_content_of_the_store(steps in steps()) {
         let mut source = Source::default();
         let mut instances: [(Catalog, Revision); 4] = Default::default();
         let (mut now, mut version) = (millis(1), 1);
@@ -214,16 +215,16 @@
                 Step::Restore => source.restore(),
                 Step::Read { by } => {
                     let (catalog, known) = &mut instances[by];
-                    let news = source.read(*known);
-                    *known = news.revision;
+                    let update = source.read(*known);
+                    *known = update.revision;
                     let before = catalog.config().map_or(0, |it| it.version.0);
-                    catalog.merge(news, now);
+                    catalog.merge(update, now);
                     prop_assert!(catalog.config().map_or(0, |it| it.version.0) >= before);
                 }
                 Step::Tell { by, to } => {
-                    let news = instances[by].0.since(instances[to].0.basis(), now);
-                    if news.revision > instances[to].0.revision() {
-                        instances[to].0.merge(news, now);
+                    let update = instances[by].0.update_since(instances[to].0.pull_base(), now);
+                    if update.revision > instances[to].0.revision() {
+                        instances[to].0.merge(update, now);
                     }
                 }
                 Step::Start { nth } => instances[nth] = Default::default(),
@@ -237,23 +238,23 @@
         }
 
         source.rewrite();
-        let news = source.read(instances[0].1);
-        instances[0].0.merge(news, now);
+        let update = source.read(instances[0].1);
+        instances[0].0.merge(update, now);
         for nth in 1..4 {
             for _ in 0..2 {
-                let news = instances[0].0.since(instances[nth].0.basis(), now);
-                instances[nth].0.merge(news, now);
+                let update = instances[0].0.update_since(instances[nth].0.pull_base(), now);
+                instances[nth].0.merge(update, now);
             }
         }
-        now = now + REWRITTEN;
-        let wanted = picture(&{
+        now = now + REWRITE_TIME;
+        let wanted = view(&{
             let mut fresh = Catalog::default();
-            fresh.merge(source.whole(), now);
+            fresh.merge(source.snapshot(), now);
             fresh
         });
         for (nth, (catalog, _)) in instances.iter_mut().enumerate() {
             catalog.confirm(now);
-            prop_assert_eq!(&picture(catalog), &wanted, "instance {}", nth);
+            prop_assert_eq!(&view(catalog), &wanted, "instance {}", nth);
             prop_assert_eq!(catalog.revision(), Revision::new(source.era, source.items.count));
         }
     }
