--- a/cli/src/commands/bundle_check.rs
+++ b/cli/src/commands/bundle_check.rs
@@ -7,7 +7,7 @@
     output,
 };
 use medlarspur_lib::{
-    bundle::{Bundle, Keys, PublicKey, Signed, content},
+    bundle::{Bundle, PublicKey, SignedBundle, TrustedKeys, strip_signature},
     document::{Problem, Report},
 };
 use serde::Serialize;
@@ -34,14 +34,14 @@
 
 pub fn run(flags: &Check) -> Result<Code, CommandError> {
     let text = read(&flags.file)?;
-    let bundle = match Bundle::parse(content(&text)) {
+    let bundle = match Bundle::parse(strip_signature(&text)) {
         Ok(bundle) => bundle,
         Err(report) => return faulty(flags, &report),
     };
     let keys: Result<Vec<PublicKey>, _> = flags.trust.iter().map(|path| read_key(path)).collect();
-    let keys = Keys::new(keys?);
+    let keys = TrustedKeys::new(keys?);
     if keys.iter().next().is_some() {
-        Signed::check(text.as_bytes(), &keys, &bundle.site)
+        SignedBundle::check(text.as_bytes(), &keys, &bundle.site)
             .context(RefusedSnafu { path: &flags.file })?;
     }
     if flags.json {
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -14,7 +14,7 @@
     error::{Code, CommandError, FaultsSnafu, KeySnafu, ReadSnafu},
     flags::{BundleCmd, KeyCmd, MedlarspurCmd},
 };
-use medlarspur_lib::bundle::{Bundle, KeyError, content};
+use medlarspur_lib::bundle::{Bundle, KeyError, strip_signature};
 use snafu::ResultExt;
 use std::{fs, path::Path, str::FromStr};
 
@@ -42,7 +42,7 @@
 }
 
 fn read_bundle(path: &Path) -> Result<Bundle, CommandError> {
-    Bundle::parse(content(&read(path)?)).context(FaultsSnafu { path })
+    Bundle::parse(strip_signature(&read(path)?)).context(FaultsSnafu { path })
 }
 
 fn read_key<T: FromStr<Err = KeyError>>(path: &Path) -> Result<T, CommandError> {
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,7 +1,7 @@
 //! What can go wrong in a command, with a hint and an exit code.
 
 use medlarspur_lib::{
-    bundle::{KeyError, Refusal},
+    bundle::{BundleError, KeyError},
     document::Report,
 };
 use snafu::Snafu;
@@ -70,7 +70,7 @@
         /// The file.
         path: PathBuf,
         /// Why.
-        source: Refusal,
+        source: BundleError,
     },
     /// No instance was named.
     #[snafu(display("no instance is named"))]
--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -11,7 +11,7 @@
 use medlarspur_daemon::gate::LoadGate;
 use medlarspur_fabric::Outbox;
 use medlarspur_lib::{
-    bundle::{Bundle, Keys, SecretKey, Signed, sign},
+    bundle::{Bundle, SecretKey, SignedBundle, TrustedKeys, sign},
     forwarder::{AdmitAll, Forwarder},
     ids::{
         DomainName, FlowId, Incarnation, InstanceName, ServiceName, SiteName, TargetName, Version,
@@ -121,7 +121,7 @@
 }
 
 /// A signed bundle with this many services of two targets each.
-fn bundle(services: usize, version: u64, weight: u16) -> (String, Keys) {
+fn bundle(services: usize, version: u64, weight: u16) -> (String, TrustedKeys) {
     let key: SecretKey = "07".repeat(32).parse().expect("any 32 bytes are a key");
     let mut text = format!(
         "version: {version}\nsite: sofia\nseed: 00112233445566778899aabbccddeeff\nservices:\n"
@@ -136,12 +136,12 @@
              - {{name: b-{ix}, address: 10.2.{high}.{low}:6080, domain: druzhba}}\n"
         );
     }
-    let keys = Keys::new(vec![key.public()]);
+    let keys = TrustedKeys::new(vec![key.public()]);
     (sign(&text, &key), keys)
 }
 
-fn check(text: &str, keys: &Keys) -> Signed {
-    Signed::check(text.as_bytes(), keys, &SiteName::new("sofia")).expect("the bundle is good")
+fn check(text: &str, keys: &TrustedKeys) -> SignedBundle {
+    SignedBundle::check(text.as_bytes(), keys, &SiteName::new("sofia")).expect("the bundle is good")
 }
 
 fn check_micros(services: usize) -> f64 {
--- a/daemon/src/checker.rs
+++ b/daemon/src/checker.rs
@@ -1,7 +1,7 @@
 //! Decides whether a bundle may be taken, for the spread of bundles.
 
 use medlarspur_lib::{
-    bundle::{Bundle, Keys, Refusal, Signed},
+    bundle::{Bundle, BundleError, SignedBundle, TrustedKeys},
     ids::{SiteName, Version},
     spread::{Check, SignedText},
 };
@@ -13,16 +13,16 @@
 /// that passed and did not come into force must not be kept: a platform that
 /// serves old bundles would fill the memory with them.
 pub struct Checker {
-    keys: Keys,
+    keys: TrustedKeys,
     site: SiteName,
-    passed: RefCell<Option<Signed>>,
+    passed: RefCell<Option<SignedBundle>>,
     force: RefCell<Option<Arc<Bundle>>>,
     meters: Meters,
 }
 
 impl Checker {
     /// Trusts `keys` for bundles of `site`, and counts what comes of each.
-    pub fn new(keys: Keys, site: SiteName, meters: Meters) -> Checker {
+    pub fn new(keys: TrustedKeys, site: SiteName, meters: Meters) -> Checker {
         Checker { keys, site, passed: RefCell::default(), force: RefCell::default(), meters }
     }
 
@@ -31,16 +31,16 @@
         self.meters.count(Family::Bundles, outcome).add(1);
     }
 
-    fn signed(&self, text: &str) -> Result<Signed, Refusal> {
-        let signed = Signed::check(text.as_bytes(), &self.keys, &self.site)?;
+    fn signed(&self, text: &str) -> Result<SignedBundle, BundleError> {
+        let signed = SignedBundle::check(text.as_bytes(), &self.keys, &self.site)?;
         if let Some(force) = self.force.borrow().as_ref() {
-            signed.follows(force)?;
+            signed.check_can_replace(force)?;
         }
         Ok(signed)
     }
 
     /// The values of a text that has just passed.
-    pub fn take(&self, text: &SignedText) -> Option<Signed> {
+    pub fn take(&self, text: &SignedText) -> Option<SignedBundle> {
         let signed = self.passed.take().filter(|signed| signed.digest == text.digest)?;
         self.force.replace(Some(signed.bundle.clone()));
         Some(signed)
@@ -48,9 +48,9 @@
 }
 
 impl Check for &Checker {
-    type Error = Refusal;
+    type Error = BundleError;
 
-    fn check(&self, text: &str) -> Result<Version, Refusal> {
+    fn check(&self, text: &str) -> Result<Version, BundleError> {
         let signed = self.signed(text).inspect_err(|refusal| self.count(refusal.reason()))?;
         let version = signed.bundle.version;
         self.passed.replace(Some(signed));
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -5,7 +5,7 @@
 
 use crate::shared::{Shared, Stage};
 use medlarspur_fabric::Counts as Wire;
-use medlarspur_lib::{bundle::Refusal, members::MemberState, view::View};
+use medlarspur_lib::{bundle::BundleError, members::MemberState, view::View};
 use medlarspur_operator::{Family, Gauge, Meters};
 use medlarspur_peer::{Counters as Peers, Kind};
 use medlarspur_platform::Counts as Platform;
@@ -74,7 +74,7 @@
 }
 
 fn bundles(meters: &Meters) {
-    for label in Refusal::REASONS.into_iter().chain([ACCEPTED, INCOMPLETE]) {
+    for label in BundleError::REASONS.into_iter().chain([ACCEPTED, INCOMPLETE]) {
         meters.count(Family::Bundles, label);
     }
 }
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -3,7 +3,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use medlarspur_lib::{
-    bundle::Signed,
+    bundle::SignedBundle,
     collections::Map,
     forwarder::Counters,
     ids::{InstanceName, ServiceName},
@@ -100,7 +100,7 @@
     /// What the forwarder counted; written by the packet thread.
     pub counters: ArcSwap<Counters>,
     /// The bundle in force as it was signed off; written by the control thread.
-    pub signed: ArcSwapOption<Signed>,
+    pub signed: ArcSwapOption<SignedBundle>,
     /// When it was accepted.
     pub accepted: AtomicU64,
     /// Whether its version was seen with two contents.
--- a/daemon/tests/test_checker.rs
+++ b/daemon/tests/test_checker.rs
@@ -2,7 +2,7 @@
 
 use medlarspur_daemon::checker::Checker;
 use medlarspur_lib::{
-    bundle::{Keys, SecretKey, sign},
+    bundle::{SecretKey, TrustedKeys, sign},
     ids::{SiteName, Version},
     spread::{Check, SignedText, digest},
 };
@@ -29,7 +29,7 @@
 
 fn checker(key: &SecretKey) -> Checker {
     let meters = Meters::new().expect("metrics");
-    Checker::new(Keys::new(vec![key.public()]), SiteName::new("sofia"), meters)
+    Checker::new(TrustedKeys::new(vec![key.public()]), SiteName::new("sofia"), meters)
 }
 
 const SEED: &str = "00112233445566778899aabbccddeeff";
--- a/lib/examples/bundle_cost.rs
+++ b/lib/examples/bundle_cost.rs
@@ -6,7 +6,7 @@
 //! ```
 
 use medlarspur_lib::{
-    bundle::{Bundle, Keys, MAX_TEXT, SecretKey, Signed, sign},
+    bundle::{Bundle, MAX_BUNDLE_SIZE, SecretKey, SignedBundle, TrustedKeys, sign},
     ids::SiteName,
 };
 use std::{
@@ -22,21 +22,22 @@
 
 fn main() {
     let key = SecretKey::generate();
-    let keys = Keys::new(vec![key.public()]);
+    let keys = TrustedKeys::new(vec![key.public()]);
     let site = SiteName::new("site");
     println!("services  targets     bytes  of limit  check ms  ns/byte  refuse ms  report ms");
     for services in SIZES {
         let targets = (services as f64 * TARGETS) as usize;
         let text = text(services, targets);
         let signed = sign(&text, &key);
-        let check = median(|| drop(Signed::check(signed.as_bytes(), &keys, &site).expect("sound")));
+        let check =
+            median(|| drop(SignedBundle::check(signed.as_bytes(), &keys, &site).expect("sound")));
         let faulty = text.replace("class: feed", "class: feeds");
-        let refuse = median(|| drop(Bundle::parse_quickly(&faulty).expect_err("faulty")));
+        let refuse = median(|| drop(Bundle::parse_without_lines(&faulty).expect_err("faulty")));
         let report = median(|| drop(Bundle::parse(&faulty).expect_err("faulty")));
         println!(
             "{services:8}  {targets:7}  {:8}  {:7.0}%  {:8.2}  {:7.1}  {:9.2}  {:9.1}",
             signed.len(),
-            signed.len() as f64 * 100.0 / MAX_TEXT as f64,
+            signed.len() as f64 * 100.0 / MAX_BUNDLE_SIZE as f64,
             millis(check),
             check.as_nanos() as f64 / signed.len() as f64,
             millis(refuse),
--- a/lib/src/bundle/key.rs
+++ b/lib/src/bundle/key.rs
@@ -108,12 +108,12 @@
 
 /// The public keys that an instance trusts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Keys(Vec<PublicKey>);
+pub struct TrustedKeys(Vec<PublicKey>);
 
-impl Keys {
+impl TrustedKeys {
     /// Trusts these keys.
-    pub fn new(keys: Vec<PublicKey>) -> Keys {
-        Keys(keys)
+    pub fn new(keys: Vec<PublicKey>) -> TrustedKeys {
+        TrustedKeys(keys)
     }
 
     /// The keys in the order of the settings.
--- a/lib/src/bundle/mod.rs
+++ b/lib/src/bundle/mod.rs
@@ -14,9 +14,9 @@
 
 pub use self::{
     diff::{Change, Obstacle, diff, obstacles},
-    key::{KeyError, KeyId, Keys, PublicKey, SecretKey},
-    parse::MAX_TEXT,
-    sign::{Refusal, Signed, content, sign},
+    key::{KeyError, KeyId, PublicKey, SecretKey, TrustedKeys},
+    parse::MAX_BUNDLE_SIZE,
+    sign::{BundleError, SignedBundle, sign, strip_signature},
     warning::Warning,
 };
 
--- a/lib/src/bundle/parse.rs
+++ b/lib/src/bundle/parse.rs
@@ -13,7 +13,7 @@
 
 /// The greatest length of a bundle in bytes; the platform's service holds no
 /// larger values.
-pub const MAX_TEXT: usize = 1 << 20;
+pub const MAX_BUNDLE_SIZE: usize = 1 << 20;
 /// The buckets of a service that names no number.
 const BUCKETS: u16 = 1024;
 /// The most buckets of a service; bounds an instance's tables.
@@ -48,7 +48,7 @@
     ///
     /// Returns every fault of the text, each with its line and what to do.
     pub fn parse(text: &str) -> Result<Bundle, Report> {
-        document::read(text, MAX_TEXT, Lines::Find, bundle)
+        document::read(text, MAX_BUNDLE_SIZE, Lines::Find, bundle)
     }
 
     /// As [`Bundle::parse`], but faults have no lines, which costs as much as
@@ -57,8 +57,8 @@
     /// # Errors
     ///
     /// Returns every fault of the text.
-    pub fn parse_quickly(text: &str) -> Result<Bundle, Report> {
-        document::read(text, MAX_TEXT, Lines::Skip, bundle)
+    pub fn parse_without_lines(text: &str) -> Result<Bundle, Report> {
+        document::read(text, MAX_BUNDLE_SIZE, Lines::Skip, bundle)
     }
 }
 
--- a/lib/src/bundle/sign.rs
+++ b/lib/src/bundle/sign.rs
@@ -4,7 +4,7 @@
 //! `# signed <key id> <signature>`. So a signed bundle is one file that people
 //! read and the platform keeps as one value.
 
-use super::{Bundle, KeyId, Keys, MAX_TEXT, SecretKey};
+use super::{Bundle, KeyId, MAX_BUNDLE_SIZE, SecretKey, TrustedKeys};
 use crate::{
     document::Report,
     ids::{SiteName, Version},
@@ -22,9 +22,9 @@
 
 /// Why a bundle is not taken. The one in force stays.
 #[derive(Debug, Snafu)]
-pub enum Refusal {
-    /// It is longer than [`MAX_TEXT`].
-    #[snafu(display("the bundle has {size} bytes, where at most {MAX_TEXT} are taken"))]
+pub enum BundleError {
+    /// It is longer than [`MAX_BUNDLE_SIZE`].
+    #[snafu(display("the bundle has {size} bytes, where at most {MAX_BUNDLE_SIZE} are taken"))]
     TooLarge {
         /// Its length in bytes.
         size: usize,
@@ -73,7 +73,7 @@
     },
 }
 
-impl Refusal {
+impl BundleError {
     /// All reasons, so that each can be shown before it first occurs.
     pub const REASONS: [&str; 8] = [
         "too-large",
@@ -89,21 +89,21 @@
     /// The reason as a short word, for counters and logs.
     pub fn reason(&self) -> &'static str {
         match self {
-            Refusal::TooLarge { .. } => "too-large",
-            Refusal::NotText { .. } => "not-text",
-            Refusal::NoSignature => "no-signature",
-            Refusal::UnknownKey { .. } => "unknown-key",
-            Refusal::BadSignature { .. } => "bad-signature",
-            Refusal::Faults { .. } => "faults",
-            Refusal::WrongSite { .. } => "wrong-site",
-            Refusal::SeedChanged { .. } => "seed-changed",
+            BundleError::TooLarge { .. } => "too-large",
+            BundleError::NotText { .. } => "not-text",
+            BundleError::NoSignature => "no-signature",
+            BundleError::UnknownKey { .. } => "unknown-key",
+            BundleError::BadSignature { .. } => "bad-signature",
+            BundleError::Faults { .. } => "faults",
+            BundleError::WrongSite { .. } => "wrong-site",
+            BundleError::SeedChanged { .. } => "seed-changed",
         }
     }
 }
 
 /// A bundle that is signed off and passed every check.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Signed {
+pub struct SignedBundle {
     /// The values.
     pub bundle: Arc<Bundle>,
     /// The whole text with its signature line, as other instances need it.
@@ -114,7 +114,7 @@
     pub key: KeyId,
 }
 
-impl Signed {
+impl SignedBundle {
     /// Takes a bundle if a trusted key signed it for this site and it passes
     /// every check. The signature goes first, so that only what somebody
     /// signed off costs the time of the checks.
@@ -122,19 +122,23 @@
     /// # Errors
     ///
     /// Returns the first reason not to take it.
-    pub fn check(bytes: &[u8], keys: &Keys, site: &SiteName) -> Result<Signed, Refusal> {
-        ensure!(bytes.len() <= MAX_TEXT, TooLargeSnafu { size: bytes.len() });
+    pub fn check(
+        bytes: &[u8],
+        keys: &TrustedKeys,
+        site: &SiteName,
+    ) -> Result<SignedBundle, BundleError> {
+        ensure!(bytes.len() <= MAX_BUNDLE_SIZE, TooLargeSnafu { size: bytes.len() });
         let text = std::str::from_utf8(bytes).context(NotTextSnafu)?;
         let (content, line) = split(text).context(NoSignatureSnafu)?;
         let key = keys.get(line.key).context(UnknownKeySnafu { key: line.key })?;
         let fits = key.verify(&message(content), &line.signature);
         ensure!(fits, BadSignatureSnafu { key: line.key });
-        let bundle = Bundle::parse_quickly(content).context(FaultsSnafu)?;
+        let bundle = Bundle::parse_without_lines(content).context(FaultsSnafu)?;
         ensure!(
             bundle.site == *site,
             WrongSiteSnafu { found: bundle.site, expected: site.clone() }
         );
-        Ok(Signed {
+        Ok(SignedBundle {
             bundle: Arc::new(bundle),
             text: text.into(),
             digest: *blake3::hash(bytes).as_bytes(),
@@ -147,7 +151,7 @@
     /// # Errors
     ///
     /// Returns why it may not; order by version is the caller's matter.
-    pub fn follows(&self, present: &Bundle) -> Result<(), Refusal> {
+    pub fn check_can_replace(&self, present: &Bundle) -> Result<(), BundleError> {
         let version = self.bundle.version;
         ensure!(self.bundle.seed == present.seed, SeedChangedSnafu { version });
         Ok(())
@@ -161,7 +165,7 @@
 
 /// Signs `text` with `key`; an earlier signature line is replaced.
 pub fn sign(text: &str, key: &SecretKey) -> String {
-    let mut signed = content(text).to_owned();
+    let mut signed = strip_signature(text).to_owned();
     if !signed.ends_with('\n') {
         signed.push('\n');
     }
@@ -172,7 +176,7 @@
 }
 
 /// The text of a bundle without its signature line, if it has one.
-pub fn content(text: &str) -> &str {
+pub fn strip_signature(text: &str) -> &str {
     split(text).map_or(text, |(content, _)| content)
 }
 
--- a/lib/src/bundle/warning.rs
+++ b/lib/src/bundle/warning.rs
@@ -9,7 +9,7 @@
 pub enum Warning {
     /// All callers of a service are refused: each of its targets leaves or is in an
     /// evacuated failure domain.
-    Closed {
+    NoActiveTarget {
         /// The service.
         service: ServiceName,
     },
@@ -17,7 +17,7 @@
 
 impl fmt::Display for Warning {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Warning::Closed { service } = self;
+        let Warning::NoActiveTarget { service } = self;
         write!(f, "no target of {service} takes new flows: all leave or are evacuated")
     }
 }
@@ -26,7 +26,7 @@
     /// What may not be meant.
     pub fn warnings(&self) -> Vec<Warning> {
         let closed = self.services.iter().filter(|service| is_closed(service));
-        closed.map(|it| Warning::Closed { service: it.name.clone() }).collect()
+        closed.map(|it| Warning::NoActiveTarget { service: it.name.clone() }).collect()
     }
 }
 
--- a/lib/src/settings/mod.rs
+++ b/lib/src/settings/mod.rs
@@ -9,7 +9,7 @@
 pub use marked::{DomainRegion, MarkedSettings};
 
 use crate::{
-    bundle::Keys,
+    bundle::TrustedKeys,
     ids::{DomainName, InstanceName, SiteName},
 };
 use std::{fmt, net::SocketAddrV4, path::PathBuf};
@@ -36,7 +36,7 @@
         /// Where the platform's service is, by HTTP.
         pub platform: SocketAddrV4,
         /// The keys that may sign bundles.
-        pub keys: Keys,
+        pub keys: TrustedKeys,
         /// Control addresses of peers to ask when the platform is down.
         pub peers: Vec<SocketAddrV4>,
         /// What the instances of the site share, to tell peers from others.
--- a/lib/src/settings/parse.rs
+++ b/lib/src/settings/parse.rs
@@ -2,7 +2,7 @@
 
 use super::{LogForm, Secret, Settings, Tls};
 use crate::{
-    bundle::{Keys, PublicKey},
+    bundle::{PublicKey, TrustedKeys},
     document::{self, Fault, Fields, Lines, Node, Report},
     ids::{DomainName, InstanceName, SiteName},
 };
@@ -105,12 +105,12 @@
     })
 }
 
-fn keys(node: &Node<'_>) -> Option<Keys> {
+fn keys(node: &Node<'_>) -> Option<TrustedKeys> {
     let keys = node.some_items()?.into_iter().map(|node| {
         node.parse::<PublicKey>("a public key, 64 hexadecimal digits from `medlarspur key new`")
     });
     let keys: Vec<Option<PublicKey>> = keys.collect();
-    keys.into_iter().collect::<Option<_>>().map(Keys::new)
+    keys.into_iter().collect::<Option<_>>().map(TrustedKeys::new)
 }
 
 pub(super) fn peers(node: &Node<'_>) -> Option<Vec<SocketAddrV4>> {
--- a/lib/tests/product/fixtures.rs
+++ b/lib/tests/product/fixtures.rs
@@ -1,7 +1,7 @@
 //! Texts and keys for the tests.
 
 use medlarspur_lib::{
-    bundle::{Keys, SecretKey},
+    bundle::{SecretKey, TrustedKeys},
     ids::SiteName,
 };
 
@@ -66,8 +66,8 @@
 }
 
 /// Trusts the key pair number 1 only.
-pub fn keys() -> Keys {
-    Keys::new(vec![key(1).public()])
+pub fn keys() -> TrustedKeys {
+    TrustedKeys::new(vec![key(1).public()])
 }
 
 /// The site of [`bundle_text`].
--- a/lib/tests/product/test_bundle.rs
+++ b/lib/tests/product/test_bundle.rs
@@ -3,7 +3,7 @@
 use super::fixtures::bundle_text;
 use expect_test::{Expect, expect};
 use medlarspur_lib::{
-    bundle::{Bundle, Class, Limits, MAX_TEXT, Protocol, TargetState},
+    bundle::{Bundle, Class, Limits, MAX_BUNDLE_SIZE, Protocol, TargetState},
     ids::Version,
     time::Millis,
 };
@@ -180,7 +180,7 @@
 #[test]
 fn a_text_over_the_limit_is_refused_unread() {
     faults(
-        &"#".repeat(MAX_TEXT + 1),
+        &"#".repeat(MAX_BUNDLE_SIZE + 1),
         expect![
             "(top): 1048577 bytes long, where at most 1048576 are taken; leave out fields that have their default, or use the short form `{a: b}`"
         ],
--- a/lib/tests/product/test_random.rs
+++ b/lib/tests/product/test_random.rs
@@ -4,7 +4,7 @@
     fixtures::{bundle_text, key, keys, site},
     mutate::{edit, mutated, whole},
 };
-use medlarspur_lib::bundle::{Bundle, Signed, sign};
+use medlarspur_lib::bundle::{Bundle, SignedBundle, sign};
 use proptest::{collection::vec, prelude::*};
 
 /// A slip indents the first line, which ends the document after it: the rest
@@ -27,7 +27,7 @@
 
     #[test]
     fn random_bytes_are_refused(bytes in vec(any::<u8>(), 0..600)) {
-        let refusal = Signed::check(&bytes, &keys(), &site()).expect_err("not signed off");
+        let refusal = SignedBundle::check(&bytes, &keys(), &site()).expect_err("not signed off");
 
         prop_assert!(["not-text", "no-signature"].contains(&refusal.reason()));
     }
@@ -38,7 +38,7 @@
         let bytes = mutated(&text, &edits);
         prop_assume!(bytes != text.as_bytes());
 
-        let found = Signed::check(&bytes, &keys(), &site());
+        let found = SignedBundle::check(&bytes, &keys(), &site());
 
         // The signature line has no signature of its own: its last line end
         // may go, and its digits may change case.
--- a/lib/tests/product/test_sign.rs
+++ b/lib/tests/product/test_sign.rs
@@ -2,19 +2,19 @@
 
 use super::fixtures::{bundle_text, key, keys, site};
 use medlarspur_lib::{
-    bundle::{MAX_TEXT, Signed, content, sign},
+    bundle::{MAX_BUNDLE_SIZE, SignedBundle, sign, strip_signature},
     ids::SiteName,
 };
 
 fn refusal(bytes: &[u8]) -> &'static str {
-    Signed::check(bytes, &keys(), &site()).expect_err("to be refused").reason()
+    SignedBundle::check(bytes, &keys(), &site()).expect_err("to be refused").reason()
 }
 
 #[test]
 fn a_signed_bundle_is_taken() {
     let text = sign(&bundle_text(), &key(1));
 
-    let signed = Signed::check(text.as_bytes(), &keys(), &site()).expect("signed off");
+    let signed = SignedBundle::check(text.as_bytes(), &keys(), &site()).expect("signed off");
 
     assert_eq!(&*signed.text, text);
     assert_eq!(signed.key, key(1).public().id());
@@ -28,14 +28,14 @@
     let other = sign(&bundle_text(), &key(2));
 
     assert_eq!(sign(&other, &key(1)), once);
-    assert_eq!(content(&once), bundle_text());
+    assert_eq!(strip_signature(&once), bundle_text());
 }
 
 #[test]
 fn a_text_without_a_last_line_end_can_be_signed() {
     let text = sign(bundle_text().trim_end(), &key(1));
 
-    assert!(Signed::check(text.as_bytes(), &keys(), &site()).is_ok());
+    assert!(SignedBundle::check(text.as_bytes(), &keys(), &site()).is_ok());
 }
 
 #[test]
@@ -49,7 +49,7 @@
     assert_eq!(refusal(sign(&bundle_text(), &key(2)).as_bytes()), "unknown-key");
     assert_eq!(refusal(changed.as_bytes()), "bad-signature");
     assert_eq!(refusal(b"\xff\xfe"), "not-text");
-    assert_eq!(refusal(&vec![b'#'; MAX_TEXT + 1]), "too-large");
+    assert_eq!(refusal(&vec![b'#'; MAX_BUNDLE_SIZE + 1]), "too-large");
     assert_eq!(refusal(b""), "no-signature");
 }
 
@@ -65,7 +65,7 @@
     let text = sign(&bundle_text(), &key(1));
     let vantaa = SiteName::new("vantaa");
 
-    let refusal = Signed::check(text.as_bytes(), &keys(), &vantaa).expect_err("wrong site");
+    let refusal = SignedBundle::check(text.as_bytes(), &keys(), &vantaa).expect_err("wrong site");
 
     assert_eq!(refusal.reason(), "wrong-site");
 }
@@ -75,14 +75,14 @@
 #[test]
 fn a_changed_seed_is_refused() {
     let check = |text: &str| {
-        Signed::check(sign(text, &key(1)).as_bytes(), &keys(), &site()).expect("signed off")
+        SignedBundle::check(sign(text, &key(1)).as_bytes(), &keys(), &site()).expect("signed off")
     };
     let present = check(&bundle_text());
     let next = check(&bundle_text().replace("version: 7", "version: 8"));
     let reseeded = check(&bundle_text().replace("seed: 00", "seed: 01"));
 
-    assert!(next.follows(&present.bundle).is_ok());
-    let refusal = reseeded.follows(&present.bundle).expect_err("another seed");
+    assert!(next.check_can_replace(&present.bundle).is_ok());
+    let refusal = reseeded.check_can_replace(&present.bundle).expect_err("another seed");
     assert_eq!(refusal.reason(), "seed-changed");
     assert!(next.rank() > present.rank());
 }
