--- a/lib/src/forwarder/held.rs
+++ b/lib/src/forwarder/held.rs
@@ -7,7 +7,7 @@
     flows::{Certainty, FlowMap},
     ids::FlowId,
     members::Member,
-    packet::{Mark, Packet},
+    packet::{Packet, PacketKind},
     question::{Answer, Datagram, LookupResult, Question},
     time::Millis,
     view::{TargetId, TargetKey, View},
@@ -228,7 +228,7 @@
                 // the first of its flow than a later one of an orphan, and a
                 // leaving target must get no new work.
                 let is_new = complete && packet.key().protocol == Protocol::Udp;
-                if packet.mark() == Mark::Open || sure || is_new {
+                if packet.kind() == PacketKind::Open || sure || is_new {
                     self.forward_released(now, packet, ctx, sink);
                 } else {
                     self.send_to_earlier_owner(now, packet, ctx, sink);
@@ -263,7 +263,7 @@
         }
         let orphaned_since = ctx.view.orphaned_since(ctx.service, now);
         match ctx.bucket().fallback(orphaned_since) {
-            Some(target) if packet.mark() != Mark::Open => {
+            Some(target) if packet.kind() != PacketKind::Open => {
                 self.counters.guessed += 1;
                 self.adopt(now, packet, target, Certainty::Guessed, ctx, sink);
                 // The keepers get an advert, so that all instances that ask
--- a/lib/src/forwarder/mod.rs
+++ b/lib/src/forwarder/mod.rs
@@ -39,7 +39,7 @@
     flows::{Flow, Flows},
     ids::{FlowId, InstanceName},
     message::Advert,
-    packet::{Mark, Packet},
+    packet::{Packet, PacketKind},
     question::Datagram,
     time::Millis,
     view::{BucketView, ServiceView, TargetId, View},
@@ -214,7 +214,7 @@
         let key = packet.key();
         let Some((service, class)) = view.service_at(key.service, key.protocol) else {
             self.counters.no_service += 1;
-            if packet.mark() == Mark::Open {
+            if packet.kind() == PacketKind::Open {
                 self.send_reset(packet, sink);
             }
             return;
@@ -224,11 +224,13 @@
         if self.send_known(now, packet, &ctx, sink) || self.continue_refusal(packet, &ctx, sink) {
             return;
         }
-        if packet.mark() == Mark::Open && packet.length() > BARE_SYN_LENGTH {
+        if packet.kind() == PacketKind::Open && packet.sequence_length() > BARE_SYN_LENGTH {
             self.counters.syn_with_data += 1;
             return;
         }
-        if packet.mark() == Mark::Open && self.no_openings_until.is_some_and(|until| now < until) {
+        if packet.kind() == PacketKind::Open
+            && self.no_openings_until.is_some_and(|until| now < until)
+        {
             self.counters.after_sleep += 1;
             return;
         }
@@ -249,25 +251,25 @@
         sink: &mut impl Sink,
     ) -> bool {
         let Some(flow) = self.flows.get_mut(ctx.id) else { return false };
-        if packet.mark() == Mark::Open && is_new_connection(flow, ctx, now) {
+        if packet.kind() == PacketKind::Open && is_new_connection(flow, ctx, now) {
             self.flows.remove(ctx.id);
             return false;
         }
         let idle = flow.idle(now);
         flow.touch(now);
         let target = flow.target;
-        match packet.mark() {
-            Mark::Open => {}
-            Mark::Middle if flow.fresh => {
+        match packet.kind() {
+            PacketKind::Open => {}
+            PacketKind::Continue if flow.fresh => {
                 flow.fresh = false;
                 self.gate.on_second_packet(now, target, ctx.class, idle);
             }
-            Mark::Middle => {}
-            Mark::Close | Mark::Abort => {
+            PacketKind::Continue => {}
+            PacketKind::Close | PacketKind::Abort => {
                 let first = !std::mem::replace(&mut flow.closing, true);
                 if first {
                     let flow = *flow;
-                    self.report_end(now, packet.mark(), ctx.id, &flow);
+                    self.report_end(now, packet.kind(), ctx.id, &flow);
                 }
             }
         }
@@ -279,8 +281,8 @@
     /// Reports the end of a flow to the gate. The end of a flow may pass
     /// another instance than its opening, so the gate balances all openings and
     /// ends that pass here, whichever flows they belong to.
-    fn report_end(&mut self, now: Millis, mark: Mark, id: FlowId, flow: &Flow) {
-        if mark == Mark::Abort {
+    fn report_end(&mut self, now: Millis, kind: PacketKind, id: FlowId, flow: &Flow) {
+        if kind == PacketKind::Abort {
             self.gate.on_abort(now, flow.target);
         }
         self.gate.on_close(now, id, flow);
--- a/lib/src/forwarder/opening.rs
+++ b/lib/src/forwarder/opening.rs
@@ -5,7 +5,7 @@
 use crate::{
     bundle::Protocol,
     flows::{Certainty, Flow},
-    packet::{Mark, Packet},
+    packet::{Packet, PacketKind},
     time::Millis,
     view::TargetId,
 };
@@ -26,15 +26,15 @@
             self.send_reset(packet, sink);
             return;
         };
-        match packet.mark() {
-            Mark::Open => self.open(now, packet, owner, ctx, sink),
-            Mark::Middle if packet.key().protocol == Protocol::Udp => {
+        match packet.kind() {
+            PacketKind::Open => self.open(now, packet, owner, ctx, sink),
+            PacketKind::Continue if packet.key().protocol == Protocol::Udp => {
                 self.open(now, packet, owner, ctx, sink);
             }
-            Mark::Middle => self.adopt(now, packet, owner, Certainty::Observed, ctx, sink),
-            Mark::Close | Mark::Abort => {
+            PacketKind::Continue => self.adopt(now, packet, owner, Certainty::Observed, ctx, sink),
+            PacketKind::Close | PacketKind::Abort => {
                 let flow = Flow::new(owner, Certainty::Observed, ctx.class, now);
-                self.report_end(now, packet.mark(), ctx.id, &flow);
+                self.report_end(now, packet.kind(), ctx.id, &flow);
                 self.send_to_target(packet.bytes(), owner, ctx, sink);
             }
         }
@@ -88,7 +88,7 @@
         sink: &mut impl Sink,
     ) {
         let mut flow = Flow::new(target, certainty, ctx.class, now);
-        flow.closing = matches!(packet.mark(), Mark::Close | Mark::Abort);
+        flow.closing = matches!(packet.kind(), PacketKind::Close | PacketKind::Abort);
         if ctx.bucket().owner != Some(target) {
             self.keeper.note_exception(ctx);
         }
--- a/lib/src/forwarder/refusal.rs
+++ b/lib/src/forwarder/refusal.rs
@@ -11,7 +11,7 @@
 use super::{Context, Forwarder, Gate, Sink};
 use crate::{
     ids::FlowId,
-    packet::{Mark, Packet, acknowledge, answer, reset, syn_ack},
+    packet::{Packet, PacketKind, build_ack, build_refusal, build_reset, build_syn_ack},
 };
 
 /// Placeholder in the refusal text for the number of seconds to wait.
@@ -31,7 +31,7 @@
             return;
         }
         self.counters.refused += 1;
-        if let Some(bytes) = syn_ack(packet, cookie(ctx)) {
+        if let Some(bytes) = build_syn_ack(packet, cookie(ctx)) {
             sink.send_to_caller(bytes);
         }
     }
@@ -39,7 +39,7 @@
     /// Refuses an opening with a reset.
     pub(super) fn send_reset(&mut self, packet: &Packet<'_>, sink: &mut impl Sink) {
         self.counters.refused += 1;
-        if let Some(bytes) = reset(packet) {
+        if let Some(bytes) = build_reset(packet) {
             sink.send_to_caller(bytes);
         }
     }
@@ -53,24 +53,24 @@
         sink: &mut impl Sink,
     ) -> bool {
         let Some(text) = &ctx.service.spec.refusal else { return false };
-        if packet.mark() == Mark::Open {
+        if packet.kind() == PacketKind::Open {
             return false;
         }
-        let Some((_, acknowledged)) = packet.numbers() else { return false };
+        let Some((_, acknowledged)) = packet.sequence_numbers() else { return false };
         let first = cookie(ctx).wrapping_add(1);
         let words = self.refusal_text(text, ctx);
         let last = first.wrapping_add(words.len() as u32 + 1);
-        if acknowledged == first && packet.mark() != Mark::Abort {
-            if let Some(bytes) = answer(packet, &words) {
+        if acknowledged == first && packet.kind() != PacketKind::Abort {
+            if let Some(bytes) = build_refusal(packet, &words) {
                 sink.send_to_caller(bytes);
             }
             return true;
         }
         let is_over = acknowledged.wrapping_sub(first) <= last.wrapping_sub(first);
         if is_over
-            && packet.length() > 0
-            && packet.mark() != Mark::Abort
-            && let Some(bytes) = acknowledge(packet)
+            && packet.sequence_length() > 0
+            && packet.kind() != PacketKind::Abort
+            && let Some(bytes) = build_ack(packet)
         {
             sink.send_to_caller(bytes);
         }
--- a/lib/src/packet/craft.rs
+++ b/lib/src/packet/craft.rs
@@ -21,16 +21,16 @@
 
 /// The reset that tells a caller at once that nothing was run. `None` if the
 /// packet is a reset itself or no TCP, which must not be answered.
-pub fn reset(packet: &Packet<'_>) -> Option<Vec<u8>> {
-    let (sequence, acknowledged) = packet.numbers()?;
-    if packet.mark() == super::Mark::Abort {
+pub fn build_reset(packet: &Packet<'_>) -> Option<Vec<u8>> {
+    let (sequence, acknowledged) = packet.sequence_numbers()?;
+    if packet.kind() == super::PacketKind::Abort {
         return None;
     }
     let key = packet.key();
-    let (flags, sequence, acknowledged) = if packet.acknowledges() {
+    let (flags, sequence, acknowledged) = if packet.has_ack() {
         (RST, acknowledged, 0)
     } else {
-        (RST | ACK, 0, sequence.wrapping_add(packet.length()))
+        (RST | ACK, 0, sequence.wrapping_add(packet.sequence_length()))
     };
     let (from, to) = (key.service, key.caller);
     Some(build(&Segment { from, to, sequence, acknowledged, flags, payload: &[] }))
@@ -38,8 +38,8 @@
 
 /// The answer to a SYN by which an instance completes the handshake itself, to
 /// turn the caller away in words. `cookie` becomes the sequence number.
-pub fn syn_ack(packet: &Packet<'_>, cookie: u32) -> Option<Vec<u8>> {
-    let (sequence, _) = packet.numbers()?;
+pub fn build_syn_ack(packet: &Packet<'_>, cookie: u32) -> Option<Vec<u8>> {
+    let (sequence, _) = packet.sequence_numbers()?;
     let key = packet.key();
     let acknowledged = sequence.wrapping_add(1);
     let (from, to, flags) = (key.service, key.caller, SYN | ACK);
@@ -48,22 +48,22 @@
 
 /// The refusal in words and the end of the connection, in one segment, as the
 /// answer to the first segment with data or the bare ACK of the handshake.
-pub fn answer(packet: &Packet<'_>, payload: &[u8]) -> Option<Vec<u8>> {
-    let (sequence, acknowledged) = packet.numbers()?;
+pub fn build_refusal(packet: &Packet<'_>, payload: &[u8]) -> Option<Vec<u8>> {
+    let (sequence, acknowledged) = packet.sequence_numbers()?;
     let key = packet.key();
     let (from, to) = (key.service, key.caller);
     let flags = FIN | ACK | PUSH;
-    let next = sequence.wrapping_add(packet.length());
+    let next = sequence.wrapping_add(packet.sequence_length());
     Some(build(&Segment { from, to, sequence: acknowledged, acknowledged: next, flags, payload }))
 }
 
-/// The bare acknowledgement of what comes after an [`answer`]. A reset would be
+/// The bare acknowledgement of what comes after an [`build_refusal`]. A reset would be
 /// shorter, but could make the caller drop the answer before it has read it.
-pub fn acknowledge(packet: &Packet<'_>) -> Option<Vec<u8>> {
-    let (sequence, acknowledged) = packet.numbers()?;
+pub fn build_ack(packet: &Packet<'_>) -> Option<Vec<u8>> {
+    let (sequence, acknowledged) = packet.sequence_numbers()?;
     let key = packet.key();
     let (from, to) = (key.service, key.caller);
-    let next = sequence.wrapping_add(packet.length());
+    let next = sequence.wrapping_add(packet.sequence_length());
     let flags = ACK;
     Some(build(&Segment {
         from,
--- a/lib/src/packet/flow.rs
+++ b/lib/src/packet/flow.rs
@@ -80,14 +80,14 @@
 /// Callers choose their ports, so a plain hash would let one aim all its flows
 /// at one bucket, and so at one target; the key from the bundle prevents that.
 #[derive(Debug, Clone, Copy)]
-pub struct Hasher {
+pub struct FlowHasher {
     state: SipHasher13,
 }
 
-impl Hasher {
+impl FlowHasher {
     /// Makes the hasher of a site.
-    pub fn new(seed: Seed) -> Hasher {
-        Hasher { state: SipHasher13::new_with_key(&seed.0) }
+    pub fn new(seed: Seed) -> FlowHasher {
+        FlowHasher { state: SipHasher13::new_with_key(&seed.0) }
     }
 
     /// The id of a flow.
--- a/lib/src/packet/mod.rs
+++ b/lib/src/packet/mod.rs
@@ -7,8 +7,8 @@
 mod craft;
 mod flow;
 
-pub use craft::{acknowledge, answer, reset, syn_ack};
-pub use flow::{FlowKey, FlowKeyError, Hasher};
+pub use craft::{build_ack, build_refusal, build_reset, build_syn_ack};
+pub use flow::{FlowHasher, FlowKey, FlowKeyError};
 
 use crate::bundle::Protocol;
 use snafu::Snafu;
@@ -69,11 +69,11 @@
 
 value! {
     /// What a packet means for its flow.
-    pub enum Mark {
+    pub enum PacketKind {
         /// Opens a flow: a SYN without an ACK.
         Open,
         /// Belongs to a flow that is open, or to a UDP flow.
-        Middle,
+        Continue,
         /// The caller closes its half of the flow.
         Close,
         /// The caller gives the flow up at once.
@@ -86,7 +86,7 @@
 pub struct Packet<'a> {
     bytes: &'a [u8],
     key: FlowKey,
-    mark: Mark,
+    kind: PacketKind,
     transport: usize,
 }
 
@@ -110,7 +110,7 @@
             return FragmentSnafu.fail();
         }
         let bytes = &bytes[..total];
-        let (protocol, mark) = transport(ip[9], &bytes[header..])?;
+        let (protocol, kind) = transport(ip[9], &bytes[header..])?;
         let port = |at| u16::from_be_bytes([bytes[header + at], bytes[header + at + 1]]);
         let source = Ipv4Addr::new(ip[12], ip[13], ip[14], ip[15]);
         let destination = Ipv4Addr::new(ip[16], ip[17], ip[18], ip[19]);
@@ -119,7 +119,7 @@
             caller: SocketAddrV4::new(source, port(0)),
             service: SocketAddrV4::new(destination, port(2)),
         };
-        Ok(Packet { bytes, key, mark, transport: header })
+        Ok(Packet { bytes, key, kind, transport: header })
     }
 
     /// The whole packet.
@@ -136,8 +136,8 @@
 
     /// What it means for its flow.
     #[inline]
-    pub fn mark(&self) -> Mark {
-        self.mark
+    pub fn kind(&self) -> PacketKind {
+        self.kind
     }
 
     /// The TCP header and what follows; empty for UDP.
@@ -149,14 +149,14 @@
     }
 
     /// The sequence and acknowledgement numbers of a TCP segment.
-    pub fn numbers(&self) -> Option<(u32, u32)> {
+    pub fn sequence_numbers(&self) -> Option<(u32, u32)> {
         let segment = self.segment();
         let word = |at: usize| segment.get(at..at + 4)?.try_into().ok().map(u32::from_be_bytes);
         Some((word(4)?, word(8)?))
     }
 
     /// How many bytes of the sequence space a TCP segment takes.
-    pub fn length(&self) -> u32 {
+    pub fn sequence_length(&self) -> u32 {
         let segment = self.segment();
         let Some(head) = segment.first_chunk::<TCP_HEADER>() else {
             return 0;
@@ -167,7 +167,7 @@
     }
 
     /// Whether a TCP segment acknowledges something.
-    pub fn acknowledges(&self) -> bool {
+    pub fn has_ack(&self) -> bool {
         self.segment().get(13).is_some_and(|flags| flags & ACK != 0)
     }
 }
@@ -177,16 +177,16 @@
 const RST: u8 = 0x04;
 const ACK: u8 = 0x10;
 
-fn transport(protocol: u8, bytes: &[u8]) -> Result<(Protocol, Mark), PacketError> {
+fn transport(protocol: u8, bytes: &[u8]) -> Result<(Protocol, PacketKind), PacketError> {
     match protocol {
-        PROTOCOL_TCP => Ok((Protocol::Tcp, tcp_mark(bytes)?)),
-        PROTOCOL_UDP if bytes.len() >= UDP_HEADER => Ok((Protocol::Udp, Mark::Middle)),
+        PROTOCOL_TCP => Ok((Protocol::Tcp, tcp_kind(bytes)?)),
+        PROTOCOL_UDP if bytes.len() >= UDP_HEADER => Ok((Protocol::Udp, PacketKind::Continue)),
         PROTOCOL_UDP => TruncatedSnafu.fail(),
         _ => TransportSnafu.fail(),
     }
 }
 
-fn tcp_mark(bytes: &[u8]) -> Result<Mark, PacketError> {
+fn tcp_kind(bytes: &[u8]) -> Result<PacketKind, PacketError> {
     let Some(head) = bytes.first_chunk::<TCP_HEADER>() else {
         return TruncatedSnafu.fail();
     };
@@ -195,11 +195,11 @@
         return TruncatedSnafu.fail();
     }
     match head[13] & (FIN | SYN | RST | ACK) {
-        SYN => Ok(Mark::Open),
+        SYN => Ok(PacketKind::Open),
         flags if flags & SYN != 0 => FlagsSnafu.fail(),
-        flags if flags & RST != 0 => Ok(Mark::Abort),
-        flags if flags & FIN != 0 => Ok(Mark::Close),
-        ACK => Ok(Mark::Middle),
+        flags if flags & RST != 0 => Ok(PacketKind::Abort),
+        flags if flags & FIN != 0 => Ok(PacketKind::Close),
+        ACK => Ok(PacketKind::Continue),
         _ => FlagsSnafu.fail(),
     }
 }
--- a/lib/src/view/draft.rs
+++ b/lib/src/view/draft.rs
@@ -11,7 +11,7 @@
     keepers::Keepers,
     members::{Member, MemberState},
     message::{History, ServicePlan},
-    packet::Hasher,
+    packet::FlowHasher,
     table,
     time::Millis,
 };
@@ -44,7 +44,7 @@
         let view = View {
             epoch: 0,
             bundle: bundle.clone(),
-            hasher: Hasher::new(bundle.seed),
+            hasher: FlowHasher::new(bundle.seed),
             registry: Arc::default(),
             services: Vec::new(),
             members: Arc::from([]),
@@ -72,7 +72,7 @@
     pub fn install(&mut self, bundle: &Arc<Bundle>, now: Millis) {
         self.changed = true;
         self.view.bundle = bundle.clone();
-        self.view.hasher = Hasher::new(bundle.seed);
+        self.view.hasher = FlowHasher::new(bundle.seed);
         let cause = Some(bundle.version);
         let mut registry = (*self.view.registry).clone();
         let old: Map<_, _> = self.view.services.iter().map(|s| (&s.spec.name, s)).collect();
--- a/lib/src/view/mod.rs
+++ b/lib/src/view/mod.rs
@@ -26,7 +26,7 @@
     keepers::Keepers,
     members::{Member, MemberState},
     message::{History, HistoryEntry},
-    packet::Hasher,
+    packet::FlowHasher,
     time::Millis,
 };
 use std::{
@@ -66,7 +66,7 @@
     /// The bundle in force.
     pub bundle: Arc<Bundle>,
     /// Hashes flows with the bundle's seed.
-    pub hasher: Hasher,
+    pub hasher: FlowHasher,
     /// Every target that was ever in a bundle here, by its local id.
     pub registry: Arc<Registry>,
     /// The services, in the order of the bundle.
--- a/lib/tests/edge/test_input.rs
+++ b/lib/tests/edge/test_input.rs
@@ -3,7 +3,7 @@
 use medlarspur_lib::{
     bundle::Protocol,
     ids::FlowId,
-    packet::{FlowKey, Mark, Packet},
+    packet::{FlowKey, Packet, PacketKind},
     question::{Answer, Datagram, LookupResult, Question, QuestionError},
     settings::Secret,
     view::{ServiceKey, TargetKey},
@@ -58,8 +58,8 @@
     let packet = Packet::parse(&bytes).expect("a SYN");
 
     assert_eq!(packet.key().to_string(), "tcp:10.0.0.1:40000:10.70.0.1:7001");
-    assert_eq!((packet.mark(), packet.key().protocol), (Mark::Open, Protocol::Tcp));
-    assert_eq!(packet.length(), 1);
+    assert_eq!((packet.kind(), packet.key().protocol), (PacketKind::Open, Protocol::Tcp));
+    assert_eq!(packet.sequence_length(), 1);
 }
 
 proptest! {
@@ -71,7 +71,7 @@
     fn any_bytes_are_a_packet_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..2100)) {
         if let Ok(packet) = Packet::parse(&bytes) {
             prop_assert!(packet.bytes().len() <= bytes.len());
-            let _ = (packet.numbers(), packet.length(), packet.acknowledges());
+            let _ = (packet.sequence_numbers(), packet.sequence_length(), packet.has_ack());
         }
     }
 
@@ -92,7 +92,7 @@
         bytes.truncate(cut.index(bytes.len() + 1));
         if let Ok(packet) = Packet::parse(&bytes) {
             prop_assert!(packet.bytes().len() <= bytes.len());
-            let _ = (packet.numbers(), packet.length(), packet.acknowledges());
+            let _ = (packet.sequence_numbers(), packet.sequence_length(), packet.has_ack());
         }
     }
 
--- a/tests/examples/moves/baseline.rs
+++ b/tests/examples/moves/baseline.rs
@@ -7,7 +7,7 @@
 use medlarspur_lib::{
     bundle::{Bundle, Service, TargetState},
     collections::Map,
-    packet::{FlowKey, Hasher},
+    packet::{FlowHasher, FlowKey},
     table,
     time::Millis,
 };
@@ -93,7 +93,7 @@
         let bundle = &self.epochs_before(at).next()?.bundle;
         let service = service(bundle, key)?;
         let live: Vec<_> = active(&bundle.services[service]).collect();
-        let hash = Hasher::new(bundle.seed).id(key).0;
+        let hash = FlowHasher::new(bundle.seed).id(key).0;
         live.get((hash % live.len().max(1) as u64) as usize).copied()
     }
 
@@ -117,7 +117,7 @@
 impl Epoch {
     fn owner(&self, key: &FlowKey) -> Option<SocketAddrV4> {
         let owners = &self.owners[service(&self.bundle, key)?];
-        let hash = Hasher::new(self.bundle.seed).id(key).0;
+        let hash = FlowHasher::new(self.bundle.seed).id(key).0;
         owners.get(hash as usize & (owners.len() - 1)).copied()
     }
 }
