--- a/cli/src/commands/bundle_show.rs
+++ b/cli/src/commands/bundle_show.rs
@@ -8,7 +8,7 @@
 };
 use medlarspur_lib::{
     bundle::{Bundle, Service},
-    time::Span,
+    time::HumanDuration,
 };
 
 pub fn run(flags: &Show) -> Result<Code, CommandError> {
@@ -31,7 +31,7 @@
         or_dash(limits.caller),
         or_dash(limits.network),
         or_dash(limits.booking),
-        or_dash(limits.patience.map(Span)),
+        or_dash(limits.patience.map(HumanDuration)),
         or_dash(limits.retries),
     ));
     if !bundle.evacuated.is_empty() {
@@ -50,7 +50,7 @@
     output::line(&format!(
         "  {} buckets, keepalive {}, balance {}, refusal {}",
         service.buckets,
-        Span(service.keepalive),
+        HumanDuration(service.keepalive),
         service.balance,
         or_dash(service.refusal.as_ref().map(|text| format!("{text:?}"))),
     ));
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,7 +1,7 @@
 //! Printing: lines, tables and JSON.
 
 use crate::error::{CommandError, JsonSnafu};
-use medlarspur_lib::status::{MarkedTarget, Picture};
+use medlarspur_lib::status::{CatalogStatus, MarkedTarget};
 use serde::Serialize;
 use snafu::ResultExt;
 use std::{
@@ -58,7 +58,7 @@
 }
 
 /// The revision as log lines write it: with its era, if the platform came back from a copy.
-pub fn revision(picture: &Picture) -> String {
+pub fn revision(picture: &CatalogStatus) -> String {
     match picture.era {
         0 => picture.revision.to_string(),
         era => format!("{era}.{}", picture.revision),
@@ -66,7 +66,7 @@
 }
 
 /// Prints up to where an instance knows config and targets.
-pub fn picture(picture: &Picture) {
+pub fn picture(picture: &CatalogStatus) {
     let age = picture.age.map(|age| span(age.0));
     let confirmed = age.map_or("never confirmed".to_owned(), |age| format!("confirmed {age} ago"));
     line(&format!("config   version {}", or_dash(picture.version)));
--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -8,9 +8,9 @@
     members::MemberState,
     packet::FlowKey,
     status::{
-        BundleStatus, EvacuatedDomain, Explanation, FlowStatus, Life, MarkedExplanation,
-        MarkedReason, MarkedService, MarkedStatus, MarkedTarget, MemberStatus, Owner, Picture,
-        PlanStatus, Reason, ServiceStatus, Status, TargetStatus, TargetUse, Unready,
+        BundleStatus, CatalogStatus, EvacuatedDomain, Explanation, FlowStatus, Life,
+        MarkedExplanation, MarkedReason, MarkedService, MarkedStatus, MarkedTarget, MemberStatus,
+        Owner, PlanStatus, Reason, ServiceStatus, Status, TargetStatus, TargetUse, Unready,
     },
     time::Millis,
 };
@@ -79,9 +79,9 @@
     }
 }
 
-fn picture(version: Option<u64>, era: u32) -> Picture {
+fn picture(version: Option<u64>, era: u32) -> CatalogStatus {
     let evacuated = EvacuatedDomain { domain: DomainName::new("mladost"), revision: 40 };
-    Picture {
+    CatalogStatus {
         version: version.map(Version),
         era,
         revision: 41,
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -37,7 +37,7 @@
         Ok(text) => text,
         Err(exit) => return exit,
     };
-    if MarkedSettings::are_meant(&text) {
+    if MarkedSettings::is_declared_in(&text) {
         return start(&flags, MarkedSettings::parse(&text), |settings| {
             let sink = logs::init_sink(settings.log, LevelFilter::Info);
             if let Err(error) = &sink {
--- a/lib/src/bundle/diff.rs
+++ b/lib/src/bundle/diff.rs
@@ -3,7 +3,7 @@
 use super::{Bundle, Limits, Service, Target};
 use crate::{
     ids::{ServiceName, TargetName},
-    time::Span,
+    time::HumanDuration,
 };
 use std::fmt;
 
@@ -161,7 +161,11 @@
         self.field("limits.caller", show(old.caller), show(new.caller));
         self.field("limits.network", show(old.network), show(new.network));
         self.field("limits.booking", show(old.booking), show(new.booking));
-        self.field("limits.patience", show(old.patience.map(Span)), show(new.patience.map(Span)));
+        self.field(
+            "limits.patience",
+            show(old.patience.map(HumanDuration)),
+            show(new.patience.map(HumanDuration)),
+        );
         self.field("limits.retries", show(old.retries), show(new.retries));
     }
 
@@ -169,7 +173,7 @@
         self.service = Some(old.name.clone());
         self.field("ports", ports(old), ports(new));
         self.field("buckets", old.buckets, new.buckets);
-        self.field("keepalive", Span(old.keepalive), Span(new.keepalive));
+        self.field("keepalive", HumanDuration(old.keepalive), HumanDuration(new.keepalive));
         self.field("refusal", refusal(old), refusal(new));
         self.field("balance", old.balance, new.balance);
         for target in &old.targets {
--- a/lib/src/document/reader.rs
+++ b/lib/src/document/reader.rs
@@ -5,7 +5,7 @@
     locate,
     path::Path,
 };
-use crate::time::{Millis, Span};
+use crate::time::{HumanDuration, Millis};
 use serde_norway::{Mapping, Value};
 use std::{cell::RefCell, ops::RangeInclusive, str::FromStr};
 
@@ -210,7 +210,7 @@
         if range.contains(&found) {
             return Some(found);
         }
-        self.range(text, &Span(*range.start()), &Span(*range.end()))
+        self.range(text, &HumanDuration(*range.start()), &HumanDuration(*range.end()))
     }
 
     fn range<T>(&self, found: &str, least: &impl ToString, most: &impl ToString) -> Option<T> {
--- a/lib/src/settings/marked.rs
+++ b/lib/src/settings/marked.rs
@@ -77,7 +77,7 @@
 impl MarkedSettings {
     /// Whether a text holds settings of this kind, and not those of an instance
     /// whose fabric returns nothing.
-    pub fn are_meant(text: &str) -> bool {
+    pub fn is_declared_in(text: &str) -> bool {
         let line = text.lines().find_map(|line| line.strip_prefix("agreement:"));
         line.is_some_and(|value| value.trim().trim_matches(['"', '\'']) == MARKS)
     }
--- a/lib/src/status/marked.rs
+++ b/lib/src/status/marked.rs
@@ -29,14 +29,14 @@
         /// How many flows it has a record of.
         pub flows: u64,
         /// What decides at this moment.
-        pub picture: Picture,
+        pub picture: CatalogStatus,
         /// The services that have targets.
         pub services: Vec<MarkedService>,
     }
 
     /// Up to where an instance knows the config and the targets.
     #[derive(Serialize, Deserialize)]
-    pub struct Picture {
+    pub struct CatalogStatus {
         /// The version of the config in force, if there is one.
         pub version: Option<Version>,
         /// How often the platform had come back from a copy when it gave that revision.
@@ -113,7 +113,7 @@
         /// The targets of its route's services, for a flow that is opened now.
         pub candidates: Vec<MarkedTarget>,
         /// What decides at this moment.
-        pub picture: Picture,
+        pub picture: CatalogStatus,
     }
 }
 
--- a/lib/src/status/mod.rs
+++ b/lib/src/status/mod.rs
@@ -16,7 +16,7 @@
         BundleStatus, Life, MemberStatus, PlanStatus, ServiceStatus, Status, TargetStatus, Unready,
     },
     marked::{
-        EvacuatedDomain, MarkedExplanation, MarkedReason, MarkedService, MarkedStatus,
-        MarkedTarget, Picture, TargetUse,
+        CatalogStatus, EvacuatedDomain, MarkedExplanation, MarkedReason, MarkedService,
+        MarkedStatus, MarkedTarget, TargetUse,
     },
 };
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -47,9 +47,9 @@
 
 /// A span as operators write it, such as `30s` or `500ms`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span(pub Millis);
+pub struct HumanDuration(pub Millis);
 
-impl fmt::Display for Span {
+impl fmt::Display for HumanDuration {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self.0.0 {
             millis if millis.is_multiple_of(1000) => write!(f, "{}s", millis / 1000),
--- a/lib/tests/product/test_marked_settings.rs
+++ b/lib/tests/product/test_marked_settings.rs
@@ -67,7 +67,7 @@
 
 #[test]
 fn the_kind_of_settings_is_told_by_one_field() {
-    assert!(MarkedSettings::are_meant(SOUND));
-    assert!(MarkedSettings::are_meant("name: a\nagreement: \"marks\"\n"));
-    assert!(!MarkedSettings::are_meant("site: sofia\nname: entry-1\n"));
+    assert!(MarkedSettings::is_declared_in(SOUND));
+    assert!(MarkedSettings::is_declared_in("name: a\nagreement: \"marks\"\n"));
+    assert!(!MarkedSettings::is_declared_in("site: sofia\nname: entry-1\n"));
 }
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -11,8 +11,8 @@
     ids::{DomainName, ServiceName},
     packet,
     status::{
-        EvacuatedDomain, MarkedExplanation, MarkedReason, MarkedService, MarkedTarget, Picture,
-        TargetUse,
+        CatalogStatus, EvacuatedDomain, MarkedExplanation, MarkedReason, MarkedService,
+        MarkedTarget, TargetUse,
     },
     time::Millis,
 };
@@ -58,14 +58,14 @@
     }
 
     /// The state up to which the config and the targets are known.
-    pub fn picture(&self, age: Option<Millis>) -> Picture {
+    pub fn picture(&self, age: Option<Millis>) -> CatalogStatus {
         let version = self.catalog.config().map(|config| config.version);
         let mut evacuated: Vec<_> =
             self.catalog.evacuated().map(|it| self.domain_status(it)).collect();
         evacuated.sort_by(|one, other| one.domain.cmp(&other.domain));
         let omitted = self.catalog.config().map_or(0, |config| config.omitted);
         let Revision { era, count } = self.revision();
-        Picture { version, era, revision: count, age, evacuated, omitted }
+        CatalogStatus { version, era, revision: count, age, evacuated, omitted }
     }
 
     fn domain_status(&self, domain: &DomainName) -> EvacuatedDomain {
