--- a/daemon/examples/bench/lines.rs
+++ b/daemon/examples/bench/lines.rs
@@ -4,7 +4,7 @@
 use log::LevelFilter;
 use medlarspur_daemon::{
     logs,
-    marked::lines::{Lines, Picture},
+    marked::lines::{CatalogState, DecisionLog},
 };
 use medlarspur_lib::{bundle::Class, settings::LogForm, time::Millis};
 use medlarspur_load::choice::Tier;
@@ -31,13 +31,13 @@
 
 /// Measures; the lines go to standard output.
 pub fn run() -> Costs {
-    let sink = logs::init_sink(LogForm::Text, LevelFilter::Info).expect("a thread");
+    let sink = logs::init_with_sink(LogForm::Text, LevelFilter::Info).expect("a thread");
     let name = thread::current().name().expect("the main thread has a name").to_owned();
     let name = if name == "main" { "bench".to_owned() } else { name };
-    let mut lines = Lines::new(Millis(0));
+    let mut lines = DecisionLog::new(Millis(0));
     let before = thread_nanos(&name);
     for nth in 0..COUNT {
-        lines.write(&note(nth), picture(), Millis(nth * PAUSE));
+        lines.write(&note(nth), state(), Millis(nth * PAUSE));
         if nth % 100 == 99 {
             // The writer gathers for 200 ms; at 10,000 lines a second nothing is lost.
             thread::sleep(Duration::from_millis(10));
@@ -49,7 +49,7 @@
     let now = Millis(COUNT * PAUSE);
     let before = thread_nanos(&name);
     for nth in 0..COUNT {
-        lines.write(&note(nth), picture(), now);
+        lines.write(&note(nth), state(), now);
     }
     let left_out = thread_nanos(&name) - before;
     Costs {
@@ -72,6 +72,6 @@
     }
 }
 
-fn picture() -> Picture {
-    Picture { revision: Revision::new(0, 577), age: Some(Millis(64)) }
+fn state() -> CatalogState {
+    CatalogState { revision: Revision::new(0, 577), age: Some(Millis(64)) }
 }
--- a/daemon/examples/bench/main.rs
+++ b/daemon/examples/bench/main.rs
@@ -18,7 +18,7 @@
 /// How many flows one instance has to hold.
 const FLOWS: usize = 300_000;
 /// The packets on the loopback: an acknowledgement and a full upload segment.
-const SIZES: [usize; 2] = [60, 1400];
+const PACKET_SIZES: [usize; 2] = [60, 1400];
 
 fn main() {
     let arguments: Vec<_> = std::env::args().skip(1).collect();
@@ -54,11 +54,11 @@
 fn print_relay() {
     let head = ["loopback", "packets/s", "cpu ns", "of bare", "by cpu"];
     println!("{:<42} {:>12} {:>10} {:>8} {:>8}", head[0], head[1], head[2], head[3], head[4]);
-    for size in SIZES {
+    for size in PACKET_SIZES {
         for rate in relay::run(FLOWS, size) {
             let name = format!("{size} bytes, {}", rate.name);
-            let Rate { wall, nanos, ratio, thrift, .. } = rate;
-            println!("{name:<42} {wall:>12.0} {nanos:>10.0} {ratio:>8.3} {thrift:>8.3}");
+            let Rate { rate, nanos, ratio, cpu_ratio, .. } = rate;
+            println!("{name:<42} {rate:>12.0} {nanos:>10.0} {ratio:>8.3} {cpu_ratio:>8.3}");
         }
     }
 }
--- a/daemon/examples/bench/memory.rs
+++ b/daemon/examples/bench/memory.rs
@@ -22,7 +22,7 @@
     time::{Duration, Instant},
 };
 
-const SIZE: usize = 60;
+const PACKET_SIZE: usize = 60;
 const NOW: Millis = Millis(1_000);
 const ROUNDS: usize = 5;
 
@@ -34,11 +34,11 @@
 
 /// Collects what a forwarder wants to send.
 #[derive(Default)]
-pub struct Sent {
+pub struct SentPackets {
     pub outbox: Outbox,
 }
 
-impl Sink for Sent {
+impl Sink for SentPackets {
     fn forward(&mut self, target: SocketAddrV4, packet: &[u8]) {
         self.outbox.push(target, packet);
     }
@@ -51,13 +51,13 @@
 }
 
 /// A wire that repeats prepared packets and takes all that is sent.
-struct Repeat<'a> {
+struct ReplayWire<'a> {
     packets: &'a [Vec<u8>],
     next: usize,
     counts: Counts,
 }
 
-impl Wire for Repeat<'_> {
+impl Wire for ReplayWire<'_> {
     type Error = MemoryError;
 
     fn receive(&mut self, batch: &mut Batch, _: Duration) -> Result<usize, MemoryError> {
@@ -111,8 +111,8 @@
 
 /// Takes all packets through the whole path: receive, decide, send.
 fn pass(forwarder: &mut Forwarder<OpenGate>, packets: &[Vec<u8>]) {
-    let mut wire = Repeat { packets, next: 0, counts: Counts::default() };
-    let mut sent = Sent::default();
+    let mut wire = ReplayWire { packets, next: 0, counts: Counts::default() };
+    let mut sent = SentPackets::default();
     let mut batch = Batch::new();
     while let Ok(1..) = wire.receive(&mut batch, Duration::ZERO) {
         for received in batch.iter() {
@@ -126,8 +126,9 @@
 /// Measures the steps of the packet path with this many flows.
 pub fn run(flows: usize) -> Vec<Row> {
     let order = site::shuffled(flows);
-    let openings: Vec<_> = order.iter().map(|&flow| site::opening(flow)).collect();
-    let middles: Vec<_> = order.iter().rev().map(|&flow| site::middle(flow, SIZE)).collect();
+    let openings: Vec<_> = order.iter().map(|&flow| site::opening_packet(flow)).collect();
+    let mid_flow: Vec<_> =
+        order.iter().rev().map(|&flow| site::mid_flow_packet(flow, PACKET_SIZE)).collect();
     let row = |name, nanos| Row { name, nanos };
     let open = median(flows, || {
         let mut forwarder = forwarder(flows);
@@ -135,33 +136,34 @@
     });
     let miss = median(flows, || {
         let mut forwarder = forwarder(flows);
-        timed(|| pass(&mut forwarder, &middles))
+        timed(|| pass(&mut forwarder, &mid_flow))
     });
-    let copy = median(flows, || timed(|| copy(&middles)));
+    let copy = median(flows, || timed(|| copy(&mid_flow)));
     vec![
-        row("whole path, hit", hit(flows)),
+        row("whole path, hit", hit_nanos(flows)),
         row("whole path, miss in mid-flow", miss),
         row("whole path, opening", open),
         row("of these: receive and send, no decision", copy),
-        row("parse", median(flows, || timed(|| parse(&middles)))),
-        row("parse and hash", median(flows, || timed(|| hash(&middles)))),
-        row("parse, hash, service, bucket, owner", median(flows, || timed(|| look_up(&middles)))),
+        row("parse", median(flows, || timed(|| parse(&mid_flow)))),
+        row("parse and hash", median(flows, || timed(|| hash(&mid_flow)))),
+        row("parse, hash, service, bucket, owner", median(flows, || timed(|| look_up(&mid_flow)))),
     ]
 }
 
 /// The nanoseconds of a packet through the whole path when this many flows are
 /// known and their packets come in random order.
-pub fn hit(flows: usize) -> f64 {
+pub fn hit_nanos(flows: usize) -> f64 {
     let order = site::shuffled(flows);
-    let middles: Vec<_> = order.iter().rev().map(|&flow| site::middle(flow, SIZE)).collect();
+    let mid_flow: Vec<_> =
+        order.iter().rev().map(|&flow| site::mid_flow_packet(flow, PACKET_SIZE)).collect();
     let mut warm = forwarder(flows);
-    pass(&mut warm, &middles);
-    median(flows, || timed(|| pass(&mut warm, &middles)))
+    pass(&mut warm, &mid_flow);
+    median(flows, || timed(|| pass(&mut warm, &mid_flow)))
 }
 
 /// Batches in and out without looking at them.
 fn copy(packets: &[Vec<u8>]) {
-    let mut wire = Repeat { packets, next: 0, counts: Counts::default() };
+    let mut wire = ReplayWire { packets, next: 0, counts: Counts::default() };
     let mut outbox = Outbox::new();
     let mut batch = Batch::new();
     let to = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1);
@@ -199,12 +201,12 @@
 
 /// The memory that this many flows take when the table grows by itself, in
 /// bytes.
-pub fn held(flows: usize) -> u64 {
+pub fn flow_memory(flows: usize) -> u64 {
     let mut forwarder = forwarder(0);
-    let mut sent = Sent::default();
+    let mut sent = SentPackets::default();
     let before = resident();
     for flow in 0..flows {
-        forwarder.packet(NOW, &site::opening(flow), &mut sent);
+        forwarder.packet(NOW, &site::opening_packet(flow), &mut sent);
         sent.outbox.clear();
     }
     assert_eq!(forwarder.flows().len(), flows, "every flow is held");
--- a/daemon/examples/bench/relay.rs
+++ b/daemon/examples/bench/relay.rs
@@ -7,9 +7,9 @@
 use medlarspur_daemon::{
     clock::Clock,
     gate::LoadGate,
-    packets::{self, Packets},
+    packets::{self, PacketParts},
     sample::Sampler,
-    shared::{RING, Shared},
+    shared::{RING_CAPACITY, Shared},
 };
 use medlarspur_fabric::{BATCH, Batch, Datagram, Listener, Socket, Wire};
 use medlarspur_lib::settings::Secret;
@@ -28,30 +28,30 @@
 };
 
 const ROUNDS: usize = 9;
-const ROUND: Duration = Duration::from_millis(600);
+const ROUND_TIME: Duration = Duration::from_millis(600);
 /// How long a relay runs before it is measured.
-const SETTLE: Duration = Duration::from_millis(150);
-const WAIT: Duration = Duration::from_millis(5);
+const SETTLE_TIME: Duration = Duration::from_millis(150);
+const MAX_WAIT: Duration = Duration::from_millis(5);
 /// Enough to keep a relay's receive buffer full.
 const GENERATORS: usize = 2;
 /// The choice that sends nothing and ends the helper threads.
-const NOBODY: usize = 2;
+const STOP: usize = 2;
 
 /// The kinds of relays, by the names of their threads.
-const NAMES: [&str; 2] = ["bare relay", "packets"];
+const THREAD_NAMES: [&str; 2] = ["bare relay", "packets"];
 
 /// What one kind of relay did: medians of its rounds.
 pub struct Rate {
     pub name: &'static str,
     /// Packets relayed a second by one thread.
-    pub wall: f64,
+    pub rate: f64,
     /// Processor time a packet in nanoseconds, kernel included.
     pub nanos: f64,
     /// The rate beside the bare relay's in the round before.
     pub ratio: f64,
     /// The same of the packets for each second of processor time, which what
     /// else runs on the machine disturbs less.
-    pub thrift: f64,
+    pub cpu_ratio: f64,
 }
 
 /// Relays packets of `size` bytes for a while by each kind in turn.
@@ -64,20 +64,20 @@
         }
     }
     bench.stop();
-    array::from_fn(|kind| rate(kind, &rounds))
+    array::from_fn(|kind| rate_of(kind, &rounds))
 }
 
 /// The packets a second and the nanoseconds a packet of one round.
 type Round = (f64, f64);
 
-fn rate(kind: usize, rounds: &[Vec<Round>; 2]) -> Rate {
+fn rate_of(kind: usize, rounds: &[Vec<Round>; 2]) -> Rate {
     let pairs = || rounds[kind].iter().zip(&rounds[0]);
     Rate {
-        name: NAMES[kind],
-        wall: median(rounds[kind].iter().map(|it| it.0)),
+        name: THREAD_NAMES[kind],
+        rate: median(rounds[kind].iter().map(|it| it.0)),
         nanos: median(rounds[kind].iter().map(|it| it.1)),
         ratio: median(pairs().map(|(mine, bare)| mine.0 / bare.0)),
-        thrift: median(pairs().map(|(mine, bare)| bare.1 / mine.1)),
+        cpu_ratio: median(pairs().map(|(mine, bare)| bare.1 / mine.1)),
     }
 }
 
@@ -106,9 +106,9 @@
         let locals = [relays[0].local(), relays[1].local()];
         let [bare, fabric] = relays;
         let mut threads = vec![spawn("targets", drain(sinks, choice.clone()))];
-        threads.push(spawn(NAMES[0], relay(bare, targets, choice.clone(), relayed.clone())));
+        threads.push(spawn(THREAD_NAMES[0], relay(bare, targets, choice.clone(), relayed.clone())));
         shared.view.store(Some(site::view(&targets)));
-        threads.push(spawn(NAMES[1], packet_thread(fabric, shared.clone())));
+        threads.push(spawn(THREAD_NAMES[1], packet_thread(fabric, shared.clone())));
         for part in 0..GENERATORS {
             let work = generate(locals, flows, size, part, choice.clone());
             threads.push(spawn("generator", work));
@@ -118,13 +118,13 @@
 
     fn round(&self, kind: usize) -> Round {
         self.choice.store(kind, Relaxed);
-        thread::sleep(SETTLE);
+        thread::sleep(SETTLE_TIME);
         let (first, start) = self.sample(kind);
-        let nanos = thread_nanos(NAMES[kind]);
-        thread::sleep(ROUND);
+        let nanos = thread_nanos(THREAD_NAMES[kind]);
+        thread::sleep(ROUND_TIME);
         let (last, end) = self.sample(kind);
         let packets = (last - first) as f64;
-        let nanos = (thread_nanos(NAMES[kind]) - nanos) as f64;
+        let nanos = (thread_nanos(THREAD_NAMES[kind]) - nanos) as f64;
         (packets / (end - start).as_secs_f64(), nanos / packets)
     }
 
@@ -144,7 +144,7 @@
     }
 
     fn stop(self) {
-        self.choice.store(NOBODY, Relaxed);
+        self.choice.store(STOP, Relaxed);
         self.shared.stop.store(true, Relaxed);
         self.threads.into_iter().for_each(|it| it.join().expect("no thread panics"));
     }
@@ -162,17 +162,17 @@
 /// The thread of the daemon itself.
 fn packet_thread(fabric: Listener, shared: Arc<Shared>) -> impl FnOnce() {
     move || {
-        let (_commands, obeyed) = RingBuffer::new(RING);
-        let (adverts, _outgoing) = RingBuffer::new(RING);
-        let (_looks, looked) = sync_channel(1);
+        let (_commands, command_receiver) = RingBuffer::new(RING_CAPACITY);
+        let (adverts, _advert_receiver) = RingBuffer::new(RING_CAPACITY);
+        let (_queries, query_receiver) = sync_channel(1);
         let meters = Meters::new().expect("metrics can be set up");
-        let parts = Packets {
-            returns: fabric.local(),
+        let parts = PacketParts {
+            return_address: fabric.local(),
             fabric,
             questions: bind(),
             secret: Secret([0xab; 32]),
-            commands: obeyed,
-            looks: looked,
+            commands: command_receiver,
+            queries: query_receiver,
             adverts,
             gate: LoadGate::new(1, meters.clone()),
             sampler: Sampler::new(meters),
@@ -193,8 +193,8 @@
     move || {
         let mut socket = Socket::from(listener);
         let mut batch = Batch::new();
-        while choice.load(Relaxed) != NOBODY {
-            socket.receive(&mut batch, WAIT).expect("the relay can be read");
+        while choice.load(Relaxed) != STOP {
+            socket.receive(&mut batch, MAX_WAIT).expect("the relay can be read");
             let pairs = batch.iter().zip(targets.iter().cycle());
             let datagrams: Vec<_> =
                 pairs.map(|(it, &to)| Datagram { to, bytes: it.bytes }).collect();
@@ -208,7 +208,7 @@
     move || {
         let mut sockets = sinks.map(Socket::from);
         let mut batch = Batch::new();
-        while choice.load(Relaxed) != NOBODY {
+        while choice.load(Relaxed) != STOP {
             for socket in &mut sockets {
                 socket.receive(&mut batch, Duration::ZERO).expect("a sink can be read");
             }
@@ -228,11 +228,11 @@
         let mut socket = Socket::from(bind());
         let order = site::shuffled(flows);
         let mine = order.chunks(flows.div_ceil(GENERATORS)).nth(part).unwrap_or_default();
-        let mut packets: [_; BATCH] = array::from_fn(|_| site::middle(0, size));
+        let mut packets: [_; BATCH] = array::from_fn(|_| site::mid_flow_packet(0, size));
         for chunk in mine.chunks_exact(BATCH).cycle() {
             let Some(&to) = relays.get(choice.load(Relaxed)) else { return };
             for (packet, &flow) in packets.iter_mut().zip(chunk) {
-                site::readdress(packet, flow);
+                site::set_flow(packet, flow);
             }
             let datagrams = packets.each_ref().map(|bytes| Datagram { to, bytes });
             socket.send(&datagrams);
--- a/daemon/examples/bench/site.rs
+++ b/daemon/examples/bench/site.rs
@@ -38,7 +38,7 @@
 
 /// A bundle of many services with two targets and 1,024 buckets each, made
 /// without text: what parsing gives back would hide what comes after it.
-pub fn many(services: usize) -> Arc<Bundle> {
+pub fn many_services(services: usize) -> Arc<Bundle> {
     let address = |net, ix| Ipv4Addr::from(u32::from(Ipv4Addr::new(10, net, 0, 0)) + ix as u32);
     let services = (0..services).map(|ix| {
         let targets = [1, 2].map(|net| SocketAddrV4::new(address(net, ix), 6080));
@@ -90,12 +90,12 @@
 
 /// A caller's packet that opens the flow with this number. It carries no data:
 /// an opening with data goes to no target.
-pub fn opening(flow: usize) -> Vec<u8> {
+pub fn opening_packet(flow: usize) -> Vec<u8> {
     packet(flow, HEADERS, SYN)
 }
 
 /// A caller's packet in the middle of the flow with this number.
-pub fn middle(flow: usize, size: usize) -> Vec<u8> {
+pub fn mid_flow_packet(flow: usize, size: usize) -> Vec<u8> {
     packet(flow, size, ACK)
 }
 
@@ -108,13 +108,13 @@
     bytes[22..24].copy_from_slice(&PORT.to_be_bytes());
     bytes[32] = 0x50;
     bytes[33] = flags;
-    readdress(&mut bytes, flow);
+    set_flow(&mut bytes, flow);
     bytes
 }
 
 /// Makes a packet belong to the flow with this number. Each caller has 16
 /// flows; they are dealt to the services by their hosts.
-pub fn readdress(packet: &mut [u8], flow: usize) {
+pub fn set_flow(packet: &mut [u8], flow: usize) {
     let caller = Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 0)) + (flow / 16) as u32);
     let port = 20_000 + (flow % 16) as u16;
     let service = ADDRESSES[usize::from(flow % TARGETS >= HOSTS[0])];
--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -52,10 +52,10 @@
 /// Measures one point; nothing if there is no slope of this name.
 pub fn measure(name: &str, size: usize) -> Option<f64> {
     Some(match name {
-        "flow-memory" => memory::held(size) as f64,
-        "hit-nanos" => memory::hit(size),
-        "kept-memory" => kept(size).0,
-        "kept-nanos" => kept(size).1,
+        "flow-memory" => memory::flow_memory(size) as f64,
+        "hit-nanos" => memory::hit_nanos(size),
+        "kept-memory" => keeper_cost(size).0,
+        "kept-nanos" => keeper_cost(size).1,
         "advert-bytes" => advert_bytes(size),
         "view-memory" => view_memory(size),
         "check-memory" => check_memory(size),
@@ -66,10 +66,10 @@
         "follow-micros" => follow_micros(size),
         "duties-micros" => duties_micros(size),
         "question-nanos" => question_nanos(size),
-        "probe-micros" => probe(size).0,
-        "probe-bytes" => probe(size).1,
-        "watch-micros" => watch(size).0,
-        "watch-bytes" => watch(size).1,
+        "probe-micros" => probe_cost(size).0,
+        "probe-bytes" => probe_cost(size).1,
+        "watch-micros" => watch_cost(size).0,
+        "watch-bytes" => watch_cost(size).1,
         _ => return None,
     })
 }
@@ -87,14 +87,14 @@
 }
 
 /// What a keeper spends on flows that others tell it: bytes and nanoseconds.
-fn kept(flows: usize) -> (f64, f64) {
+fn keeper_cost(flows: usize) -> (f64, f64) {
     let mut forwarder = Forwarder::new(OpenGate, 0);
-    let mut sent = memory::Sent::default();
+    let mut sent = memory::SentPackets::default();
     forwarder.install(memory::view(), NOW);
     let before = resident();
     let mut time = Duration::ZERO;
-    for start in (0..flows).step_by(ADVERT) {
-        let advert = advert(start, ADVERT.min(flows - start));
+    for start in (0..flows).step_by(ADVERT_FLOWS) {
+        let advert = advert(start, ADVERT_FLOWS.min(flows - start));
         time += timed(|| forwarder.advert(NOW, &advert));
     }
     sent.outbox = Outbox::new();
@@ -103,7 +103,7 @@
 }
 
 /// How many flows an advert has at the pace of an instance.
-const ADVERT: usize = 128;
+const ADVERT_FLOWS: usize = 128;
 
 fn advert(start: usize, count: usize) -> Advert {
     let target = |ix: usize| TargetName::new(&format!("alertdesk-{}", ix % 14));
@@ -162,19 +162,19 @@
 
 fn draft(services: usize) -> Draft {
     let (text, keys) = bundle(services, 1, 100);
-    begin(&check(&text, &keys).bundle)
+    start_draft(&check(&text, &keys).bundle)
 }
 
-fn begin(bundle: &Arc<Bundle>) -> Draft {
+fn start_draft(bundle: &Arc<Bundle>) -> Draft {
     let mut draft = Draft::first(InstanceName::new("entry-0"), bundle, NOW);
     draft.advance(NOW + START_TIME);
     draft
 }
 
 fn view_memory(services: usize) -> f64 {
-    let bundle = site::many(services);
+    let bundle = site::many_services(services);
     let before = resident();
-    let mut draft = begin(&bundle);
+    let mut draft = start_draft(&bundle);
     let view = draft.commit();
     let after = resident();
     black_box((view, draft));
@@ -187,10 +187,10 @@
     let (light, keys) = bundle(services, 2, 50);
     let (full, _) = bundle(services, 3, 100);
     let both = [check(&light, &keys).bundle, check(&full, &keys).bundle];
-    let mut turns = both.iter().cycle();
+    let mut alternating = both.iter().cycle();
     median(|| {
         timed(|| {
-            draft.install(turns.next().unwrap_or(&both[0]), NOW);
+            draft.install(alternating.next().unwrap_or(&both[0]), NOW);
             draft.commit()
         })
     }) / 1e3
@@ -204,9 +204,9 @@
     let (light, keys) = bundle(services, 2, 50);
     let (full, _) = bundle(services, 3, 100);
     let both = [check(&light, &keys).bundle, check(&full, &keys).bundle];
-    let mut turns = both.iter().cycle();
+    let mut alternating = both.iter().cycle();
     median(|| {
-        draft.install(turns.next().unwrap_or(&both[0]), NOW);
+        draft.install(alternating.next().unwrap_or(&both[0]), NOW);
         let view = draft.commit().expect("the bundle is another");
         timed(|| forwarder.install(view, NOW))
     }) / 1e3
@@ -276,13 +276,13 @@
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let (answer, counter) = (answer.clone(), counter.clone());
-            thread::spawn(move || converse(stream, &answer, &counter));
+            thread::spawn(move || answer_requests(stream, &answer, &counter));
         }
     });
     (address, bytes)
 }
 
-fn converse(mut stream: TcpStream, answer: &str, bytes: &AtomicU64) {
+fn answer_requests(mut stream: TcpStream, answer: &str, bytes: &AtomicU64) {
     let _ = stream.set_nodelay(true);
     let Ok(reader) = stream.try_clone() else { return };
     for line in BufReader::new(reader).lines().map_while(Result::ok) {
@@ -296,7 +296,7 @@
 
 /// Runs `work` on a thread of its own and answers its processor time in
 /// microseconds.
-fn processor(work: impl FnOnce() + Send + 'static) -> f64 {
+fn thread_micros(work: impl FnOnce() + Send + 'static) -> f64 {
     const NAME: &str = "measured";
     let builder = thread::Builder::new().name(NAME.to_owned());
     let run = move || {
@@ -308,11 +308,11 @@
 }
 
 /// The cost of probes of a healthy target: microseconds and bytes above TCP.
-fn probe(count: usize) -> (f64, f64) {
+fn probe_cost(count: usize) -> (f64, f64) {
     let body = r#"{"slots":2,"connections":1999}"#;
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let (address, bytes) = serve(answer);
-    let micros = processor(move || {
+    let micros = thread_micros(move || {
         let http = ProbeHttp::new();
         for _ in 0..count {
             assert!(http.probe(address).told.is_some(), "the target is healthy");
@@ -322,9 +322,9 @@
 }
 
 /// The cost of watches that bring nothing: microseconds and bytes above TCP.
-fn watch(count: usize) -> (f64, f64) {
+fn watch_cost(count: usize) -> (f64, f64) {
     let (address, bytes) = serve("HTTP/1.1 204 No Content\r\n\r\n".to_owned());
-    let micros = processor(move || {
+    let micros = thread_micros(move || {
         let http = Http::new(address);
         let etag = Etag::new("0123456789abcdef");
         for _ in 0..count {
--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -3,14 +3,14 @@
 use crate::{
     checker::Checker,
     clock::Clock,
-    control::{self, Control},
+    control::{self, ControlParts},
     gate::LoadGate,
-    life::Life,
+    life::Lifecycle,
     meters,
-    packets::{self, Packets},
+    packets::{self, PacketParts},
     sample::Sampler,
-    shared::{RING, Shared},
-    status::Status,
+    shared::{RING_CAPACITY, Shared},
+    status::StatusSource,
 };
 use medlarspur_fabric::{Listener, SocketError};
 use medlarspur_lib::{
@@ -40,11 +40,11 @@
 
 /// How many readings of the platform may wait for the control thread. Each is
 /// a whole bundle or list, and a newer one makes the older one worthless.
-const READINGS: usize = 8;
+const PLATFORM_QUEUE: usize = 8;
 
 /// How many results of probes may wait for the control thread: more than come
 /// in one of its rounds.
-const PROBES: usize = 1024;
+const PROBE_QUEUE: usize = 1024;
 
 /// Why an instance can't run.
 #[derive(Debug, Snafu)]
@@ -98,7 +98,7 @@
 /// What an instance says of itself on its standard output once it listens, for
 /// whoever started it with ports left to the system.
 #[derive(Debug, Serialize)]
-struct Greeting<'a> {
+struct StartupInfo<'a> {
     name: &'a str,
     domain: &'a str,
     #[serde(flatten)]
@@ -110,56 +110,59 @@
 pub fn run(settings: &Settings) -> Result<(), BootError> {
     let clock = Clock::start();
     let shared = Arc::new(Shared::default());
-    let leave = leave_on_signal()?;
+    let shutdown = shutdown_on_signal()?;
     let fabric = Listener::bind(settings.packets).context(SocketSnafu)?;
     let questions = Listener::bind(settings.questions).context(SocketSnafu)?;
     let peers = Peers::start(peer_settings(settings)?).context(PeerSnafu)?;
     let addresses =
         Addresses { packets: fabric.local(), questions: questions.local(), control: peers.addr() };
-    let (send, readings) = sync_channel(READINGS);
+    let (send, platform_events) = sync_channel(PLATFORM_QUEUE);
     let reader = Reader::start(Http::new(settings.platform), send).context(PlatformSnafu)?;
-    let (send, probed) = sync_channel(PROBES);
+    let (send, probe_events) = sync_channel(PROBE_QUEUE);
     let prober = Prober::start(target::Http::new(), INTERVAL, send).context(ProbeSnafu)?;
-    let (commands, obeyed) = RingBuffer::new(RING);
-    let (adverts, outgoing) = RingBuffer::new(RING);
-    let (looks, looked) = sync_channel(READINGS);
+    let (commands, command_receiver) = RingBuffer::new(RING_CAPACITY);
+    let (adverts, advert_receiver) = RingBuffer::new(RING_CAPACITY);
+    let (queries, query_receiver) = sync_channel(PLATFORM_QUEUE);
     let meters = Meters::new().context(MetricsSnafu)?;
     meters::register(&meters, &shared);
-    let status = Status::new(settings, shared.clone(), looks, clock);
+    let status = StatusSource::new(settings, shared.clone(), queries, clock);
     let operator = Operator::start(settings.operator, Arc::new(status), meters.clone())
         .context(OperatorsSnafu)?;
-    greet(settings, &addresses, operator.address())?;
-    let life = Life::begin(shared.clone(), leave.clone(), clock);
-    let packets = Packets {
+    print_startup_info(settings, &addresses, operator.address())?;
+    let lifecycle = Lifecycle::start(shared.clone(), shutdown.clone(), clock);
+    let packets = PacketParts {
         fabric,
         questions,
-        returns: settings.fabric,
+        return_address: settings.fabric,
         secret: settings.secret.clone(),
-        commands: obeyed,
-        looks: looked,
+        commands: command_receiver,
+        queries: query_receiver,
         adverts,
         gate: LoadGate::new(seed(settings), meters.clone()),
         sampler: Sampler::new(meters.clone()),
         clock,
         shared: shared.clone(),
     };
-    let control = Control {
-        settings: ControlSettings { me: me(settings, addresses), seeds: settings.peers.clone() },
+    let control = ControlParts {
+        settings: ControlSettings {
+            me: local_member(settings, addresses),
+            seeds: settings.peers.clone(),
+        },
         checker: Checker::new(settings.keys.clone(), settings.site.clone(), meters),
         peers,
-        platform: (reader, readings),
-        probes: (prober, probed),
+        platform: (reader, platform_events),
+        probes: (prober, probe_events),
         commands,
-        adverts: outgoing,
-        leave,
+        adverts: advert_receiver,
+        shutdown,
         clock,
         shared,
     };
     let packets = spawn("packets", move || packets::run(packets))?;
     let control = spawn("control", move || control::run(control))?;
-    life.serve().leave().stop();
-    end("packets", packets);
-    end("control", control);
+    lifecycle.wait_for_bundle().wait_for_shutdown().drain();
+    join("packets", packets);
+    join("control", control);
     operator.stop();
     Ok(())
 }
@@ -188,28 +191,28 @@
     hasher.finish()
 }
 
-fn leave_on_signal() -> Result<Arc<AtomicBool>, BootError> {
-    let leave = Arc::new(AtomicBool::new(false));
+fn shutdown_on_signal() -> Result<Arc<AtomicBool>, BootError> {
+    let shutdown = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        signal_hook::flag::register(signal, leave.clone())
+        signal_hook::flag::register(signal, shutdown.clone())
             .context(SystemSnafu { what: "handle signals" })?;
     }
-    Ok(leave)
+    Ok(shutdown)
 }
 
-fn greet(
+fn print_startup_info(
     settings: &Settings,
     addresses: &Addresses,
     operator: SocketAddr,
 ) -> Result<(), BootError> {
-    let greeting = Greeting {
+    let info = StartupInfo {
         name: settings.name.as_str(),
         domain: settings.domain.as_str(),
         addresses: addresses.clone(),
         operator,
     };
     let mut out = io::stdout().lock();
-    serde_json::to_writer(&mut out, &greeting)
+    serde_json::to_writer(&mut out, &info)
         .map_err(io::Error::from)
         .and_then(|()| writeln!(out))
         .and_then(|()| out.flush())
@@ -220,7 +223,7 @@
 /// restarted instance is told from its earlier life; a clock that is wrong is
 /// corrected when a peer holds a later incarnation against it.
 #[allow(clippy::disallowed_methods, reason = "nothing else of an earlier life lasts")]
-fn me(settings: &Settings, addresses: Addresses) -> Member {
+fn local_member(settings: &Settings, addresses: Addresses) -> Member {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Member {
         name: settings.name.clone(),
@@ -241,7 +244,7 @@
     builder.spawn(run).context(SystemSnafu { what: "start a thread" })
 }
 
-fn end<T>(name: &str, thread: JoinHandle<T>) {
+fn join<T>(name: &str, thread: JoinHandle<T>) {
     if thread.join().is_err() {
         log::error!("thread {name} panicked");
     }
--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -7,11 +7,11 @@
 };
 
 /// Logs the members whose state differs from that in `before`.
-pub fn members(before: &[Member], now: &[Member]) {
+pub fn log_members(before: &[Member], now: &[Member]) {
     for member in now {
         let known = before.iter().find(|other| other.name == member.name);
         if known.map(|known| known.state) != Some(member.state) {
-            member_is(member, member.state);
+            log_member(member, member.state);
         }
     }
     let gone = |member: &&Member| now.iter().all(|other| other.name != member.name);
@@ -20,13 +20,13 @@
     }
 }
 
-fn member_is(member: &Member, state: MemberState) {
+fn log_member(member: &Member, state: MemberState) {
     let (name, domain) = (&member.name, &member.domain);
     log::info!("member={name} domain={domain} state={state} incarnation={}", member.incarnation);
 }
 
 /// Logs a plan that is followed from now on.
-pub fn plan(plan: &ServicePlan) {
+pub fn log_plan(plan: &ServicePlan) {
     log::info!(
         "plan service={} sequence={} author={} moves={}",
         plan.service,
@@ -38,6 +38,6 @@
 
 /// Logs that a version was signed off with two contents. All instances come
 /// to the same one, but perhaps not to the one that was meant.
-pub fn conflict(version: Version) {
+pub fn log_conflict(version: Version) {
     log::error!("bundle={version} conflict=true: two contents under one version");
 }
--- a/daemon/src/checker.rs
+++ b/daemon/src/checker.rs
@@ -15,34 +15,34 @@
 pub struct Checker {
     keys: Keys,
     site: SiteName,
-    passed: RefCell<Option<Signed>>,
-    force: RefCell<Option<Arc<Bundle>>>,
+    checked: RefCell<Option<Signed>>,
+    in_force: RefCell<Option<Arc<Bundle>>>,
     meters: Meters,
 }
 
 impl Checker {
     /// Trusts `keys` for bundles of `site`, and counts what comes of each.
     pub fn new(keys: Keys, site: SiteName, meters: Meters) -> Checker {
-        Checker { keys, site, passed: RefCell::default(), force: RefCell::default(), meters }
+        Checker { keys, site, checked: RefCell::default(), in_force: RefCell::default(), meters }
     }
 
     /// Counts what came of a bundle.
-    pub fn count(&self, outcome: &'static str) {
+    pub fn count_outcome(&self, outcome: &'static str) {
         self.meters.count(Family::Bundles, outcome).add(1);
     }
 
-    fn signed(&self, text: &str) -> Result<Signed, Refusal> {
+    fn verify(&self, text: &str) -> Result<Signed, Refusal> {
         let signed = Signed::check(text.as_bytes(), &self.keys, &self.site)?;
-        if let Some(force) = self.force.borrow().as_ref() {
-            signed.follows(force)?;
+        if let Some(in_force) = self.in_force.borrow().as_ref() {
+            signed.follows(in_force)?;
         }
         Ok(signed)
     }
 
     /// The values of a text that has just passed.
-    pub fn take(&self, text: &SignedText) -> Option<Signed> {
-        let signed = self.passed.take().filter(|signed| signed.digest == text.digest)?;
-        self.force.replace(Some(signed.bundle.clone()));
+    pub fn take_checked(&self, text: &SignedText) -> Option<Signed> {
+        let signed = self.checked.take().filter(|signed| signed.digest == text.digest)?;
+        self.in_force.replace(Some(signed.bundle.clone()));
         Some(signed)
     }
 }
@@ -51,9 +51,10 @@
     type Error = Refusal;
 
     fn check(&self, text: &str) -> Result<Version, Refusal> {
-        let signed = self.signed(text).inspect_err(|refusal| self.count(refusal.reason()))?;
+        let signed =
+            self.verify(text).inspect_err(|refusal| self.count_outcome(refusal.reason()))?;
         let version = signed.bundle.version;
-        self.passed.replace(Some(signed));
+        self.checked.replace(Some(signed));
         Ok(version)
     }
 }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -6,7 +6,7 @@
     checker::Checker,
     clock::Clock,
     meters::{ACCEPTED, INCOMPLETE},
-    shared::{Command, Outgoing, Shared, Stage},
+    shared::{Command, KeeperAdvert, Shared, Stage},
 };
 use medlarspur_lib::{
     bundle::Service,
@@ -21,8 +21,8 @@
     view::Draft,
 };
 use medlarspur_peer::PeerHandle;
-use medlarspur_platform::{Event as Platform, Listed, ListedState, Reader};
-use medlarspur_target::{Event as Probed, Prober, Verdict, is_prober};
+use medlarspur_platform::{Event as PlatformEvent, Listed, ListedState, Reader};
+use medlarspur_target::{Event as ProbeEvent, Prober, Verdict, is_prober};
 use rtrb::{Consumer, Producer};
 use snafu::Report;
 use std::{
@@ -38,17 +38,17 @@
 /// How long the thread sleeps at most between two looks at its inputs. News
 /// crosses an instance in this time, and a few such hops must fit well into
 /// the second in which a bundle comes into force.
-const WAIT: Duration = Duration::from_millis(20);
+const MAX_WAIT: Duration = Duration::from_millis(20);
 
 /// How often plans are thought over. The verdicts change every two seconds at
 /// most.
-const PLAN_PERIOD: Millis = Millis(1_000);
+const PLAN_INTERVAL: Millis = Millis(1_000);
 
 /// How often history is asked of a peer at most.
-const HISTORY_PAUSE: Millis = Millis(1_000);
+const HISTORY_INTERVAL: Millis = Millis(1_000);
 
 /// What the control thread works with.
-pub struct Control {
+pub struct ControlParts {
     /// The protocol between instances.
     pub settings: medlarspur_lib::control::ControlSettings,
     /// Checks bundles.
@@ -56,15 +56,15 @@
     /// The connections to peers.
     pub peers: PeerHandle,
     /// The platform's reader, and what it brings.
-    pub platform: (Reader, Receiver<Platform>),
+    pub platform: (Reader, Receiver<PlatformEvent>),
     /// The probes of targets, and what they bring.
-    pub probes: (Prober, Receiver<Probed>),
+    pub probes: (Prober, Receiver<ProbeEvent>),
     /// To the packet thread.
     pub commands: Producer<Command>,
     /// From the packet thread.
-    pub adverts: Consumer<Outgoing>,
-    /// Set by a signal when the instance shall leave.
-    pub leave: Arc<AtomicBool>,
+    pub adverts: Consumer<KeeperAdvert>,
+    /// Set by a signal when the instance shall shutdown.
+    pub shutdown: Arc<AtomicBool>,
     /// The clock of the process.
     pub clock: Clock,
     /// What the threads share.
@@ -72,13 +72,13 @@
 }
 
 /// Runs until told to stop.
-pub fn run(parts: Control) {
-    let Control { settings, checker, peers, platform, probes, commands, .. } = parts;
-    let Control { adverts, leave, clock, shared, .. } = parts;
-    let (reader, readings) = platform;
-    let (prober, probed) = probes;
-    let mut thread = Thread {
-        me: settings.me.addresses.control,
+pub fn run(parts: ControlParts) {
+    let ControlParts { settings, checker, peers, platform, probes, commands, .. } = parts;
+    let ControlParts { adverts, shutdown, clock, shared, .. } = parts;
+    let (reader, platform_events) = platform;
+    let (prober, probe_events) = probes;
+    let mut thread = ControlThread {
+        address: settings.me.addresses.control,
         name: settings.me.name.clone(),
         domain: settings.me.domain.clone(),
         controller: Controller::new(settings, &checker),
@@ -88,25 +88,25 @@
         peers,
         reader,
         prober,
-        probed,
+        probe_events,
         adverts,
         commands,
-        leave,
-        left: false,
-        ticked: None,
-        asked: None,
+        shutdown,
+        has_left: false,
+        last_tick: None,
+        last_history_request: None,
         verdicts: Map::default(),
-        planned: Millis(0),
+        last_plan: Millis(0),
         shared: &shared,
     };
-    while !shared.stops() {
-        let reading = thread.await_reading(&readings);
-        thread.round(clock.now(), reading);
+    while !shared.should_stop() {
+        let event = thread.await_platform_event(&platform_events);
+        thread.round(clock.now(), event);
     }
 }
 
-struct Thread<'a> {
-    me: SocketAddrV4,
+struct ControlThread<'a> {
+    address: SocketAddrV4,
     name: InstanceName,
     domain: DomainName,
     controller: Controller<&'a Checker>,
@@ -116,86 +116,89 @@
     peers: PeerHandle,
     reader: Reader,
     prober: Prober,
-    probed: Receiver<Probed>,
-    adverts: Consumer<Outgoing>,
+    probe_events: Receiver<ProbeEvent>,
+    adverts: Consumer<KeeperAdvert>,
     commands: Producer<Command>,
-    leave: Arc<AtomicBool>,
-    left: bool,
-    ticked: Option<Millis>,
-    asked: Option<Millis>,
+    shutdown: Arc<AtomicBool>,
+    has_left: bool,
+    last_tick: Option<Millis>,
+    last_history_request: Option<Millis>,
     verdicts: Map<TargetName, Verdict>,
-    planned: Millis,
+    last_plan: Millis,
     shared: &'a Shared,
 }
 
-impl Thread<'_> {
+impl ControlThread<'_> {
     /// Waits for the platform; the other inputs are looked at after the wait.
-    fn await_reading(&self, readings: &Receiver<Platform>) -> Option<Platform> {
-        match readings.recv_timeout(WAIT) {
-            Ok(reading) => Some(reading),
+    fn await_platform_event(
+        &self,
+        platform_events: &Receiver<PlatformEvent>,
+    ) -> Option<PlatformEvent> {
+        match platform_events.recv_timeout(MAX_WAIT) {
+            Ok(event) => Some(event),
             Err(RecvTimeoutError::Timeout) => None,
             // The reader's threads end only with the process.
             Err(RecvTimeoutError::Disconnected) => {
-                std::thread::sleep(WAIT);
+                std::thread::sleep(MAX_WAIT);
                 None
             }
         }
     }
 
     /// Takes in all that has come and does what follows from it.
-    fn round(&mut self, now: Millis, reading: Option<Platform>) {
-        if let Some(reading) = reading {
-            self.read(now, reading);
+    fn round(&mut self, now: Millis, event: Option<PlatformEvent>) {
+        if let Some(event) = event {
+            self.handle_platform_event(now, event);
         }
         while let Some(message) = self.peers.try_recv() {
-            self.event(now, Event::Peer(message));
+            self.handle_event(now, Event::Peer(message));
         }
-        while let Ok(event) = self.probed.try_recv() {
-            self.note_probe(event);
+        while let Ok(event) = self.probe_events.try_recv() {
+            self.record_probe(event);
         }
         while let Ok(outgoing) = self.adverts.pop() {
-            self.tell_keeper(outgoing);
+            self.send_advert(outgoing);
         }
-        self.keep_time(now);
-        self.plan(now);
-        self.publish(now);
-        self.show();
+        self.tick(now);
+        self.plan_services(now);
+        self.publish_view(now);
+        self.publish_status();
     }
 
-    fn keep_time(&mut self, now: Millis) {
-        if self.ticked.is_none_or(|at| now.since(at) >= TICK) {
-            self.ticked = Some(now);
-            self.event(now, Event::Tick);
+    fn tick(&mut self, now: Millis) {
+        if self.last_tick.is_none_or(|at| now.since(at) >= TICK) {
+            self.last_tick = Some(now);
+            self.handle_event(now, Event::Tick);
         }
-        if !self.left && self.leave.load(Relaxed) {
-            self.left = true;
-            self.event(now, Event::SetLeaving);
+        if !self.has_left && self.shutdown.load(Relaxed) {
+            self.has_left = true;
+            self.handle_event(now, Event::SetLeaving);
         }
     }
 
-    fn read(&mut self, now: Millis, news: Platform) {
-        match news {
-            Platform::Bundle(text) => self.event(now, Event::PlatformBundle(text)),
-            Platform::Instances(list) => {
+    fn handle_platform_event(&mut self, now: Millis, event: PlatformEvent) {
+        match event {
+            PlatformEvent::Bundle(text) => self.handle_event(now, Event::PlatformBundle(text)),
+            PlatformEvent::Instances(list) => {
                 let list = list.iter().map(candidate).collect();
-                self.event(now, Event::PlatformList(list));
+                self.handle_event(now, Event::PlatformList(list));
             }
         }
     }
 
-    fn event(&mut self, now: Millis, event: Event) {
+    fn handle_event(&mut self, now: Millis, event: Event) {
         for action in self.controller.handle(now, event) {
-            self.act(now, action);
+            self.apply(now, action);
         }
     }
 
-    fn act(&mut self, now: Millis, action: Action) {
+    fn apply(&mut self, now: Millis, action: Action) {
         match action {
             Action::Send { to, message } => self.peers.send(to, message),
-            Action::Accepted(text) => self.accept(now, &text),
+            Action::Accepted(text) => self.accept_bundle(now, &text),
             Action::Refused { reason } => {
                 if !matches!(reason, spread::Refusal::Check { .. }) {
-                    self.checker.count(INCOMPLETE);
+                    self.checker.count_outcome(INCOMPLETE);
                 }
                 log::warn!("bundle refused: {}", Report::from_error(reason));
             }
@@ -203,11 +206,11 @@
                 if let Some(draft) = &mut self.draft {
                     draft.members(members.clone(), now);
                 }
-                changes::members(&self.members, &members);
+                changes::log_members(&self.members, &members);
                 self.members = members;
             }
             Action::Plan(plan) => {
-                self.show_plan(&plan);
+                self.publish_plan(&plan);
                 if let Some(draft) = &mut self.draft {
                     draft.plan(plan, now);
                 }
@@ -217,20 +220,20 @@
             Action::Ready => log::info!("ready=true"),
             Action::Slept { gap } => {
                 log::warn!("slept_ms={gap}");
-                self.command(Command::Distrust);
+                self.send_command(Command::Paused);
             }
             Action::Refreshed => log::info!("refreshed=true"),
-            Action::Pass(message) => self.pass(now, message),
-            Action::HistoryDiffers(peer) => self.ask_history(now, peer),
+            Action::Pass(message) => self.handle_message(now, message),
+            Action::HistoryDiffers(peer) => self.request_history(now, peer),
         }
     }
 
-    fn accept(&mut self, now: Millis, text: &SignedText) {
-        let Some(signed) = self.checker.take(text) else { return };
-        self.checker.count(ACCEPTED);
+    fn accept_bundle(&mut self, now: Millis, text: &SignedText) {
+        let Some(signed) = self.checker.take_checked(text) else { return };
+        self.checker.count_outcome(ACCEPTED);
         let bundle = signed.bundle.clone();
-        self.shared.signed.store(Some(Arc::new(signed)));
-        self.shared.accepted.store(now.0, Relaxed);
+        self.shared.signed_bundle.store(Some(Arc::new(signed)));
+        self.shared.accepted_at.store(now.0, Relaxed);
         log::info!("bundle={} digest={}", text.version, hex::encode(&text.digest[..4]));
         match &mut self.draft {
             Some(draft) => draft.install(&bundle, now),
@@ -245,9 +248,9 @@
         }
     }
 
-    fn pass(&mut self, now: Millis, message: Message) {
+    fn handle_message(&mut self, now: Millis, message: Message) {
         match message {
-            Message::Advert(advert) => self.command(Command::Advert(advert)),
+            Message::Advert(advert) => self.send_command(Command::Advert(advert)),
             Message::HistoryRequest(request) => {
                 let Some(draft) = &self.draft else { return };
                 for history in draft.view().histories(now) {
@@ -266,90 +269,92 @@
     /// Asks a peer that knows of other earlier owners. Without that, an
     /// instance that missed a move would send unknown flows of the bucket to
     /// its present owner, unasked.
-    fn ask_history(&mut self, now: Millis, peer: SocketAddrV4) {
-        if self.draft.is_none() || self.asked.is_some_and(|at| now.since(at) < HISTORY_PAUSE) {
+    fn request_history(&mut self, now: Millis, peer: SocketAddrV4) {
+        if self.draft.is_none()
+            || self.last_history_request.is_some_and(|at| now.since(at) < HISTORY_INTERVAL)
+        {
             return;
         }
-        self.asked = Some(now);
-        let request = HistoryRequest { sender: self.me };
+        self.last_history_request = Some(now);
+        let request = HistoryRequest { sender: self.address };
         self.peers.send(peer, Message::HistoryRequest(request));
     }
 
-    fn tell_keeper(&mut self, outgoing: Outgoing) {
+    fn send_advert(&mut self, outgoing: KeeperAdvert) {
         let keeper = self.members.iter().find(|member| member.name == outgoing.keeper);
         if let Some(keeper) = keeper {
             self.peers.send(keeper.addresses.control, Message::Advert(outgoing.advert));
         }
     }
 
-    fn command(&mut self, command: Command) {
+    fn send_command(&mut self, command: Command) {
         if self.commands.push(command).is_err() {
-            self.shared.overrun();
+            self.shared.count_overrun();
         }
     }
 
-    fn note_probe(&mut self, event: Probed) {
+    fn record_probe(&mut self, event: ProbeEvent) {
         self.verdicts.insert(event.target.clone(), event.verdict);
-        self.command(Command::Probed(event));
+        self.send_command(Command::Probed(event));
     }
 
     /// Plans for the services for which this instance ranks first.
-    fn plan(&mut self, now: Millis) {
-        if now.since(self.planned) < PLAN_PERIOD {
+    fn plan_services(&mut self, now: Millis) {
+        if now.since(self.last_plan) < PLAN_INTERVAL {
             return;
         }
-        self.planned = now;
+        self.last_plan = now;
         let Some(draft) = &self.draft else { return };
         let specs: Vec<_> = draft.view().services.iter().map(|s| s.spec.clone()).collect();
-        let mut probed = Vec::new();
+        let mut targets = Vec::new();
         for spec in specs {
-            let authors = plan::authors(&self.name, &spec.name, self.members.iter());
+            let is_author = plan::authors(&self.name, &spec.name, self.members.iter());
             for target in &spec.targets {
                 if let Some(address) = target.probe
-                    && (authors || self.probes(&target.name))
+                    && (is_author || self.is_probing(&target.name))
                 {
-                    probed.push((target.name.clone(), address));
+                    targets.push((target.name.clone(), address));
                 }
             }
-            if authors {
+            if is_author {
                 self.plan_service(now, &spec);
             }
         }
-        self.prober.set_targets(probed);
+        self.prober.set_targets(targets);
     }
 
-    fn probes(&self, target: &TargetName) -> bool {
-        let domain = self.members.iter().filter(|m| m.domain == self.domain && m.eligible());
-        is_prober(&self.name, domain.map(|member| &member.name), target)
+    fn is_probing(&self, target: &TargetName) -> bool {
+        let peers = self.members.iter().filter(|m| m.domain == self.domain && m.eligible());
+        is_prober(&self.name, peers.map(|member| &member.name), target)
     }
 
     fn plan_service(&mut self, now: Millis, spec: &Service) {
         // An author that has just started knows no verdicts, and would undo
         // what the one before it planned.
-        let judged = spec.targets.iter().filter(|target| target.probe.is_some());
-        if judged.clone().any(|target| !self.verdicts.contains_key(&target.name)) {
+        let probed = spec.targets.iter().filter(|target| target.probe.is_some());
+        if probed.clone().any(|target| !self.verdicts.contains_key(&target.name)) {
             return;
         }
-        let is_bad = |name: &TargetName| {
+        let is_unhealthy = |name: &TargetName| {
             self.verdicts.get(name).is_some_and(|verdict| *verdict != Verdict::Healthy)
         };
-        let bad = judged.map(|target| target.name.clone()).filter(is_bad).collect();
-        let Some(moves) = planner::evade(spec, &bad) else { return };
-        let present = self.controller.plans().get(&spec.name);
-        if present.map_or(moves.is_empty(), |plan| plan.moves == moves) {
+        let unhealthy = probed.map(|target| target.name.clone()).filter(is_unhealthy).collect();
+        let Some(moves) = planner::evade(spec, &unhealthy) else { return };
+        let current = self.controller.plans().get(&spec.name);
+        if current.map_or(moves.is_empty(), |plan| plan.moves == moves) {
             return;
         }
-        self.event(now, Event::Propose { service: spec.name.clone(), moves });
+        self.handle_event(now, Event::Propose { service: spec.name.clone(), moves });
     }
 
     /// Lets operators see what the protocol knows.
-    fn show(&self) {
+    fn publish_status(&self) {
         let conflict = self.controller.spread().conflict;
         let version = self.controller.current().map(|text| text.version);
         let conflict = conflict.filter(|conflict| Some(*conflict) == version);
         let known = self.shared.conflict.swap(conflict.is_some(), Relaxed);
         if let Some(version) = conflict.filter(|_| !known) {
-            changes::conflict(version);
+            changes::log_conflict(version);
         }
         let incarnation = self.controller.roster().me().incarnation;
         self.shared.incarnation.store(incarnation.0, Relaxed);
@@ -358,14 +363,14 @@
         self.shared.probes.store(Arc::new(self.prober.counts()));
     }
 
-    fn show_plan(&self, plan: &ServicePlan) {
-        changes::plan(plan);
+    fn publish_plan(&self, plan: &ServicePlan) {
+        changes::log_plan(plan);
         let mut plans = Map::clone(&self.shared.plans.load());
         plans.insert(plan.service.clone(), Arc::new(plan.clone()));
         self.shared.plans.store(Arc::new(plans));
     }
 
-    fn publish(&mut self, now: Millis) {
+    fn publish_view(&mut self, now: Millis) {
         let Some(draft) = &mut self.draft else { return };
         if !self.controller.ready() {
             return;
@@ -375,9 +380,9 @@
         let history = view.history_digest();
         self.shared.view.store(Some(view));
         if self.shared.stage() == Stage::Starting {
-            self.shared.enter(Stage::Serving);
+            self.shared.set_stage(Stage::Serving);
         }
-        self.event(now, Event::SetProgress { told: 0, history });
+        self.handle_event(now, Event::SetProgress { told: 0, history });
     }
 }
 
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -29,18 +29,18 @@
 use std::{sync::Arc, time::Duration};
 
 /// What a caller is told before anything was measured.
-const FIRST_WAIT: Millis = Millis::secs(1);
+const DEFAULT_RETRY_AFTER: Millis = Millis::secs(1);
 
 /// How long an opening may wait undecided; far longer than any patience. One
 /// whose service is gone is never decided and would be remembered forever.
-const FORGOTTEN: Millis = Millis::secs(10);
+const MAX_WAITING_AGE: Millis = Millis::secs(10);
 
 /// Where what happens to one class of a service is recorded.
 type Recorder = Arc<ClassMeters>;
 
 /// A target that leaves and still owns a bucket.
 #[derive(Debug, Clone, Copy)]
-struct Holder {
+struct LeavingOwner {
     service: ServiceIx,
     target: TargetIx,
     id: TargetId,
@@ -55,15 +55,15 @@
     /// Openings that wait, since when.
     waiting: FlowMap<(Millis, Recorder)>,
     gate: load::Gate,
-    places: Map<TargetId, (ServiceIx, TargetIx)>,
+    positions: Map<TargetId, (ServiceIx, TargetIx)>,
     names: Map<TargetName, TargetId>,
     /// Few or none: a view is published often, and only these are looked at.
-    holders: Vec<Holder>,
-    waits: Vec<Millis>,
+    leaving_owners: Vec<LeavingOwner>,
+    retry_after: Vec<Millis>,
     decided: Vec<(FlowId, load::Verdict)>,
     version: Option<medlarspur_lib::ids::Version>,
     /// Until when the bundle may be news to this instance alone.
-    waking: Millis,
+    distrust_until: Millis,
 }
 
 impl LoadGate {
@@ -75,37 +75,38 @@
             recorders: Map::default(),
             waiting: FlowMap::default(),
             gate: load::Gate::new(load::Settings::default(), seed),
-            places: Map::default(),
+            positions: Map::default(),
             names: Map::default(),
-            holders: Vec::new(),
-            waits: Vec::new(),
+            leaving_owners: Vec::new(),
+            retry_after: Vec::new(),
             decided: Vec::new(),
             version: None,
-            waking: Millis(0),
+            distrust_until: Millis(0),
         }
     }
 
     /// Says that this process slept.
-    pub fn wake(&mut self, now: Millis) {
-        self.waking = now + DISTRUST;
-        for holder in self.holders.drain(..) {
-            self.gate.leave(holder.service, holder.target);
+    pub fn resume(&mut self, now: Millis) {
+        self.distrust_until = now + DISTRUST;
+        for owner in self.leaving_owners.drain(..) {
+            self.gate.leave(owner.service, owner.target);
         }
     }
 
-    fn install(&mut self, view: &View, now: Millis) {
-        self.gate.set_settings(settings(&view.bundle.limits));
+    fn install_bundle(&mut self, view: &View, now: Millis) {
+        self.gate.set_settings(load_settings(&view.bundle.limits));
         let mut services: Vec<_> =
             view.bundle.services.iter().map(|spec| service_load(spec)).collect();
-        self.holders = if now < self.waking { Vec::new() } else { holders(view) };
-        for Holder { service, target, .. } in &self.holders {
+        self.leaving_owners =
+            if now < self.distrust_until { Vec::new() } else { find_leaving_owners(view) };
+        for LeavingOwner { service, target, .. } in &self.leaving_owners {
             let service = &mut services[usize::from(service.0)];
             service.targets[usize::from(target.0)].state = TargetState::Active;
         }
         self.gate.set_services(now, services);
-        self.waits = vec![FIRST_WAIT; view.bundle.services.len()];
-        self.waiting.retain(|_, (since, _)| now.since(*since) < FORGOTTEN);
-        self.places.clear();
+        self.retry_after = vec![DEFAULT_RETRY_AFTER; view.bundle.services.len()];
+        self.waiting.retain(|_, (since, _)| now.since(*since) < MAX_WAITING_AGE);
+        self.positions.clear();
         self.recorders.clear();
         self.names.clear();
         for (at, spec) in view.bundle.services.iter().enumerate() {
@@ -115,7 +116,7 @@
             }
             for (position, target) in spec.targets.iter().enumerate() {
                 if let Some(id) = view.registry.named(&spec.name, &target.name) {
-                    self.places.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
+                    self.positions.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
                     self.names.insert(target.name.clone(), id);
                 }
             }
@@ -123,7 +124,7 @@
     }
 
     /// Takes what a target's endpoint said, or that it said nothing.
-    pub fn probed(&mut self, now: Millis, event: &Event) {
+    pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.told {
             Some(told) => load::Signal::Told(load::Told {
@@ -134,40 +135,40 @@
             }),
             None => load::Signal::Mute,
         };
-        self.signal(now, target, signal);
+        self.report_signal(now, target, signal);
     }
 
     /// Closes the leaving targets whose last bucket has moved. Within a bundle
     /// no leaving target gets a bucket back.
-    fn release(&mut self, view: &View) {
+    fn close_moved(&mut self, view: &View) {
         let gate = &mut self.gate;
-        self.holders.retain_mut(|holder| {
-            let service = &view.services[usize::from(holder.service.0)];
-            if service.revision == holder.revision {
+        self.leaving_owners.retain_mut(|owner| {
+            let service = &view.services[usize::from(owner.service.0)];
+            if service.revision == owner.revision {
                 return true;
             }
-            holder.revision = service.revision;
-            let owns = owns(service, holder.id);
-            if !owns {
-                gate.leave(holder.service, holder.target);
+            owner.revision = service.revision;
+            let owns_bucket = owns_bucket(service, owner.id);
+            if !owns_bucket {
+                gate.leave(owner.service, owner.target);
             }
-            owns
+            owns_bucket
         });
     }
 
-    fn note_wait(&mut self, service: ServiceIx, after: Millis) {
-        if let Some(wait) = self.waits.get_mut(usize::from(service.0)) {
+    fn set_retry_after(&mut self, service: ServiceIx, after: Millis) {
+        if let Some(wait) = self.retry_after.get_mut(usize::from(service.0)) {
             *wait = after;
         }
     }
 
     fn recorder(&self, target: TargetId, class: Class) -> Option<&Recorder> {
-        let &(service, _) = self.places.get(&target)?;
+        let &(service, _) = self.positions.get(&target)?;
         self.recorders.get(&(service, class))
     }
 
     /// Remembers since when an opening waits, or records that it did not.
-    fn note_verdict(&mut self, now: Millis, opening: &Opening, verdict: load::Verdict) {
+    fn record_verdict(&mut self, now: Millis, opening: &Opening, verdict: load::Verdict) {
         let Some(recorder) = self.recorder(opening.target, opening.class) else { return };
         let recorder = recorder.clone();
         match verdict {
@@ -177,20 +178,20 @@
             load::Verdict::Admit if !self.waiting.contains_key(&opening.flow) => {
                 recorder.wait(Duration::ZERO);
             }
-            _ => self.note_decided(now, opening.flow, verdict),
+            _ => self.record_wait(now, opening.flow, verdict),
         }
     }
 
     /// Records how long an opening waited, if it was admitted in the end.
-    fn note_decided(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
+    fn record_wait(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
         let Some((since, recorder)) = self.waiting.remove(&flow) else { return };
         if matches!(verdict, load::Verdict::Admit) {
-            recorder.wait(span(now.since(since)));
+            recorder.wait(to_duration(now.since(since)));
         }
     }
 
-    fn signal(&mut self, now: Millis, target: TargetId, signal: load::Signal) {
-        if let Some(&(service, target)) = self.places.get(&target) {
+    fn report_signal(&mut self, now: Millis, target: TargetId, signal: load::Signal) {
+        if let Some(&(service, target)) = self.positions.get(&target) {
             self.gate.seen(now, service, target, signal);
         }
     }
@@ -198,41 +199,41 @@
 
 impl Gate for LoadGate {
     fn open(&mut self, now: Millis, opening: &Opening) -> Opened {
-        let Some(&(service, target)) = self.places.get(&opening.target) else {
-            return Opened::Refuse { after: FIRST_WAIT };
+        let Some(&(service, target)) = self.positions.get(&opening.target) else {
+            return Opened::Refuse { after: DEFAULT_RETRY_AFTER };
         };
         let Opening { flow, caller, class, .. } = *opening;
         let verdict = self.gate.open(now, &load::Opening { flow, caller, service, class, target });
-        self.note_verdict(now, opening, verdict);
+        self.record_verdict(now, opening, verdict);
         if let load::Verdict::Refuse { after } = verdict {
-            self.note_wait(service, after);
+            self.set_retry_after(service, after);
         }
-        translate(verdict)
+        convert_verdict(verdict)
     }
 
     fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Opened)>) {
         self.gate.due(now, &mut self.decided);
         for (flow, verdict) in std::mem::take(&mut self.decided) {
-            self.note_decided(now, flow, verdict);
-            decided.push((flow, translate(verdict)));
+            self.record_wait(now, flow, verdict);
+            decided.push((flow, convert_verdict(verdict)));
         }
     }
 
     fn after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
-        let place = target.and_then(|target| self.places.get(&target));
-        let wait = place.and_then(|(service, _)| self.waits.get(usize::from(service.0)));
-        wait.copied().unwrap_or(FIRST_WAIT)
+        let position = target.and_then(|target| self.positions.get(&target));
+        let wait = position.and_then(|(service, _)| self.retry_after.get(usize::from(service.0)));
+        wait.copied().unwrap_or(DEFAULT_RETRY_AFTER)
     }
 
     fn followed(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
-            recorder.handshake(span(after));
+            recorder.handshake(to_duration(after));
         }
-        self.signal(now, target, load::Signal::Followed { after: Some(after) });
+        self.report_signal(now, target, load::Signal::Followed { after: Some(after) });
     }
 
     fn aborted(&mut self, now: Millis, target: TargetId) {
-        self.signal(now, target, load::Signal::Reset);
+        self.report_signal(now, target, load::Signal::Reset);
     }
 
     fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow) {
@@ -241,9 +242,9 @@
         if flow.belief == Belief::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
-            recorder.length(span(flow.age(now)));
+            recorder.length(to_duration(flow.age(now)));
         }
-        if let Some(&(service, target)) = self.places.get(&flow.target) {
+        if let Some(&(service, target)) = self.positions.get(&flow.target) {
             let closing = load::Closing { flow: id, service, class: flow.class, target };
             self.gate.closed(now, &closing);
         }
@@ -254,16 +255,16 @@
         self.gate.set_instances(live.max(1) as u16);
         if self.version != Some(view.bundle.version) {
             self.version = Some(view.bundle.version);
-            self.install(view, now);
+            self.install_bundle(view, now);
         }
-        self.release(view);
+        self.close_moved(view);
     }
 }
 
 /// The leaving targets that still own a bucket. A service whose buckets never
 /// moved has none, which spares a large site the look at most of its buckets.
-fn holders(view: &View) -> Vec<Holder> {
-    let mut found = Vec::new();
+fn find_leaving_owners(view: &View) -> Vec<LeavingOwner> {
+    let mut owners = Vec::new();
     for (at, service) in view.services.iter().enumerate() {
         if service.revision == 0 {
             continue;
@@ -273,8 +274,8 @@
                 continue;
             }
             let id = view.registry.named(&service.spec.name, &target.name);
-            if let Some(id) = id.filter(|id| owns(service, *id)) {
-                found.push(Holder {
+            if let Some(id) = id.filter(|id| owns_bucket(service, *id)) {
+                owners.push(LeavingOwner {
                     service: ServiceIx(at as u16),
                     target: TargetIx(position as u16),
                     id,
@@ -283,18 +284,18 @@
             }
         }
     }
-    found
+    owners
 }
 
-fn owns(service: &ServiceView, target: TargetId) -> bool {
+fn owns_bucket(service: &ServiceView, target: TargetId) -> bool {
     service.buckets.iter().any(|bucket| bucket.owner == Some(target))
 }
 
-fn span(millis: Millis) -> Duration {
+fn to_duration(millis: Millis) -> Duration {
     Duration::from_millis(millis.0)
 }
 
-fn translate(verdict: load::Verdict) -> Opened {
+fn convert_verdict(verdict: load::Verdict) -> Opened {
     match verdict {
         load::Verdict::Admit => Opened::Admit,
         load::Verdict::Wait { .. } => Opened::Wait,
@@ -303,7 +304,7 @@
 }
 
 /// The settings of the decisions: what the bundle sets, and their defaults.
-pub fn settings(limits: &Limits) -> load::Settings {
+pub fn load_settings(limits: &Limits) -> load::Settings {
     let default = load::Settings::default();
     load::Settings {
         reserve: limits.reserve.unwrap_or(default.reserve),
--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -19,18 +19,18 @@
 };
 
 /// How often a stage looks whether it is over.
-const LOOK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How long no packet may have come before a leaving instance is done. The
 /// fabric learns late that an instance leaves and goes on sending until then.
-const QUIET: Millis = Millis(2_000);
+const IDLE_TIME: Millis = Millis(2_000);
 
 /// How long leaving takes at least: peers have to hear of it, and keepers to
 /// be told, before what only this instance knows is gone.
-const LEAST: Millis = Millis(3_000);
+const MIN_DRAIN_TIME: Millis = Millis(3_000);
 
 /// How long leaving takes at most, whatever still comes.
-const LIMIT: Millis = Millis(30_000);
+const MAX_DRAIN_TIME: Millis = Millis(30_000);
 
 /// Learns the bundle; forwards nothing yet.
 #[derive(Debug)]
@@ -46,62 +46,73 @@
 
 /// An instance in the stage `S`.
 #[derive(Debug)]
-pub struct Life<S> {
+pub struct Lifecycle<S> {
     shared: Arc<Shared>,
-    leave: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     clock: Clock,
     stage: PhantomData<S>,
 }
 
-impl Life<Starting> {
-    /// Begins a life. `leave` is set by a signal.
-    pub fn begin(shared: Arc<Shared>, leave: Arc<AtomicBool>, clock: Clock) -> Life<Starting> {
-        Life { shared, leave, clock, stage: PhantomData }
+impl Lifecycle<Starting> {
+    /// Begins a life. `shutdown` is set by a signal.
+    pub fn start(
+        shared: Arc<Shared>,
+        shutdown: Arc<AtomicBool>,
+        clock: Clock,
+    ) -> Lifecycle<Starting> {
+        Lifecycle { shared, shutdown, clock, stage: PhantomData }
     }
 
-    /// Waits until there is a bundle in force, or the instance shall leave.
-    pub fn serve(self) -> Life<Serving> {
-        while self.shared.stage() == Stage::Starting && !self.leave.load(Relaxed) {
-            thread::sleep(LOOK);
+    /// Waits until there is a bundle in force, or the instance shall shutdown.
+    pub fn wait_for_bundle(self) -> Lifecycle<Serving> {
+        while self.shared.stage() == Stage::Starting && !self.shutdown.load(Relaxed) {
+            thread::sleep(POLL_INTERVAL);
         }
-        self.turn()
+        self.transition()
     }
 }
 
-impl Life<Serving> {
-    /// Waits until the instance shall leave.
-    pub fn leave(self) -> Life<Leaving> {
-        while !self.leave.load(Relaxed) {
-            thread::sleep(LOOK);
+impl Lifecycle<Serving> {
+    /// Waits until the instance shall shutdown.
+    pub fn wait_for_shutdown(self) -> Lifecycle<Leaving> {
+        while !self.shutdown.load(Relaxed) {
+            thread::sleep(POLL_INTERVAL);
         }
-        self.shared.enter(Stage::Leaving);
-        self.turn()
+        self.shared.set_stage(Stage::Leaving);
+        self.transition()
     }
 }
 
-impl Life<Leaving> {
+impl Lifecycle<Leaving> {
     /// Waits until packets have stopped coming and the keepers were told all,
     /// and ends the threads.
-    pub fn stop(self) {
-        let began = self.clock.now();
+    pub fn drain(self) {
+        let started = self.clock.now();
         loop {
             let now = self.clock.now();
-            let heard = Millis(self.shared.heard.load(Relaxed));
-            let spent = now.since(began);
-            if spent >= LIMIT
-                || spent >= LEAST && now.since(heard) >= QUIET && self.shared.told.load(Relaxed)
+            let last_packet = Millis(self.shared.last_packet.load(Relaxed));
+            let elapsed = now.since(started);
+            if elapsed >= MAX_DRAIN_TIME
+                || elapsed >= MIN_DRAIN_TIME
+                    && now.since(last_packet) >= IDLE_TIME
+                    && self.shared.keepers_updated.load(Relaxed)
             {
                 break;
             }
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         self.shared.stop.store(true, Relaxed);
-        self.shared.enter(Stage::Stopped);
+        self.shared.set_stage(Stage::Stopped);
     }
 }
 
-impl<S> Life<S> {
-    fn turn<T>(self) -> Life<T> {
-        Life { shared: self.shared, leave: self.leave, clock: self.clock, stage: PhantomData }
+impl<S> Lifecycle<S> {
+    fn transition<T>(self) -> Lifecycle<T> {
+        Lifecycle {
+            shared: self.shared,
+            shutdown: self.shutdown,
+            clock: self.clock,
+            stage: PhantomData,
+        }
     }
 }
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -1,6 +1,6 @@
 //! Log lines as text or as JSON, with their fields.
 
-use crate::sink::Sink;
+use crate::sink::LogSink;
 use env_logger::{Builder, Target, fmt::Formatter};
 use log::{
     LevelFilter, Record,
@@ -35,10 +35,10 @@
     builder(form, level).init();
 }
 
-/// Sets the logger up on standard output, behind a [`Sink`] that never makes a
+/// Sets the logger up on standard output, behind a [`LogSink`] that never makes a
 /// thread wait.
-pub fn init_sink(form: LogForm, level: LevelFilter) -> io::Result<Sink> {
-    let sink = Sink::start(stdout())?;
+pub fn init_with_sink(form: LogForm, level: LevelFilter) -> io::Result<LogSink> {
+    let sink = LogSink::start(stdout())?;
     builder(form, level).target(Target::Pipe(Box::new(sink.clone()))).init();
     Ok(sink)
 }
@@ -59,7 +59,7 @@
 #[allow(clippy::disallowed_methods, reason = "lines of several machines are put side by side")]
 fn json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let mut fields = Collect(BTreeMap::new());
+    let mut fields = FieldMap(BTreeMap::new());
     record.key_values().visit(&mut fields).map_err(io::Error::other)?;
     let line = Line {
         time: wall.as_millis(),
@@ -75,14 +75,14 @@
 fn text(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let (time, level, part) = (out.timestamp_millis(), record.level(), record.target());
     let mut line = one_line(&record.args().to_string());
-    record.key_values().visit(&mut Append(&mut line)).map_err(io::Error::other)?;
+    record.key_values().visit(&mut FieldText(&mut line)).map_err(io::Error::other)?;
     writeln!(out, "{time} {level:5} {part} {line}")
 }
 
 /// Gathers the fields of a line.
-struct Collect(BTreeMap<String, String>);
+struct FieldMap(BTreeMap<String, String>);
 
-impl<'kvs> VisitSource<'kvs> for Collect {
+impl<'kvs> VisitSource<'kvs> for FieldMap {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         self.0.insert(key.to_string(), value.to_string());
         Ok(())
@@ -90,9 +90,9 @@
 }
 
 /// Appends the fields of a line as ` name=value`.
-struct Append<'a>(&'a mut String);
+struct FieldText<'a>(&'a mut String);
 
-impl<'kvs> VisitSource<'kvs> for Append<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldText<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         write!(self.0, " {key}={value}").map_err(Error::from)
     }
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,7 +1,7 @@
 //! The daemon: one instance of medlarspur.
 
 use log::LevelFilter;
-use medlarspur_daemon::{boot, logs, marked, sink::Sink};
+use medlarspur_daemon::{boot, logs, marked, sink::LogSink};
 use medlarspur_lib::{
     document,
     settings::{MarkedSettings, Settings},
@@ -39,7 +39,7 @@
     };
     if MarkedSettings::are_meant(&text) {
         return start(&flags, MarkedSettings::parse(&text), |settings| {
-            let sink = logs::init_sink(settings.log, LevelFilter::Info);
+            let sink = logs::init_with_sink(settings.log, LevelFilter::Info);
             if let Err(error) = &sink {
                 eprintln!("warning: nothing is logged: {error}");
             }
@@ -50,7 +50,7 @@
                 log::error!("{report}");
             }
             // Without a thread for it there is nothing to wait for.
-            sink.iter().for_each(Sink::flush);
+            sink.iter().for_each(LogSink::flush);
             result
         });
     }
--- a/daemon/src/marked/asker.rs
+++ b/daemon/src/marked/asker.rs
@@ -13,90 +13,90 @@
 use std::{collections::VecDeque, io, net::SocketAddrV4, thread, time::Instant};
 
 /// How many targets are asked at once. Each holds up to two of the process's files.
-pub const MAX_QUESTIONS: usize = 64;
+pub const MAX_PROBES: usize = 64;
 /// How many may wait for that. One too many is left out: the next doubt asks again.
-pub const MAX_WAITING: usize = 1_024;
+pub const MAX_QUEUED: usize = 1_024;
 /// The thread needs room for one answer's head.
-const STACK: usize = 64 << 10;
+const STACK_SIZE: usize = 64 << 10;
 
 /// Asks targets. Its thread starts with the first question, which most instances never have.
 #[derive(Debug)]
-pub struct Asker {
+pub struct Prober {
     sender: Sender,
-    orders: Option<Sender<Order>>,
+    requests: Option<Sender<ProbeRequest>>,
 }
 
 /// A target to ask.
 #[derive(Debug)]
-struct Order {
+struct ProbeRequest {
     incarnation: Incarnation,
     name: TargetName,
     address: SocketAddrV4,
     path: Box<str>,
 }
 
-impl Asker {
+impl Prober {
     /// One that hands what it finds to the main thread.
-    pub fn new(sender: Sender) -> Asker {
-        Asker { sender, orders: None }
+    pub fn new(sender: Sender) -> Prober {
+        Prober { sender, requests: None }
     }
 
     /// Asks without waiting for the answer.
-    pub fn ask(&mut self, target: &Target, path: &str) {
+    pub fn probe(&mut self, target: &Target, path: &str) {
         let incarnation = target.incarnation;
         let (name, address) = (target.name.clone(), target.address);
-        let order = Order { incarnation, name, address, path: path.into() };
-        match self.orders().map(|orders| orders.send(order)) {
-            Ok(Delivery::Taken) => {}
+        let request = ProbeRequest { incarnation, name, address, path: path.into() };
+        match self.requests().map(|requests| requests.send(request)) {
+            Ok(Delivery::Queued) => {}
             Ok(Delivery::Full) => log::warn!("ask: {incarnation} is not asked, others wait"),
-            Ok(Delivery::Ended) => self.orders = None,
+            Ok(Delivery::Closed) => self.requests = None,
             Err(error) => log::warn!("ask: {incarnation} is not asked: {error}"),
         }
     }
 
-    fn orders(&mut self) -> io::Result<&Sender<Order>> {
-        let orders = match self.orders.take() {
-            Some(orders) => orders,
+    fn requests(&mut self) -> io::Result<&Sender<ProbeRequest>> {
+        let requests = match self.requests.take() {
+            Some(requests) => requests,
             None => {
-                let (orders, inbox) = inbox::channel()?;
-                let asking = Asking::new(inbox, self.sender.clone());
-                let thread = thread::Builder::new().name("ask".to_owned()).stack_size(STACK);
-                thread.spawn(move || asking.run())?;
-                orders
+                let (requests, inbox) = inbox::channel()?;
+                let prober = ProberThread::new(inbox, self.sender.clone());
+                let thread = thread::Builder::new().name("ask".to_owned()).stack_size(STACK_SIZE);
+                thread.spawn(move || prober.run())?;
+                requests
             }
         };
-        Ok(self.orders.insert(orders))
+        Ok(self.requests.insert(requests))
     }
 }
 
 /// The thread that asks.
-struct Asking {
-    inbox: Inbox<Order>,
+struct ProberThread {
+    inbox: Inbox<ProbeRequest>,
     sender: Sender,
     /// Targets that wait to be asked, and those that wait or are asked.
-    waiting: VecDeque<Order>,
-    known: Set<Incarnation>,
-    questions: Vec<(Incarnation, Question)>,
+    queue: VecDeque<ProbeRequest>,
+    pending: Set<Incarnation>,
+    probes: Vec<(Incarnation, Question)>,
 }
 
-impl Asking {
-    fn new(inbox: Inbox<Order>, sender: Sender) -> Asking {
-        let (waiting, known) = (VecDeque::new(), Set::default());
-        Asking { inbox, sender, waiting, known, questions: Vec::new() }
+impl ProberThread {
+    fn new(inbox: Inbox<ProbeRequest>, sender: Sender) -> ProberThread {
+        let (queue, pending) = (VecDeque::new(), Set::default());
+        ProberThread { inbox, sender, queue, pending, probes: Vec::new() }
     }
 
     fn run(mut self) {
-        while !self.inbox.is_ended() {
-            for order in self.inbox.drain() {
-                if self.waiting.len() >= MAX_WAITING {
-                    log::warn!("ask: {} is not asked, others wait", order.incarnation);
-                } else if self.known.insert(order.incarnation) {
-                    self.waiting.push_back(order);
+        while !self.inbox.is_closed() {
+            for request in self.inbox.drain() {
+                if self.queue.len() >= MAX_QUEUED {
+                    log::warn!("ask: {} is not asked, others wait", request.incarnation);
+                } else if self.pending.insert(request.incarnation) {
+                    self.queue.push_back(request);
                 }
             }
-            self.begin();
+            self.start_probes();
             match self.wait() {
-                Ok(ready) => self.advance(&ready),
+                Ok(ready) => self.advance_probes(&ready),
                 Err(error) => {
                     log::error!("ask: all questions are given up: {error}");
                     return;
@@ -105,13 +105,13 @@
         }
     }
 
-    fn begin(&mut self) {
-        while self.questions.len() < MAX_QUESTIONS {
-            let Some(order) = self.waiting.pop_front() else { return };
-            let Order { incarnation, name, address, path } = order;
+    fn start_probes(&mut self) {
+        while self.probes.len() < MAX_PROBES {
+            let Some(request) = self.queue.pop_front() else { return };
+            let ProbeRequest { incarnation, name, address, path } = request;
             match Question::begin(&name, address, &path, Instant::now()) {
-                Ok(question) => self.questions.push((incarnation, question)),
-                Err(finding) => self.report(incarnation, finding),
+                Ok(probe) => self.probes.push((incarnation, probe)),
+                Err(result) => self.report(incarnation, result),
             }
         }
     }
@@ -119,40 +119,40 @@
     /// Waits for an order, an answer, or until a question is due; tells which questions have
     /// a socket that is ready.
     fn wait(&self) -> io::Result<Vec<bool>> {
-        let due = self.questions.iter().map(|(_, question)| question.due()).min();
-        let sockets = self.questions.iter().enumerate();
+        let due = self.probes.iter().map(|(_, probe)| probe.due()).min();
+        let sockets = self.probes.iter().enumerate();
         let sockets = sockets.flat_map(|(at, (_, it))| it.sockets().map(move |fd| (at, fd)));
         let (positions, mut fds): (Vec<usize>, Vec<PollFd<'_>>) = sockets.unzip();
-        fds.push(PollFd::new(self.inbox.waker(), PollFlags::POLLIN));
+        fds.push(PollFd::new(self.inbox.wake_fd(), PollFlags::POLLIN));
         poll_until(&mut fds, due)?;
-        let mut ready = vec![false; self.questions.len()];
+        let mut ready = vec![false; self.probes.len()];
         for (position, fd) in positions.into_iter().zip(&fds) {
             ready[position] |= fd.any() == Some(true);
         }
         Ok(ready)
     }
 
-    fn advance(&mut self, ready: &[bool]) {
+    fn advance_probes(&mut self, ready: &[bool]) {
         let now = Instant::now();
         let mut found = Vec::new();
         let mut ready = ready.iter();
-        self.questions.retain_mut(|(incarnation, question)| {
+        self.probes.retain_mut(|(incarnation, probe)| {
             let is_ready = ready.next() == Some(&true);
-            let finding = (is_ready || question.due() <= now).then(|| question.advance(now));
-            match finding.flatten() {
-                Some(finding) => found.push((*incarnation, finding)),
+            let result = (is_ready || probe.due() <= now).then(|| probe.advance(now));
+            match result.flatten() {
+                Some(result) => found.push((*incarnation, result)),
                 None => return true,
             }
             false
         });
-        for (incarnation, finding) in found {
-            self.report(incarnation, finding);
+        for (incarnation, result) in found {
+            self.report(incarnation, result);
         }
     }
 
-    fn report(&mut self, incarnation: Incarnation, finding: Finding) {
-        self.known.remove(&incarnation);
-        if self.sender.send(Event::Found(incarnation, finding)) == Delivery::Full {
+    fn report(&mut self, incarnation: Incarnation, result: Finding) {
+        self.pending.remove(&incarnation);
+        if self.sender.send(Event::Probed(incarnation, result)) == Delivery::Full {
             log::warn!("ask: what {incarnation} answered is lost, the inbox is full");
         }
     }
--- a/daemon/src/marked/current.rs
+++ b/daemon/src/marked/current.rs
@@ -25,19 +25,19 @@
 
 /// The settings that are in force.
 #[derive(Debug)]
-pub struct Current {
+pub struct LiveSettings {
     path: PathBuf,
     settings: Mutex<MarkedSettings>,
 }
 
-impl Current {
+impl LiveSettings {
     /// Starts with settings that were read from `path`.
-    pub fn new(path: &Path, settings: &MarkedSettings) -> Current {
-        Current { path: path.to_owned(), settings: Mutex::new(settings.clone()) }
+    pub fn new(path: &Path, settings: &MarkedSettings) -> LiveSettings {
+        LiveSettings { path: path.to_owned(), settings: Mutex::new(settings.clone()) }
     }
 
     /// Where the store is.
-    pub fn store(&self) -> SocketAddrV4 {
+    pub fn store_address(&self) -> SocketAddrV4 {
         self.settings.lock().unwrap_or_else(PoisonError::into_inner).store
     }
 
--- a/daemon/src/marked/inbox.rs
+++ b/daemon/src/marked/inbox.rs
@@ -1,6 +1,6 @@
 //! What threads hand to one that also waits for sockets, with a way to wake it.
 
-use super::pictures::Order;
+use super::pictures::Command;
 use medlarspur_lib::status::{MarkedExplanation, MarkedStatus};
 use medlarspur_marked::{Finding, FlowKey, Incarnation, News, Revision};
 use nix::{
@@ -21,45 +21,45 @@
 
 /// How many values may wait. Their receiver empties the inbox in each round; if it does not
 /// come to that, news is read again.
-const ROOM: usize = 256;
+const CAPACITY: usize = 256;
 
 /// A value for the main thread.
 #[derive(Debug)]
 pub enum Event {
     /// News that was read from the store, maybe without any change.
-    Read {
+    StoreRead {
         /// The news.
-        news: News,
+        update: News,
         /// Whether the store is in an earlier era than was believed.
         fell_back: bool,
     },
     /// The store could not be read.
-    Unread,
+    StoreFailed,
     /// What another instance has told when it was asked.
-    Told {
+    Pulled {
         /// Who told it.
         from: SocketAddrV4,
         /// What it told.
-        news: News,
+        update: News,
     },
     /// Another instance asks for what has changed since a revision.
-    Asked {
+    PullRequested {
         /// What it knows.
         known: Revision,
         /// Where the answer goes.
-        reply: Sender<Order>,
+        reply: Sender<Command>,
     },
     /// An instance that was asked has told nothing.
-    NotTold(SocketAddrV4),
+    PullFailed(SocketAddrV4),
     /// What asking a target brought.
-    Found(Incarnation, Finding),
+    Probed(Incarnation, Finding),
     /// An operator asks.
-    Shown(Question),
+    Operator(OperatorQuery),
 }
 
 /// What operators ask, each with where the answer goes; it has room for it.
 #[derive(Debug)]
-pub enum Question {
+pub enum OperatorQuery {
     /// For the state of the instance.
     Status(SyncSender<MarkedStatus>),
     /// Where a flow goes and why.
@@ -70,11 +70,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     /// It waits in the inbox.
-    Taken,
+    Queued,
     /// The inbox has no room for it.
     Full,
     /// The receiver has ended, and the process ends.
-    Ended,
+    Closed,
 }
 
 /// The receiver's end; the main thread's takes [`Event`]s.
@@ -99,31 +99,31 @@
 
 /// Makes both ends.
 pub fn channel<T>() -> io::Result<(Sender<T>, Inbox<T>)> {
-    let (events, inbox) = sync_channel(ROOM);
-    let (wake, waker) = pipe2(OFlag::O_NONBLOCK | OFlag::O_CLOEXEC)?;
-    let sender = Sender { events, wake: Arc::new(waker) };
+    let (events, inbox) = sync_channel(CAPACITY);
+    let (wake, writer) = pipe2(OFlag::O_NONBLOCK | OFlag::O_CLOEXEC)?;
+    let sender = Sender { events, wake: Arc::new(writer) };
     Ok((sender, Inbox { events: inbox, wake }))
 }
 
 impl<T> Inbox<T> {
     /// Becomes readable when something waits.
-    pub fn waker(&self) -> BorrowedFd<'_> {
+    pub fn wake_fd(&self) -> BorrowedFd<'_> {
         self.wake.as_fd()
     }
 
     /// Takes what waits.
     pub fn drain(&self) -> impl Iterator<Item = T> {
-        let _ = self.clear();
+        let _ = self.drain_pipe();
         self.events.try_iter()
     }
 
     /// Whether all senders are gone, so that nothing comes any more.
-    pub fn is_ended(&self) -> bool {
-        self.clear() == Ok(0)
+    pub fn is_closed(&self) -> bool {
+        self.drain_pipe() == Ok(0)
     }
 
     /// Empties the pipe; answers how many bytes came last, which is none once it has ended.
-    fn clear(&self) -> nix::Result<usize> {
+    fn drain_pipe(&self) -> nix::Result<usize> {
         let mut bytes = [0; 64];
         loop {
             match read(&self.wake, &mut bytes) {
@@ -138,9 +138,9 @@
     /// Hands a value over without waiting.
     pub fn send(&self, event: T) -> Delivery {
         let sent = match self.events.try_send(event) {
-            Ok(()) => Delivery::Taken,
+            Ok(()) => Delivery::Queued,
             Err(TrySendError::Full(_)) => Delivery::Full,
-            Err(TrySendError::Disconnected(_)) => Delivery::Ended,
+            Err(TrySendError::Disconnected(_)) => Delivery::Closed,
         };
         // A full pipe wakes the receiver as well as one more byte would.
         if let Err(error) = write(&self.wake, &[0])
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -3,17 +3,17 @@
 mod report;
 
 use super::{
-    asker::Asker,
-    current::Current,
+    asker::Prober,
+    current::LiveSettings,
     inbox::{self, Delivery, Event, Inbox, Sender},
-    lines::Picture,
-    meters::{Numbers, Published},
-    output::Datagrams,
+    lines::CatalogState,
+    meters::{SharedStats, Stats},
+    output::RoundOutput,
     peers::Peers,
-    pictures::Order,
-    store::Reading,
+    pictures::Command,
+    store::StoreReader,
 };
-use crate::{clock::Clock, sink::Sink};
+use crate::{clock::Clock, sink::LogSink};
 use medlarspur_fabric::{Batch, Socket, SocketError, Wire, wait};
 use medlarspur_lib::{
     ids::{DomainName, InstanceName},
@@ -38,18 +38,18 @@
 };
 
 /// How many batches one round takes before it sends and looks at the inbox.
-const ROUND: usize = 4;
+const MAX_BATCHES: usize = 4;
 /// How often packets that came before anything is known are dropped. A caller
 /// gives an opening up after 1.4 s; older packets would open flows that nobody
 /// waits for.
-const STALE: Millis = Millis(700);
+const DROP_INTERVAL: Millis = Millis(700);
 /// How long a leaving instance goes on at least: routers ask twice a second and
 /// take it out after two refusals.
-const LEAST: Millis = Millis(1_300);
+const MIN_LEAVE_TIME: Millis = Millis(1_300);
 /// How long no packet may have come before a leaving instance is done.
-const QUIET: Millis = Millis(500);
+const IDLE_TIME: Millis = Millis(500);
 /// How long before it would be killed a leaving instance ends by itself.
-const MARGIN: Millis = Millis::secs(1);
+const KILL_MARGIN: Millis = Millis::secs(1);
 
 /// Why an instance can't run.
 #[derive(Debug, Snafu)]
@@ -78,21 +78,22 @@
 
 /// Runs with the settings that were read from `path` until the process is told
 /// to end.
-pub fn run(path: &Path, settings: &MarkedSettings, sink: Option<Sink>) -> Result<(), RunError> {
+pub fn run(path: &Path, settings: &MarkedSettings, sink: Option<LogSink>) -> Result<(), RunError> {
     let system = |what| SystemSnafu { what };
     let (sender, inbox) = inbox::channel().context(system("make the inbox"))?;
-    let told = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(SIGTERM, told.clone()).context(system("handle SIGTERM"))?;
-    let changed = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(SIGHUP, changed.clone()).context(system("handle SIGHUP"))?;
+    let shutdown = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(SIGTERM, shutdown.clone()).context(system("handle SIGTERM"))?;
+    let reload = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(SIGHUP, reload.clone()).context(system("handle SIGHUP"))?;
     sender.wake_on(&[SIGTERM, SIGHUP]).context(system("handle signals"))?;
-    let current = Arc::new(Current::new(path, settings));
+    let current = Arc::new(LiveSettings::new(path, settings));
     let socket = Socket::bind(settings.packets).context(PacketsSnafu)?;
     let ready = Arc::new(AtomicBool::new(false));
     let asked = ready::serve(settings.ready, ready.clone());
     let asked = asked.context(system("tell whether it is ready"))?;
-    let reading = Reading::start(current.clone(), sender.clone(), settings.control.is_some());
-    let reading = reading.context(system("follow the store"))?;
+    let store_reader =
+        StoreReader::start(current.clone(), sender.clone(), settings.control.is_some());
+    let store_reader = store_reader.context(system("follow the store"))?;
     let clock = Clock::start();
     let peers =
         settings.control.map(|control| Peers::join(control, settings, &sender, clock.now()));
@@ -112,34 +113,34 @@
         name: settings.name.clone(),
         domain: settings.domain.clone(),
         forwarder: Forwarder::new(tuning),
-        datagrams: Datagrams::new(Asker::new(sender.clone()), settings.callers, clock.now()),
+        output: RoundOutput::new(Prober::new(sender.clone()), settings.callers, clock.now()),
         peers,
-        reading,
+        store_reader,
         sender,
         batch: Batch::new(),
         socket,
         inbox,
         clock,
-        heard: Millis(0),
-        read: None,
-        numbers: Numbers::default(),
-        published: Published::default(),
+        last_packet: Millis(0),
+        last_read: None,
+        stats: Stats::default(),
+        published: SharedStats::default(),
         metrics: None,
-        told,
-        changed,
-        current,
+        shutdown,
+        reload,
+        settings: current,
         ready,
     };
     if let Some(address) = settings.metrics {
-        instance.show(address, sink)?;
+        instance.set_up_metrics(address, sink)?;
     }
-    instance.learn_first()?;
+    instance.wait_until_usable()?;
     log::info!(
         revision:% = instance.forwarder.revision(), after_ms = instance.clock.uptime().0;
         "ready"
     );
     instance.serve()?;
-    instance.leave(settings.grace - MARGIN)?;
+    instance.leave(settings.grace - KILL_MARGIN)?;
     log::info!(
         after_ms = instance.clock.uptime().0, counts:? = instance.forwarder.counts();
         "stop"
@@ -151,26 +152,26 @@
     name: InstanceName,
     domain: DomainName,
     forwarder: Forwarder,
-    datagrams: Datagrams,
+    output: RoundOutput,
     /// The other instances, if the settings say where to talk to them.
     peers: Option<Peers>,
-    reading: Reading,
+    store_reader: StoreReader,
     sender: Sender,
     batch: Batch,
     socket: Socket,
     inbox: Inbox,
     clock: Clock,
     /// When the last packet came.
-    heard: Millis,
+    last_packet: Millis,
     /// When the store answered last.
-    read: Option<Millis>,
-    numbers: Numbers,
-    published: Published,
+    last_read: Option<Millis>,
+    stats: Stats,
+    published: SharedStats,
     metrics: Option<Metrics>,
-    told: Arc<AtomicBool>,
+    shutdown: Arc<AtomicBool>,
     /// Whether a signal says that the settings have changed.
-    changed: Arc<AtomicBool>,
-    current: Arc<Current>,
+    reload: Arc<AtomicBool>,
+    settings: Arc<LiveSettings>,
     ready: Arc<AtomicBool>,
 }
 
@@ -178,23 +179,23 @@
     /// Waits until there are routes and targets. Packets wait in the socket
     /// meanwhile: a caller whose packet is dropped repeats it only after 200 ms,
     /// and the first answer of the store takes some ten.
-    fn learn_first(&mut self) -> Result<(), RunError> {
+    fn wait_until_usable(&mut self) -> Result<(), RunError> {
         let mut dropped = self.clock.now();
-        self.take_messages();
-        while !self.forwarder.catalog().is_usable() && !self.is_told() {
+        self.handle_messages();
+        while !self.forwarder.catalog().is_usable() && !self.should_stop() {
             let now = self.clock.now();
             let due = self.peers.as_ref().map(|peers| peers.fleet.deadline(now).since(now));
-            let limit = due.into_iter().chain([STALE]).min();
+            let limit = due.into_iter().chain([DROP_INTERVAL]).min();
             let limit = limit.map(|span| Duration::from_millis(span.0));
             match &self.peers {
-                Some(peers) => wait([self.inbox.waker(), peers.socket.as_fd()], limit),
-                None => wait([self.inbox.waker()], limit),
+                Some(peers) => wait([self.inbox.wake_fd(), peers.socket.as_fd()], limit),
+                None => wait([self.inbox.wake_fd()], limit),
             }
             .context(PacketsSnafu)?;
-            self.take_events();
-            self.take_messages();
+            self.handle_events();
+            self.handle_messages();
             let now = self.clock.now();
-            if now.since(dropped) >= STALE && !self.forwarder.catalog().is_usable() {
+            if now.since(dropped) >= DROP_INTERVAL && !self.forwarder.catalog().is_usable() {
                 dropped = now;
                 while self.receive()? > 0 {}
             }
@@ -203,8 +204,8 @@
     }
 
     fn serve(&mut self) -> Result<(), RunError> {
-        self.ready.store(!self.is_told(), Relaxed);
-        while !self.is_told() {
+        self.ready.store(!self.should_stop(), Relaxed);
+        while !self.should_stop() {
             self.round(None)?;
         }
         Ok(())
@@ -214,82 +215,82 @@
     fn leave(&mut self, limit: Millis) -> Result<(), RunError> {
         self.ready.store(false, Relaxed);
         log::info!(flows = self.forwarder.len(), limit_ms = limit.0; "leave");
-        let began = self.clock.now();
+        let started = self.clock.now();
         loop {
             let now = self.clock.now();
-            let (spent, silence) = (now.since(began), now.since(self.heard));
-            if spent >= limit || spent >= LEAST && silence >= QUIET {
+            let (elapsed, idle) = (now.since(started), now.since(self.last_packet));
+            if elapsed >= limit || elapsed >= MIN_LEAVE_TIME && idle >= IDLE_TIME {
                 return Ok(());
             }
-            self.round(Some(QUIET))?;
+            self.round(Some(IDLE_TIME))?;
         }
     }
 
-    fn is_told(&self) -> bool {
-        self.told.load(Relaxed)
+    fn should_stop(&self) -> bool {
+        self.shutdown.load(Relaxed)
     }
 
-    /// Waits for something to do, `most` at most, and does it. Packets go
+    /// Waits for something to do, `max_wait` at most, and does it. Packets go
     /// first: what is due may depend on an answer that waits in the socket.
-    fn round(&mut self, most: Option<Millis>) -> Result<(), RunError> {
+    fn round(&mut self, max_wait: Option<Millis>) -> Result<(), RunError> {
         let now = self.clock.now();
         let peers = self.peers.as_ref().map(|peers| peers.fleet.deadline(now));
         let due = self.forwarder.deadline().into_iter().chain(peers).map(|due| due.since(now));
-        let limit = due.chain(most).min().map(|span| Duration::from_millis(span.0));
-        let (packets, inbox) = (self.socket.as_fd(), self.inbox.waker());
+        let limit = due.chain(max_wait).min().map(|span| Duration::from_millis(span.0));
+        let (packets, inbox) = (self.socket.as_fd(), self.inbox.wake_fd());
         match &self.peers {
             Some(peers) => wait([packets, inbox, peers.socket.as_fd()], limit),
             None => wait([packets, inbox], limit),
         }
         .context(PacketsSnafu)?;
-        if self.changed.swap(false, Relaxed) {
-            self.current.reload();
+        if self.reload.swap(false, Relaxed) {
+            self.settings.reload();
             if let Some(peers) = &mut self.peers {
-                peers.fleet.set_seeds(&self.current.seeds());
+                peers.fleet.set_seeds(&self.settings.seeds());
             }
         }
-        self.begin();
+        self.begin_round();
         let unknown = self.forwarder.counts().unknown;
-        self.take_packets()?;
+        self.handle_packets()?;
         if self.forwarder.counts().unknown > unknown {
             self.catch_up();
         }
-        self.take_events();
-        self.take_messages();
-        self.forwarder.tick(self.clock.now(), &mut self.datagrams);
-        self.datagrams.outbox().flush(&mut self.socket);
+        self.handle_events();
+        self.handle_messages();
+        self.forwarder.tick(self.clock.now(), &mut self.output);
+        self.output.outbox().flush(&mut self.socket);
         self.publish();
         Ok(())
     }
 
     /// Notes by what picture the decisions of this round are made.
-    fn begin(&mut self) {
+    fn begin_round(&mut self) {
         let now = self.clock.now();
         let age = self.confirmed().map(|at| now.since(at));
-        self.datagrams.begin(Picture { revision: self.forwarder.revision(), age }, now);
+        self.output.begin_round(CatalogState { revision: self.forwarder.revision(), age }, now);
     }
 
-    fn take_packets(&mut self) -> Result<(), RunError> {
-        for _ in 0..ROUND {
+    fn handle_packets(&mut self) -> Result<(), RunError> {
+        for _ in 0..MAX_BATCHES {
             let count = self.receive()?;
             if count == 0 {
                 break;
             }
             let now = self.clock.now();
-            self.heard = now;
-            self.numbers.received += count as u64;
+            self.last_packet = now;
+            self.stats.received += count as u64;
             for received in self.batch.iter() {
                 match packet::parse(received.bytes) {
                     Ok(segment) => {
-                        self.forwarder.packet(&segment, received.bytes, now, &mut self.datagrams);
+                        self.forwarder.packet(&segment, received.bytes, now, &mut self.output);
                     }
                     Err(error) => {
-                        self.numbers.malformed[error as usize] += 1;
+                        self.stats.malformed[error as usize] += 1;
                         log::debug!("packets: one is dropped: {error}");
                     }
                 }
             }
-            self.datagrams.outbox().flush(&mut self.socket);
+            self.output.outbox().flush(&mut self.socket);
             if count < medlarspur_fabric::BATCH {
                 break;
             }
@@ -301,52 +302,52 @@
         self.socket.receive(&mut self.batch, Duration::ZERO).context(PacketsSnafu)
     }
 
-    fn take_events(&mut self) {
+    fn handle_events(&mut self) {
         let now = self.clock.now();
         let events: Vec<Event> = self.inbox.drain().collect();
         for event in events {
             match event {
-                Event::Read { news, fell_back } => {
-                    self.read = Some(now);
+                Event::StoreRead { update, fell_back } => {
+                    self.last_read = Some(now);
                     if fell_back {
-                        log::warn!(known:% = self.forwarder.revision(), read:% = news.revision; "store: in an earlier era than was believed");
+                        log::warn!(known:% = self.forwarder.revision(), read:% = update.revision; "store: in an earlier era than was believed");
                         self.forwarder.fall_back();
                     }
-                    let era = news.revision.era;
-                    self.learn(news, now);
+                    let era = update.revision.era;
+                    self.apply_update(update, now);
                     let known = self.forwarder.revision();
                     if era < known.era {
-                        self.reading.resume(known);
+                        self.store_reader.read_from(known);
                     }
                     self.with_fleet(|fleet, forwarder| {
                         fleet.store_answered(forwarder.catalog(), now);
                     });
                 }
-                Event::Unread => self.with_fleet(|fleet, forwarder| {
+                Event::StoreFailed => self.with_fleet(|fleet, forwarder| {
                     fleet.store_failed(forwarder.catalog(), now);
                 }),
-                Event::Told { from, news } => {
-                    log::debug!("peers: {from} has told {}", news.revision);
+                Event::Pulled { from, update } => {
+                    log::debug!("peers: {from} has told {}", update.revision);
                     let known = self.forwarder.revision();
                     let fleet = self.peers.as_ref().map(|peers| &peers.fleet);
-                    if fleet.is_none_or(|fleet| fleet.is_credible(news.revision, known)) {
-                        self.learn(news, now);
+                    if fleet.is_none_or(|fleet| fleet.is_credible(update.revision, known)) {
+                        self.apply_update(update, now);
                     }
                 }
-                Event::Asked { known, reply } => {
-                    let news = self.forwarder.catalog().since(known, now);
-                    if reply.send(Order::Tell(known, news)) != Delivery::Taken {
+                Event::PullRequested { known, reply } => {
+                    let update = self.forwarder.catalog().since(known, now);
+                    if reply.send(Command::Send(known, update)) != Delivery::Queued {
                         log::debug!("peers: whoever asked is not told");
                     }
                 }
-                Event::NotTold(from) => {
+                Event::PullFailed(from) => {
                     let known = self.forwarder.revision();
                     self.with_fleet(|fleet, _| fleet.pull_failed(from, known, now));
                 }
-                Event::Found(target, finding) => {
-                    self.forwarder.answer(target, finding, now, &mut self.datagrams);
+                Event::Probed(target, finding) => {
+                    self.forwarder.answer(target, finding, now, &mut self.output);
                 }
-                Event::Shown(question) => self.show_operator(question, now),
+                Event::Operator(question) => self.answer_operator(question, now),
             }
         }
     }
@@ -357,12 +358,12 @@
     fn catch_up(&mut self) {
         match &mut self.peers {
             Some(peers) if !peers.fleet.is_reading() => peers.fleet.suspect_lack(),
-            _ => self.reading.hurry(),
+            _ => self.store_reader.wake(),
         }
     }
 
-    fn learn(&mut self, news: News, now: Millis) {
-        self.forwarder.learn(news, now, &mut self.datagrams);
+    fn apply_update(&mut self, update: News, now: Millis) {
+        self.forwarder.learn(update, now, &mut self.output);
     }
 
     fn with_fleet(&mut self, act: impl FnOnce(&mut Fleet, &Forwarder)) {
@@ -373,13 +374,13 @@
     }
 
     /// Takes other instances' messages, and does what is due among them.
-    fn take_messages(&mut self) {
+    fn handle_messages(&mut self) {
         let now = self.clock.now();
-        let Some(Peers { fleet, socket, pictures }) = &mut self.peers else { return };
+        let Some(Peers { fleet, socket, exchange }) = &mut self.peers else { return };
         while let Some((from, message)) = socket.receive() {
             // Merged one by one: each may go on from the one before.
-            if let Some(news) = fleet.receive(from, message, self.forwarder.catalog(), now) {
-                self.forwarder.learn(news, now, &mut self.datagrams);
+            if let Some(update) = fleet.receive(from, message, self.forwarder.catalog(), now) {
+                self.forwarder.learn(update, now, &mut self.output);
             }
         }
         self.forwarder.set_near(fleet.near());
@@ -388,11 +389,11 @@
         let known = self.forwarder.revision();
         fleet.tick(self.forwarder.catalog(), now);
         if let Some(from) = fleet.pull(known, now) {
-            pictures.pull(from, self.forwarder.catalog().basis());
+            exchange.pull(from, self.forwarder.catalog().basis());
         }
         match fleet.is_reading() {
-            true => self.reading.go_on(known),
-            false => self.reading.pause(),
+            true => self.store_reader.unpause(known),
+            false => self.store_reader.pause(),
         }
         socket.send(fleet);
     }
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -3,11 +3,11 @@
 use super::{Instance, MetricsSnafu, RunError};
 use crate::{
     marked::{
-        inbox::Question,
-        meters::{self, Numbers, Times},
-        shown::Shown,
+        inbox::OperatorQuery,
+        meters::{self, Histograms, Stats},
+        shown::StatusSource,
     },
-    sink::Sink,
+    sink::LogSink,
 };
 use medlarspur_fabric::Wire;
 use medlarspur_lib::{status::MarkedStatus, time::Millis};
@@ -34,14 +34,14 @@
 
 impl Instance {
     /// Sets metrics up. They are served only [`METRICS_DELAY`] later.
-    pub(super) fn show(
+    pub(super) fn set_up_metrics(
         &mut self,
         address: SocketAddrV4,
-        sink: Option<Sink>,
+        sink: Option<LogSink>,
     ) -> Result<(), RunError> {
         let meters = Meters::new().context(MetricsSnafu)?;
-        meters::register(&meters, &self.published, &self.reading.calls(), sink, self.clock);
-        self.datagrams.measure_into(Times::new(meters.clone()));
+        meters::register(&meters, &self.published, &self.store_reader.calls(), sink, self.clock);
+        self.output.record_times(Histograms::new(meters.clone()));
         let due = self.clock.now() + METRICS_DELAY;
         self.metrics = Some(Metrics { address, meters, due, server: None });
         Ok(())
@@ -54,7 +54,7 @@
         let now = self.clock.now();
         let fleet = self.peers.as_ref().map(|peers| &peers.fleet);
         let config = self.forwarder.catalog().config();
-        self.published.set(Numbers {
+        self.published.set(Stats {
             counts: self.forwarder.counts(),
             wire: self.socket.counts(),
             flows: self.forwarder.len() as u64,
@@ -69,11 +69,11 @@
             evacuated: self.forwarder.catalog().evacuated().count(),
             omitted: config.map_or(0, |config| config.omitted),
             clashes: self.forwarder.catalog().clashes(),
-            ..self.numbers
+            ..self.stats
         });
         if metrics.server.is_none() && metrics.due <= now {
             metrics.due = now + METRICS_DELAY;
-            let source = Arc::new(Shown::new(self.sender.clone()));
+            let source = Arc::new(StatusSource::new(self.sender.clone()));
             match Operator::start_marked(metrics.address, source, metrics.meters.clone()) {
                 Ok(server) => {
                     log::info!(address:% = server.address(); "operators: served");
@@ -86,18 +86,18 @@
 
     /// When the store or a reader confirmed the picture last.
     pub(super) fn confirmed(&self) -> Option<Millis> {
-        self.read.max(self.peers.as_ref().and_then(|peers| peers.fleet.confirmed()))
+        self.last_read.max(self.peers.as_ref().and_then(|peers| peers.fleet.confirmed()))
     }
 
-    pub(super) fn show_operator(&self, question: Question, now: Millis) {
+    pub(super) fn answer_operator(&self, query: OperatorQuery, now: Millis) {
         let age = self.confirmed().map(|at| now.since(at));
-        let is_heard = match question {
-            Question::Status(reply) => reply.try_send(self.status(age, now)).is_ok(),
-            Question::Explain(flow, reply) => {
+        let is_sent = match query {
+            OperatorQuery::Status(reply) => reply.try_send(self.status(age, now)).is_ok(),
+            OperatorQuery::Explain(flow, reply) => {
                 reply.try_send(self.forwarder.explain(&flow, age, now)).is_ok()
             }
         };
-        if !is_heard {
+        if !is_sent {
             log::debug!("operator: whoever asked has gone");
         }
     }
--- a/daemon/src/marked/lines.rs
+++ b/daemon/src/marked/lines.rs
@@ -10,7 +10,7 @@
 
 /// What the instance knew when it decided.
 #[derive(Debug, Clone, Copy)]
-pub struct Picture {
+pub struct CatalogState {
     /// Up to which revision it knew all changes.
     pub revision: Revision,
     /// How long ago that was confirmed, if it ever was.
@@ -20,25 +20,25 @@
 /// How many starts of targets are remembered by name: those of the size aimed for, with
 /// as many that were replaced within their memory. Beyond it all are forgotten, and
 /// lines name a target by its number until news of it comes again.
-const MOST_NAMES: usize = 20_000;
+const MAX_NAMES: usize = 20_000;
 
 /// The budgets of all kinds of lines, and the names of targets.
 #[derive(Debug)]
-pub struct Lines {
+pub struct DecisionLog {
     budgets: [Budget; NoteKind::ALL.len()],
     names: Map<Incarnation, TargetName>,
 }
 
-impl Lines {
+impl DecisionLog {
     /// Full budgets.
-    pub fn new(now: Millis) -> Lines {
-        Lines { budgets: [Budget::new(now); NoteKind::ALL.len()], names: Map::default() }
+    pub fn new(now: Millis) -> DecisionLog {
+        DecisionLog { budgets: [Budget::new(now); NoteKind::ALL.len()], names: Map::default() }
     }
 
     /// Writes a note, if its kind's budget has room.
-    pub fn write(&mut self, note: &Note, picture: Picture, now: Millis) {
+    pub fn write(&mut self, note: &Note, state: CatalogState, now: Millis) {
         if let Note::Entry { target, name, .. } = note {
-            self.learn(*target, name);
+            self.remember_name(*target, name);
         }
         let kind = note.kind();
         let Verdict::Write { left_out } = self.budgets[kind as usize].take(now) else { return };
@@ -49,13 +49,13 @@
             self.names.get(&target).map_or_else(|| target.to_string(), TargetName::to_string)
         };
         let mut fields = note.fields(name);
-        fields.push(("known", picture.revision.to_string()));
-        fields.extend(picture.age.map(|age| ("age_ms", age.to_string())));
+        fields.push(("known", state.revision.to_string()));
+        fields.extend(state.age.map(|age| ("age_ms", age.to_string())));
         log(note.event(), &fields);
     }
 
-    fn learn(&mut self, target: Incarnation, name: &TargetName) {
-        if self.names.len() >= MOST_NAMES {
+    fn remember_name(&mut self, target: Incarnation, name: &TargetName) {
+        if self.names.len() >= MAX_NAMES {
             self.names.clear();
         }
         self.names.insert(target, name.clone());
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -3,9 +3,9 @@
 //! The main thread counts in numbers of its own and publishes a copy after each
 //! round; a scrape reads the copy, so it never holds packets up.
 
-use super::store::Calls;
-use crate::{clock::Clock, sink::Sink};
-use medlarspur_fabric::Counts as Wire;
+use super::store::CallCounts;
+use crate::{clock::Clock, sink::LogSink};
+use medlarspur_fabric::Counts as SocketCounts;
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
 use medlarspur_marked::{Counts, Finding, Revision, Span};
 use medlarspur_operator::{ClassMeters, Family, Gauge, Meters};
@@ -17,7 +17,7 @@
 
 /// A copy of what the main thread counts and knows.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Numbers {
+pub struct Stats {
     /// Packets that were taken from the fabric.
     pub received: u64,
     /// Packets that are none, by reason.
@@ -25,7 +25,7 @@
     /// What the forwarder counts.
     pub counts: Counts,
     /// What the socket counts.
-    pub wire: Wire,
+    pub wire: SocketCounts,
     /// Flows with a record.
     pub flows: u64,
     /// Other instances that are known.
@@ -54,27 +54,27 @@
 
 /// The copy that scrapes read.
 #[derive(Debug, Default, Clone)]
-pub struct Published(Arc<Mutex<Numbers>>);
+pub struct SharedStats(Arc<Mutex<Stats>>);
 
-impl Published {
+impl SharedStats {
     /// Replaces the copy.
-    pub fn set(&self, numbers: Numbers) {
-        *self.lock() = numbers;
+    pub fn set(&self, stats: Stats) {
+        *self.lock() = stats;
     }
 
-    fn get(&self) -> Numbers {
+    fn get(&self) -> Stats {
         *self.lock()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Numbers> {
+    fn lock(&self) -> MutexGuard<'_, Stats> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 /// One series and where its value is found.
-type Series = (Family, &'static str, fn(&Numbers) -> u64);
+type CounterSeries = (Family, &'static str, fn(&Stats) -> u64);
 
-const SERIES: [Series; 33] = [
+const COUNTERS: [CounterSeries; 33] = [
     (Family::Packets, "received", |it| it.received),
     (Family::Packets, "forwarded", |it| it.counts.passed),
     (Family::Packets, "reopened", |it| it.counts.reopened),
@@ -111,9 +111,9 @@
 ];
 
 /// One gauge and where its value is found.
-type Level = (Gauge, fn(&Numbers) -> u64);
+type GaugeSeries = (Gauge, fn(&Stats) -> u64);
 
-const LEVELS: [Level; 12] = [
+const GAUGES: [GaugeSeries; 12] = [
     (Gauge::Ready, |it| u64::from(it.ready)),
     (Gauge::FlowsHeld, |it| it.flows),
     (Gauge::MembersLive, |it| it.members + 1),
@@ -131,12 +131,12 @@
 /// Shows all numbers.
 pub fn register(
     meters: &Meters,
-    published: &Published,
-    calls: &Arc<Calls>,
-    sink: Option<Sink>,
+    published: &SharedStats,
+    calls: &Arc<CallCounts>,
+    sink: Option<LogSink>,
     clock: Clock,
 ) {
-    for (family, label, value) in SERIES {
+    for (family, label, value) in COUNTERS {
         let read = published.clone();
         meters.observe(family, label, move || value(&read.get()));
     }
@@ -145,7 +145,7 @@
         let value = move || read.get().malformed[error as usize];
         meters.observe(Family::Drops, error.label(), value);
     }
-    for (gauge, value) in LEVELS {
+    for (gauge, value) in GAUGES {
         let read = published.clone();
         meters.gauge(gauge, move || value(&read.get()));
     }
@@ -168,15 +168,15 @@
 
 /// Records measured times, with the histograms at hand.
 #[derive(Clone)]
-pub struct Times {
+pub struct Histograms {
     meters: Meters,
     classes: Map<(ServiceName, Class), Arc<ClassMeters>>,
 }
 
-impl Times {
+impl Histograms {
     /// Records into these metrics.
-    pub fn new(meters: Meters) -> Times {
-        Times { meters, classes: Map::default() }
+    pub fn new(meters: Meters) -> Histograms {
+        Histograms { meters, classes: Map::default() }
     }
 
     /// Records one time.
--- a/daemon/src/marked/output.rs
+++ b/daemon/src/marked/output.rs
@@ -1,9 +1,9 @@
 //! Turns decisions into datagrams.
 
 use super::{
-    asker::Asker,
-    lines::{Lines, Picture},
-    meters::Times,
+    asker::Prober,
+    lines::{CatalogState, DecisionLog},
+    meters::Histograms,
 };
 use medlarspur_fabric::Outbox;
 use medlarspur_lib::{bundle::Class, ids::ServiceName, time::Millis};
@@ -12,40 +12,40 @@
 use std::net::SocketAddrV4;
 
 /// Gathers the datagrams of a round.
-pub struct Datagrams {
+pub struct RoundOutput {
     outbox: Outbox,
     scratch: Vec<u8>,
-    asker: Asker,
-    callers: u16,
-    lines: Lines,
-    picture: Picture,
+    prober: Prober,
+    caller_port: u16,
+    log: DecisionLog,
+    catalog: CatalogState,
     now: Millis,
-    times: Option<Times>,
+    histograms: Option<Histograms>,
 }
 
-impl Datagrams {
-    /// Callers take packets at the port `callers`.
-    pub fn new(asker: Asker, callers: u16, now: Millis) -> Datagrams {
-        Datagrams {
+impl RoundOutput {
+    /// Callers take packets at the port `caller_port`.
+    pub fn new(prober: Prober, caller_port: u16, now: Millis) -> RoundOutput {
+        RoundOutput {
             outbox: Outbox::new(),
             scratch: Vec::new(),
-            asker,
-            callers,
-            lines: Lines::new(now),
-            picture: Picture { revision: Revision::default(), age: None },
+            prober,
+            caller_port,
+            log: DecisionLog::new(now),
+            catalog: CatalogState { revision: Revision::default(), age: None },
             now,
-            times: None,
+            histograms: None,
         }
     }
 
-    /// Records measured times from now on.
-    pub fn measure_into(&mut self, times: Times) {
-        self.times = Some(times);
+    /// Records measured histograms from now on.
+    pub fn record_times(&mut self, histograms: Histograms) {
+        self.histograms = Some(histograms);
     }
 
-    /// Begins a round, in which decisions are made by this picture.
-    pub fn begin(&mut self, picture: Picture, now: Millis) {
-        self.picture = picture;
+    /// Begins a round, in which decisions are made by this catalog.
+    pub fn begin_round(&mut self, catalog: CatalogState, now: Millis) {
+        self.catalog = catalog;
         self.now = now;
     }
 
@@ -55,7 +55,7 @@
     }
 }
 
-impl Output for Datagrams {
+impl Output for RoundOutput {
     fn forward(&mut self, target: &Target, mark: Mark, bytes: &[u8]) {
         self.scratch.clear();
         packet::wrap(&target.name, mark, bytes, &mut self.scratch);
@@ -63,21 +63,21 @@
     }
 
     fn reset(&mut self, flow: &FlowKey, seq: u32) {
-        let to = SocketAddrV4::new(*flow.caller.ip(), self.callers);
+        let to = SocketAddrV4::new(*flow.caller.ip(), self.caller_port);
         self.outbox.push(to, &packet::reset(flow, seq));
     }
 
     fn ask(&mut self, target: &Target, path: &str) {
-        self.asker.ask(target, path);
+        self.prober.probe(target, path);
     }
 
     fn measure(&mut self, service: &ServiceName, class: Class, span: Span) {
-        if let Some(times) = &mut self.times {
-            times.record(service, class, span);
+        if let Some(histograms) = &mut self.histograms {
+            histograms.record(service, class, span);
         }
     }
 
     fn note(&mut self, note: Note) {
-        self.lines.write(&note, self.picture, self.now);
+        self.log.write(&note, self.catalog, self.now);
     }
 }
--- a/daemon/src/marked/peers.rs
+++ b/daemon/src/marked/peers.rs
@@ -1,6 +1,6 @@
 //! Messages to and from other instances, as datagrams by the main thread.
 
-use super::{inbox::Sender, pictures::Pictures};
+use super::{inbox::Sender, pictures::UpdateExchange};
 use medlarspur_lib::{settings::MarkedSettings, time::Millis};
 use medlarspur_marked::{
     Fleet, Outgoing,
@@ -24,7 +24,7 @@
     /// For datagrams.
     pub socket: ControlSocket,
     /// For what is too large for one.
-    pub pictures: Pictures,
+    pub exchange: UpdateExchange,
 }
 
 impl Peers {
@@ -43,11 +43,11 @@
         loop {
             let socket = ControlSocket::bind(control)?;
             let local = socket.local()?;
-            match Pictures::start(local, sender.clone()) {
-                Ok(pictures) => {
+            match UpdateExchange::start(local, sender.clone()) {
+                Ok(exchange) => {
                     let seed = rand::random();
                     let fleet = Fleet::new(local, &settings.domain, &settings.peers, seed, now);
-                    return Ok(Peers { fleet, socket, pictures });
+                    return Ok(Peers { fleet, socket, exchange });
                 }
                 Err(error) if control.port() != 0 || tries == PORT_TRIES => return Err(error),
                 Err(_) => tries += 1,
--- a/daemon/src/marked/store.rs
+++ b/daemon/src/marked/store.rs
@@ -1,7 +1,7 @@
 //! The thread that follows the store, as long as this instance is a reader.
 
 use super::{
-    current::Current,
+    current::LiveSettings,
     inbox::{Delivery, Event, Sender},
 };
 use medlarspur_marked::Revision;
@@ -21,11 +21,11 @@
 
 /// How many faults of one answer are listed. Another writer may fill the store with
 /// entries that can't be used, and each full reading would tell them all again.
-const MOST_FAULTS: usize = 20;
+const MAX_LISTED_FAULTS: usize = 20;
 
 /// How calls to the store ended.
 #[derive(Debug, Default)]
-pub struct Calls {
+pub struct CallCounts {
     /// With an answer.
     pub answered: AtomicU64,
     /// Without one that could be used.
@@ -38,98 +38,102 @@
 
 /// Tells the thread whether to read.
 #[derive(Debug)]
-pub struct Reading {
-    calls: Arc<Calls>,
-    shared: Arc<Mutex<Order>>,
+pub struct StoreReader {
+    calls: Arc<CallCounts>,
+    mode: Arc<Mutex<Mode>>,
     thread: Thread,
 }
 
 /// What the thread is to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Order {
+enum Mode {
     Read,
     /// Read on from there, or from what was read before if that is later.
     ReadFrom(Revision),
     Pause,
 }
 
-impl Reading {
-    /// Starts the thread for the store that the settings name. With `waits` it
+impl StoreReader {
+    /// Starts the thread for the store that the settings name. With `paused` it
     /// reads only once it is told to.
-    pub fn start(current: Arc<Current>, sender: Sender, waits: bool) -> io::Result<Reading> {
-        let first = if waits { Order::Pause } else { Order::Read };
-        let shared = Arc::new(Mutex::new(first));
-        let orders = shared.clone();
-        let calls = Arc::<Calls>::default();
+    pub fn start(
+        settings: Arc<LiveSettings>,
+        sender: Sender,
+        paused: bool,
+    ) -> io::Result<StoreReader> {
+        let first = if paused { Mode::Pause } else { Mode::Read };
+        let mode = Arc::new(Mutex::new(first));
+        let thread_mode = mode.clone();
+        let calls = Arc::<CallCounts>::default();
         let count = calls.clone();
-        let run = move || run(&current, &sender, &orders, &count);
+        let run = move || run(&settings, &sender, &thread_mode, &count);
         let thread = thread::Builder::new().name("store".to_owned()).spawn(run)?;
-        Ok(Reading { calls, shared, thread: thread.thread().clone() })
+        Ok(StoreReader { calls, mode, thread: thread.thread().clone() })
     }
 
     /// How its calls ended.
-    pub fn calls(&self) -> Arc<Calls> {
+    pub fn calls(&self) -> Arc<CallCounts> {
         self.calls.clone()
     }
 
     /// Goes on reading, from `known` on. Nothing happens if it does already.
-    pub fn go_on(&self, known: Revision) {
-        let mut order = lock(&self.shared);
-        if *order == Order::Pause {
-            *order = Order::ReadFrom(known);
+    pub fn unpause(&self, known: Revision) {
+        let mut mode = lock(&self.mode);
+        if *mode == Mode::Pause {
+            *mode = Mode::ReadFrom(known);
             self.thread.unpark();
         }
     }
 
     /// Reads on from `known`, which is of a later era than what was read. If the store is in an
     /// earlier one, it says so.
-    pub fn resume(&self, known: Revision) {
-        let mut order = lock(&self.shared);
-        if *order != Order::Pause {
-            *order = Order::ReadFrom(known);
+    pub fn read_from(&self, known: Revision) {
+        let mut mode = lock(&self.mode);
+        if *mode != Mode::Pause {
+            *mode = Mode::ReadFrom(known);
         }
     }
 
     /// Stops reading after the call under way.
     pub fn pause(&self) {
-        *lock(&self.shared) = Order::Pause;
+        *lock(&self.mode) = Mode::Pause;
     }
 
     /// Cuts a pause between calls short.
-    pub fn hurry(&self) {
+    pub fn wake(&self) {
         self.thread.unpark();
     }
 }
 
-fn lock(shared: &Mutex<Order>) -> MutexGuard<'_, Order> {
-    shared.lock().unwrap_or_else(PoisonError::into_inner)
+fn lock(mode: &Mutex<Mode>) -> MutexGuard<'_, Mode> {
+    mode.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// What to do now. A revision to read on from is taken once, under one lock, so
 /// that a pause which is ordered meanwhile stays.
-fn take(orders: &Mutex<Order>) -> Order {
-    let mut order = lock(orders);
-    match *order {
-        Order::ReadFrom(_) => std::mem::replace(&mut *order, Order::Read),
-        order => order,
+fn next_mode(mode: &Mutex<Mode>) -> Mode {
+    let mut mode = lock(mode);
+    match *mode {
+        Mode::ReadFrom(_) => std::mem::replace(&mut *mode, Mode::Read),
+        mode => mode,
     }
 }
 
-fn run(current: &Current, sender: &Sender, orders: &Mutex<Order>, calls: &Calls) {
-    let mut address = current.store();
+fn run(settings: &LiveSettings, sender: &Sender, mode: &Mutex<Mode>, calls: &CallCounts) {
+    let mut address = settings.store_address();
     let mut follower = Follower::new(Http::new(address));
     let mut reachable = None;
     loop {
-        match take(orders) {
-            Order::Read => {}
-            Order::ReadFrom(known) => follower.resume(known),
-            Order::Pause => {
+        match next_mode(mode) {
+            Mode::Read => {}
+            Mode::ReadFrom(known) => follower.resume(known),
+            Mode::Pause => {
                 thread::park();
                 continue;
             }
         }
-        if current.store() != address {
-            address = current.store();
+        if settings.store_address() != address {
+            address = settings.store_address();
             follower = Follower::new(Http::new(address));
         }
         let step = follower.step(rand::random());
@@ -138,20 +142,20 @@
         let assumed = step.faults.iter().filter(|it| it.is_assumed()).count();
         calls.assumed.fetch_add(assumed as u64, Relaxed);
         calls.omitted.fetch_add((step.faults.len() - assumed) as u64, Relaxed);
-        if note(&step, &mut reachable) {
-            current.reload();
+        if log_step(&step, &mut reachable) {
+            settings.reload();
         }
         let event = match step.news {
-            Some(news) => Event::Read { news, fell_back: step.fell_back },
-            None => Event::Unread,
+            Some(update) => Event::StoreRead { update, fell_back: step.fell_back },
+            None => Event::StoreFailed,
         };
         match sender.send(event) {
-            Delivery::Taken => {}
+            Delivery::Queued => {}
             Delivery::Full => {
                 log::warn!("store: news is read again, the inbox is full");
                 follower.start_over();
             }
-            Delivery::Ended => return,
+            Delivery::Closed => return,
         }
         if !step.pause.is_zero() {
             thread::park_timeout(step.pause);
@@ -161,12 +165,12 @@
 
 /// Logs what was not taken, and when the store is lost or regained; answers
 /// whether it was lost just now.
-fn note(step: &Step, reachable: &mut Option<bool>) -> bool {
-    for fault in step.faults.iter().take(MOST_FAULTS) {
+fn log_step(step: &Step, reachable: &mut Option<bool>) -> bool {
+    for fault in step.faults.iter().take(MAX_LISTED_FAULTS) {
         let outcome = if fault.is_assumed() { "taken with a default" } else { "not taken" };
         log::warn!("store: {outcome}: {}", Report::from_error(fault));
     }
-    let others = step.faults.len().saturating_sub(MOST_FAULTS);
+    let others = step.faults.len().saturating_sub(MAX_LISTED_FAULTS);
     if others > 0 {
         log::warn!("store: {others} more faults, not listed");
     }
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -4,12 +4,12 @@
 //! a scrape reads the copies, so it never holds a thread up.
 
 use crate::shared::{Shared, Stage};
-use medlarspur_fabric::Counts as Wire;
+use medlarspur_fabric::Counts as SocketCounts;
 use medlarspur_lib::{bundle::Refusal, members::MemberState, view::View};
 use medlarspur_operator::{Family, Gauge, Meters};
-use medlarspur_peer::{Counters as Peers, Kind};
-use medlarspur_platform::Counts as Platform;
-use medlarspur_target::Counts as Probes;
+use medlarspur_peer::{Counters as PeerCounters, Kind};
+use medlarspur_platform::Counts as PlatformCounts;
+use medlarspur_target::Counts as ProbeCounts;
 use std::sync::{Arc, atomic::Ordering::Relaxed};
 
 /// The label of bundles that came into force.
@@ -20,7 +20,7 @@
 /// One series of a family and where its value is found.
 type Series<T> = (&'static str, fn(&T) -> u64);
 
-const WIRE: [Series<Wire>; 7] = [
+const SOCKETS: [Series<SocketCounts>; 7] = [
     ("oversize", |counts| counts.oversize),
     ("empty", |counts| counts.empty),
     ("send-full", |counts| counts.full),
@@ -30,7 +30,7 @@
     ("receive-failed", |counts| counts.interrupted),
 ];
 
-const PLATFORM: [Series<Platform>; 7] = [
+const PLATFORM: [Series<PlatformCounts>; 7] = [
     ("changed", |counts| counts.changed),
     ("unchanged", |counts| counts.unchanged),
     ("unreachable", |counts| counts.unreachable),
@@ -40,7 +40,7 @@
     ("malformed", |counts| counts.malformed),
 ];
 
-const PROBES: [Series<Probes>; 5] = [
+const PROBES: [Series<ProbeCounts>; 5] = [
     ("healthy", |counts| counts.healthy),
     ("unhealthy", |counts| counts.unhealthy),
     ("unreachable", |counts| counts.unreachable),
@@ -48,7 +48,7 @@
     ("mute", |counts| counts.mute),
 ];
 
-const MESSAGES: [Series<Peers>; 8] = [
+const MESSAGES: [Series<PeerCounters>; 8] = [
     ("sent", |counters| counters.sent.iter().map(|it| it.messages).sum()),
     ("received", |counters| counters.received.iter().map(|it| it.messages).sum()),
     ("dropped", |counters| counters.dropped),
@@ -63,24 +63,24 @@
 pub fn register(meters: &Meters, shared: &Arc<Shared>) {
     let read = shared.clone();
     meters.forwarder(move || read.counters.load_full());
-    bundles(meters);
-    wires(meters, shared);
-    platform(meters, shared);
-    probes(meters, shared);
-    peers(meters, shared);
-    gauges(meters, shared);
+    register_bundles(meters);
+    register_sockets(meters, shared);
+    register_platform(meters, shared);
+    register_probes(meters, shared);
+    register_peers(meters, shared);
+    register_gauges(meters, shared);
     let read = shared.clone();
     meters.observe(Family::Rings, "threads", move || read.overruns.load(Relaxed));
 }
 
-fn bundles(meters: &Meters) {
+fn register_bundles(meters: &Meters) {
     for label in Refusal::REASONS.into_iter().chain([ACCEPTED, INCOMPLETE]) {
         meters.count(Family::Bundles, label);
     }
 }
 
-fn wires(meters: &Meters, shared: &Arc<Shared>) {
-    for (label, value) in WIRE {
+fn register_sockets(meters: &Meters, shared: &Arc<Shared>) {
+    for (label, value) in SOCKETS {
         let read = shared.clone();
         meters.observe(Family::Drops, label, move || {
             value(&read.fabric.load()) + value(&read.questions.load())
@@ -88,7 +88,7 @@
     }
 }
 
-fn platform(meters: &Meters, shared: &Arc<Shared>) {
+fn register_platform(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in PLATFORM {
         let read = shared.clone();
         meters.observe(Family::Platform, label, move || value(&read.platform.load()));
@@ -97,7 +97,7 @@
     meters.observe(Family::Rings, "platform", move || read.platform.load().full);
 }
 
-fn probes(meters: &Meters, shared: &Arc<Shared>) {
+fn register_probes(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in PROBES {
         let read = shared.clone();
         meters.observe(Family::Probes, label, move || value(&read.probes.load()));
@@ -106,7 +106,7 @@
     meters.observe(Family::Rings, "probes", move || read.probes.load().full);
 }
 
-fn peers(meters: &Meters, shared: &Arc<Shared>) {
+fn register_peers(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in MESSAGES {
         let read = shared.clone();
         meters.observe(Family::Messages, label, move || value(&read.peers.load()));
@@ -120,29 +120,29 @@
     }
 }
 
-fn gauges(meters: &Meters, shared: &Arc<Shared>) {
+fn register_gauges(meters: &Meters, shared: &Arc<Shared>) {
     let gauge = |gauge, value: fn(&Shared) -> u64| {
         let read = shared.clone();
         meters.gauge(gauge, move || value(&read));
     };
     gauge(Gauge::Ready, |shared| u64::from(shared.stage() == Stage::Serving));
     gauge(Gauge::FlowsHeld, |shared| shared.flows.load(Relaxed));
-    gauge(Gauge::MembersLive, |shared| viewed(shared, live));
-    gauge(Gauge::BundleVersion, |shared| viewed(shared, |view| view.bundle.version.0));
+    gauge(Gauge::MembersLive, |shared| view_value(shared, count_live));
+    gauge(Gauge::BundleVersion, |shared| view_value(shared, |view| view.bundle.version.0));
     gauge(Gauge::BundleConflict, |shared| u64::from(shared.conflict.load(Relaxed)));
-    gauge(Gauge::BucketsMoving, |shared| viewed(shared, moving));
+    gauge(Gauge::BucketsMoving, |shared| view_value(shared, count_moving));
     gauge(Gauge::PlatformReachable, |shared| u64::from(shared.platform.load().reachable));
 }
 
-fn viewed(shared: &Shared, value: fn(&View) -> u64) -> u64 {
+fn view_value(shared: &Shared, value: fn(&View) -> u64) -> u64 {
     shared.view.load().as_ref().map_or(0, |view| value(view))
 }
 
-fn live(view: &View) -> u64 {
+fn count_live(view: &View) -> u64 {
     view.members.iter().filter(|member| member.state == MemberState::Live).count() as u64
 }
 
-fn moving(view: &View) -> u64 {
+fn count_moving(view: &View) -> u64 {
     let buckets = view.services.iter().flat_map(|service| &service.buckets);
     buckets.filter(|bucket| bucket.in_doubt()).count() as u64
 }
--- a/daemon/src/outbox.rs
+++ b/daemon/src/outbox.rs
@@ -1,8 +1,8 @@
 //! What the forwarder wants sent, gathered until the end of a round, so that
 //! one system call sends many packets.
 
-use crate::shared::{Outgoing, Shared};
-use medlarspur_fabric::{Outbox as Gathered, Socket};
+use crate::shared::{KeeperAdvert, Shared};
+use medlarspur_fabric::{Outbox as SendQueue, Socket};
 use medlarspur_lib::{
     forwarder::Sink, ids::InstanceName, message::Advert, question::Datagram, settings::Secret,
 };
@@ -11,24 +11,24 @@
 
 /// The sink of the packet thread.
 pub struct Outbox {
-    packets: Gathered,
-    questions: Gathered,
-    returns: SocketAddrV4,
+    packets: SendQueue,
+    questions: SendQueue,
+    return_address: SocketAddrV4,
     secret: Secret,
-    adverts: Producer<Outgoing>,
+    adverts: Producer<KeeperAdvert>,
     shared: Arc<Shared>,
 }
 
 impl Outbox {
-    /// Sends packets for callers to `returns` and signs questions by `secret`.
+    /// Sends packets for callers to `return_address` and signs questions by `secret`.
     pub fn new(
-        returns: SocketAddrV4,
+        return_address: SocketAddrV4,
         secret: Secret,
-        adverts: Producer<Outgoing>,
+        adverts: Producer<KeeperAdvert>,
         shared: Arc<Shared>,
     ) -> Outbox {
-        let (packets, questions) = (Gathered::new(), Gathered::new());
-        Outbox { packets, questions, returns, secret, adverts, shared }
+        let (packets, questions) = (SendQueue::new(), SendQueue::new());
+        Outbox { packets, questions, return_address, secret, adverts, shared }
     }
 
     /// Sends what was gathered.
@@ -44,7 +44,7 @@
     }
 
     fn answer(&mut self, packet: Vec<u8>) {
-        self.packets.push(self.returns, &packet);
+        self.packets.push(self.return_address, &packet);
     }
 
     fn ask(&mut self, peer: SocketAddrV4, datagram: Datagram) {
@@ -52,8 +52,8 @@
     }
 
     fn advert(&mut self, keeper: &InstanceName, advert: Advert) {
-        if self.adverts.push(Outgoing { keeper: keeper.clone(), advert }).is_err() {
-            self.shared.overrun();
+        if self.adverts.push(KeeperAdvert { keeper: keeper.clone(), advert }).is_err() {
+            self.shared.count_overrun();
         }
     }
 }
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -6,7 +6,7 @@
     gate::LoadGate,
     outbox::Outbox,
     sample::Sampler,
-    shared::{Command, Known, Look, Outgoing, Shared},
+    shared::{Command, FlowQuery, KeeperAdvert, KnownFlow, Shared},
 };
 use arc_swap::Cache;
 use medlarspur_fabric::{Batch, Listener, Socket, SocketError, Wire, wait};
@@ -22,34 +22,34 @@
 
 /// How long the thread sleeps at most: bounds how late a held packet's time
 /// limit is noticed.
-const WAIT: Duration = Duration::from_millis(5);
+const MAX_WAIT: Duration = Duration::from_millis(5);
 
 /// How often counters are published.
-const PUBLISH: Millis = Millis(250);
+const PUBLISH_INTERVAL: Millis = Millis(250);
 
 /// A gap between two rounds that means that the process slept. A busy machine
 /// delays a round by tens of milliseconds, not by this.
-const SLEPT: Millis = Millis(500);
+const PAUSE_THRESHOLD: Millis = Millis(500);
 
 /// For how many flows there is room from the start.
-const CAPACITY: usize = 65_536;
+const INITIAL_FLOWS: usize = 65_536;
 
 /// What the packet thread works with.
-pub struct Packets {
+pub struct PacketParts {
     /// Takes packets from the fabric.
     pub fabric: Listener,
     /// Exchanges questions with peers.
     pub questions: Listener,
     /// Where packets for callers go.
-    pub returns: std::net::SocketAddrV4,
+    pub return_address: std::net::SocketAddrV4,
     /// The key of the questions.
     pub secret: Secret,
     /// What other threads ask.
     pub commands: Consumer<Command>,
     /// What operators ask.
-    pub looks: Receiver<Look>,
+    pub queries: Receiver<FlowQuery>,
     /// Adverts for keepers.
-    pub adverts: Producer<Outgoing>,
+    pub adverts: Producer<KeeperAdvert>,
     /// The decisions on openings.
     pub gate: LoadGate,
     /// Measures how long packets stay here.
@@ -61,46 +61,46 @@
 }
 
 /// Runs until told to stop.
-pub fn run(parts: Packets) -> Result<(), SocketError> {
-    let Packets {
+pub fn run(parts: PacketParts) -> Result<(), SocketError> {
+    let PacketParts {
         fabric,
         questions,
-        returns,
+        return_address,
         secret,
         commands,
-        looks,
+        queries,
         adverts,
         gate,
         sampler,
         clock,
         shared,
     } = parts;
-    let outbox = Outbox::new(returns, secret.clone(), adverts, shared.clone());
-    let mut thread = Thread {
-        forwarder: Forwarder::new(gate, CAPACITY),
+    let outbox = Outbox::new(return_address, secret.clone(), adverts, shared.clone());
+    let mut thread = PacketThread {
+        forwarder: Forwarder::new(gate, INITIAL_FLOWS),
         view: Cache::new(&shared.view),
-        installed: 0,
+        installed_epoch: 0,
         fabric: fabric.into(),
         questions: questions.into(),
         secret,
         outbox,
         sampler,
         commands,
-        looks,
-        published: Millis(0),
-        last: clock.now(),
+        queries,
+        last_published: Millis(0),
+        last_round: clock.now(),
     };
     let mut batch = Batch::new();
-    while !shared.stops() {
-        wait([thread.fabric.as_fd(), thread.questions.as_fd()], Some(WAIT))?;
+    while !shared.should_stop() {
+        wait([thread.fabric.as_fd(), thread.questions.as_fd()], Some(MAX_WAIT))?;
         let now = clock.now();
-        thread.watch_clock(now);
-        thread.follow(now);
-        thread.obey(now);
+        thread.detect_pause(now);
+        thread.install_view(now);
+        thread.handle_commands(now);
         thread.answer_peers(now, &mut batch)?;
         let received = thread.forward(now, &mut batch)?;
         if received > 0 {
-            shared.heard.store(now.0, Relaxed);
+            shared.last_packet.store(now.0, Relaxed);
         }
         thread.forwarder.tick(now, &mut thread.outbox);
         thread.outbox.flush(&mut thread.fabric, &mut thread.questions);
@@ -110,82 +110,82 @@
     Ok(())
 }
 
-struct Thread<'a> {
+struct PacketThread<'a> {
     forwarder: Forwarder<LoadGate>,
     view: Cache<&'a arc_swap::ArcSwapOption<View>, Option<Arc<View>>>,
-    installed: u64,
+    installed_epoch: u64,
     fabric: Socket,
     questions: Socket,
     secret: Secret,
     outbox: Outbox,
     sampler: Sampler,
     commands: Consumer<Command>,
-    looks: Receiver<Look>,
-    published: Millis,
-    last: Millis,
+    queries: Receiver<FlowQuery>,
+    last_published: Millis,
+    last_round: Millis,
 }
 
-impl Thread<'_> {
-    fn watch_clock(&mut self, now: Millis) {
-        if now.since(self.last) > SLEPT {
-            self.wake(now);
-            log::warn!("slept_ms={}", now.since(self.last));
+impl PacketThread<'_> {
+    fn detect_pause(&mut self, now: Millis) {
+        if now.since(self.last_round) > PAUSE_THRESHOLD {
+            self.resume(now);
+            log::warn!("slept_ms={}", now.since(self.last_round));
         }
-        self.last = now;
+        self.last_round = now;
     }
 
-    fn wake(&mut self, now: Millis) {
+    fn resume(&mut self, now: Millis) {
         self.forwarder.wake(now);
-        self.forwarder.gate().wake(now);
+        self.forwarder.gate().resume(now);
     }
 
-    fn follow(&mut self, now: Millis) {
+    fn install_view(&mut self, now: Millis) {
         let Some(view) = self.view.load() else { return };
-        if view.epoch == self.installed {
+        if view.epoch == self.installed_epoch {
             return;
         }
-        if self.installed == 0 {
+        if self.installed_epoch == 0 {
             // A new instance knows no flow and not yet what moved before it
             // came; until its peers have told it, it asks.
             self.forwarder.distrust(now);
         }
-        self.installed = view.epoch;
+        self.installed_epoch = view.epoch;
         self.forwarder.install(view.clone(), now);
     }
 
-    fn obey(&mut self, now: Millis) {
+    fn handle_commands(&mut self, now: Millis) {
         while let Ok(command) = self.commands.pop() {
             match command {
                 Command::Advert(advert) => self.forwarder.advert(now, &advert),
-                Command::Distrust => self.wake(now),
-                Command::Probed(event) => self.forwarder.gate().probed(now, &event),
+                Command::Paused => self.resume(now),
+                Command::Probed(event) => self.forwarder.gate().record_probe(now, &event),
             }
         }
-        while let Ok(look) = self.looks.try_recv() {
-            self.look(look, now);
+        while let Ok(query) = self.queries.try_recv() {
+            self.answer_query(query, now);
         }
     }
 
     /// Answers an operator; one that has gone away misses the answer.
-    fn look(&self, look: Look, now: Millis) {
+    fn answer_query(&self, query: FlowQuery, now: Millis) {
         let flows = self.forwarder.flows();
-        let known = |(id, flow): (_, &medlarspur_lib::flows::Flow)| Known {
+        let known = |(id, flow): (_, &medlarspur_lib::flows::Flow)| KnownFlow {
             id,
             flow: *flow,
             age: flow.age(now),
             idle: flow.idle(now),
         };
-        match look {
-            Look::One(key, reply) => {
+        match query {
+            FlowQuery::One(key, reply) => {
                 let id = self.forwarder.view().map(|view| view.hasher.id(&key));
                 let found = id.and_then(|id| flows.get(id).map(|flow| known((id, flow))));
                 let _ = reply.try_send(found);
             }
-            Look::Some(limit, reply) => {
+            FlowQuery::List(limit, reply) => {
                 let some = flows.iter().take(limit).map(known).collect();
                 let _ = reply.try_send(some);
             }
-            Look::Counts(reply) => {
+            FlowQuery::Counts(reply) => {
                 let mut counts = Vec::new();
                 for (_, flow) in flows.iter() {
                     let ix = flow.target.0 as usize;
@@ -222,11 +222,11 @@
     }
 
     fn publish(&mut self, now: Millis, shared: &Shared) {
-        if now.since(self.published) < PUBLISH {
+        if now.since(self.last_published) < PUBLISH_INTERVAL {
             return;
         }
-        self.published = now;
-        shared.told.store(self.forwarder.has_told(), Relaxed);
+        self.last_published = now;
+        shared.keepers_updated.store(self.forwarder.has_told(), Relaxed);
         shared.counters.store(Arc::new(self.forwarder.counters().clone()));
         shared.fabric.store(Arc::new(self.fabric.counts()));
         shared.questions.store(Arc::new(self.questions.counts()));
--- a/daemon/src/sample.rs
+++ b/daemon/src/sample.rs
@@ -11,23 +11,23 @@
 /// Chooses the packets that are measured.
 pub struct Sampler {
     meters: Meters,
-    last: Millis,
+    last_sample: Millis,
     sample: Option<(Instant, Arc<ClassMeters>)>,
 }
 
 impl Sampler {
     /// Records in `meters`.
     pub fn new(meters: Meters) -> Sampler {
-        Sampler { meters, last: Millis(0), sample: None }
+        Sampler { meters, last_sample: Millis(0), sample: None }
     }
 
     /// Looks at the first packet of a round, which has just been received.
     pub fn begin(&mut self, now: Millis, bytes: &[u8], view: Option<&Arc<View>>) {
-        let Some(view) = view.filter(|_| now != self.last) else { return };
+        let Some(view) = view.filter(|_| now != self.last_sample) else { return };
         let Ok(packet) = Packet::parse(bytes) else { return };
         let key = packet.key();
         let Some((service, class)) = view.find(key.service, key.protocol) else { return };
-        self.last = now;
+        self.last_sample = now;
         let meters = self.meters.class(&service.spec.name, class);
         self.sample = Some((Instant::now(), meters));
     }
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -20,7 +20,7 @@
 
 /// How many messages fit into a ring between two threads: more than one tick
 /// of the slower one brings.
-pub const RING: usize = 1024;
+pub const RING_CAPACITY: usize = 1024;
 
 /// What the control thread asks of the packet thread.
 #[derive(Debug)]
@@ -28,25 +28,25 @@
     /// A peer's advert for this instance as a keeper.
     Advert(Advert),
     /// The process slept.
-    Distrust,
+    Paused,
     /// A probe of a target has ended.
     Probed(medlarspur_target::Event),
 }
 
 /// A question of an operator about flows.
 #[derive(Debug)]
-pub enum Look {
+pub enum FlowQuery {
     /// What is known of one flow.
-    One(FlowKey, SyncSender<Option<Known>>),
+    One(FlowKey, SyncSender<Option<KnownFlow>>),
     /// Some of the flows.
-    Some(usize, SyncSender<Vec<Known>>),
+    List(usize, SyncSender<Vec<KnownFlow>>),
     /// How many flows go to each target, by its local id.
     Counts(SyncSender<Vec<u64>>),
 }
 
 /// What the packet thread knows of a flow.
 #[derive(Debug, Clone)]
-pub struct Known {
+pub struct KnownFlow {
     /// The flow's id.
     pub id: medlarspur_lib::ids::FlowId,
     /// What the flow table holds.
@@ -59,7 +59,7 @@
 
 /// What the packet thread hands to the control thread.
 #[derive(Debug)]
-pub struct Outgoing {
+pub struct KeeperAdvert {
     /// The instance that keeps the flows.
     pub keeper: InstanceName,
     /// The flows.
@@ -100,19 +100,19 @@
     /// What the forwarder counted; written by the packet thread.
     pub counters: ArcSwap<Counters>,
     /// The bundle in force as it was signed off; written by the control thread.
-    pub signed: ArcSwapOption<Signed>,
+    pub signed_bundle: ArcSwapOption<Signed>,
     /// When it was accepted.
-    pub accepted: AtomicU64,
+    pub accepted_at: AtomicU64,
     /// Whether its version was seen with two contents.
     pub conflict: AtomicBool,
     /// Which life of the instance this is.
     pub incarnation: AtomicU64,
     /// Whether keepers were told all; written by the packet thread.
-    pub told: AtomicBool,
+    pub keepers_updated: AtomicBool,
     /// How many flows are known; written by the packet thread.
     pub flows: AtomicU64,
     /// When the last packet came; written by the packet thread.
-    pub heard: AtomicU64,
+    pub last_packet: AtomicU64,
     /// Messages that found a ring full.
     pub overruns: AtomicU64,
     /// What the socket of the fabric counted; written by the packet thread.
@@ -144,18 +144,18 @@
     }
 
     /// Enters a stage; only `life` does.
-    pub(crate) fn enter(&self, stage: Stage) {
+    pub(crate) fn set_stage(&self, stage: Stage) {
         self.stage.store(stage as u8, Relaxed);
         log::info!("stage={}", stage.label());
     }
 
     /// Whether the threads shall end.
-    pub fn stops(&self) -> bool {
+    pub fn should_stop(&self) -> bool {
         self.stop.load(Relaxed)
     }
 
     /// Counts a message that found a ring full.
-    pub fn overrun(&self) {
+    pub fn count_overrun(&self) {
         self.overruns.fetch_add(1, Relaxed);
     }
 }
--- a/daemon/src/sink.rs
+++ b/daemon/src/sink.rs
@@ -19,18 +19,18 @@
 
 /// How many lines may wait: the most that all budgets let through in a second,
 /// twice over.
-const ROOM: usize = 4_096;
+const CAPACITY: usize = 4_096;
 /// How long the thread waits after it has written. Lines come in groups, and
 /// each wake-up and write costs processor time.
-const GATHER: Duration = Duration::from_millis(200);
+const BATCH_DELAY: Duration = Duration::from_millis(200);
 /// How long the end of the process waits for the last lines.
-const FLUSH: Duration = Duration::from_millis(300);
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 /// The thread needs little more than a buffer on the heap.
-const STACK: usize = 64 << 10;
+const STACK_SIZE: usize = 64 << 10;
 
 /// Takes whole lines.
 #[derive(Debug, Clone)]
-pub struct Sink {
+pub struct LogSink {
     lines: SyncSender<Item>,
     lost: Arc<AtomicU64>,
 }
@@ -42,14 +42,14 @@
     Flush(SyncSender<()>),
 }
 
-impl Sink {
+impl LogSink {
     /// Starts a thread that writes to `out`.
-    pub fn start(out: impl Write + Send + 'static) -> io::Result<Sink> {
-        let (lines, waiting) = sync_channel(ROOM);
+    pub fn start(out: impl Write + Send + 'static) -> io::Result<LogSink> {
+        let (lines, waiting) = sync_channel(CAPACITY);
         let lost = Arc::<AtomicU64>::default();
-        let sink = Sink { lines, lost: lost.clone() };
+        let sink = LogSink { lines, lost: lost.clone() };
         let run = move || write_all(out, &waiting, &lost);
-        thread::Builder::new().name("log".to_owned()).stack_size(STACK).spawn(run)?;
+        thread::Builder::new().name("log".to_owned()).stack_size(STACK_SIZE).spawn(run)?;
         Ok(sink)
     }
 
@@ -63,12 +63,12 @@
         let (done, wait) = sync_channel(1);
         if self.lines.try_send(Item::Flush(done)).is_ok() {
             // Nobody reads if this times out, and the process ends all the same.
-            let _ = wait.recv_timeout(FLUSH);
+            let _ = wait.recv_timeout(FLUSH_TIMEOUT);
         }
     }
 }
 
-impl Write for Sink {
+impl Write for LogSink {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         match self.lines.try_send(Item::Line(line.into())) {
             Ok(()) => {}
@@ -85,22 +85,22 @@
 }
 
 fn write_all(mut out: impl Write, waiting: &Receiver<Item>, lost: &AtomicU64) {
-    let mut told = 0;
+    let mut reported = 0;
     let mut text = Vec::new();
     while let Ok(first) = waiting.recv() {
         let mut flushes = Vec::new();
         // No more at once than the ring holds: whoever logs may be faster than this
         // loop, and the text would grow without end.
-        for item in iter::once(first).chain(waiting.try_iter().take(ROOM)) {
+        for item in iter::once(first).chain(waiting.try_iter().take(CAPACITY)) {
             match item {
                 Item::Line(line) => text.extend_from_slice(&line),
                 Item::Flush(done) => flushes.push(done),
             }
         }
         let now_lost = lost.load(Relaxed);
-        if now_lost > told {
-            text.extend(format!("log lines lost={}\n", now_lost - told).into_bytes());
-            told = now_lost;
+        if now_lost > reported {
+            text.extend(format!("log lines lost={}\n", now_lost - reported).into_bytes());
+            reported = now_lost;
         }
         // With standard output gone there is nowhere to say so; the counter of
         // lost lines in the metrics goes on.
@@ -109,7 +109,7 @@
         }
         text.clear();
         if flushes.is_empty() {
-            thread::sleep(GATHER);
+            thread::sleep(BATCH_DELAY);
         }
         for done in flushes {
             let _ = done.try_send(());
--- a/daemon/src/status.rs
+++ b/daemon/src/status.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Clock,
-    shared::{Known, Look, Shared, Stage},
+    shared::{FlowQuery, KnownFlow, Shared, Stage},
 };
 use medlarspur_lib::{
     ids::{FlowId, Incarnation, TargetName},
@@ -11,7 +11,7 @@
     settings::Settings,
     status::{
         BundleStatus, Explanation, FlowStatus, Life, MemberStatus, Owner, PlanStatus, Reason,
-        ServiceStatus, Status as Shown, TargetStatus, Unready,
+        ServiceStatus, Status, TargetStatus, Unready,
     },
     time::Millis,
     view::{BucketView, Registry, ServiceView, TargetId, View},
@@ -27,36 +27,36 @@
 };
 
 /// How long an operator waits for the packet thread. It answers within a
-/// round, some milliseconds; if it doesn't, less is shown.
-const PATIENCE: Duration = Duration::from_millis(250);
+/// round, some milliseconds; if it doesn't, less is explanation.
+const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Answers operators from what the threads share.
-pub struct Status {
+pub struct StatusSource {
     settings: Settings,
     shared: Arc<Shared>,
-    looks: SyncSender<Look>,
+    queries: SyncSender<FlowQuery>,
     clock: Clock,
 }
 
-impl Status {
+impl StatusSource {
     /// Shows the instance of these settings.
     pub fn new(
         settings: &Settings,
         shared: Arc<Shared>,
-        looks: SyncSender<Look>,
+        queries: SyncSender<FlowQuery>,
         clock: Clock,
-    ) -> Status {
-        Status { settings: settings.clone(), shared, looks, clock }
+    ) -> StatusSource {
+        StatusSource { settings: settings.clone(), shared, queries, clock }
     }
 
-    fn ask<T>(&self, look: impl FnOnce(SyncSender<T>) -> Look) -> Option<T> {
+    fn ask<T>(&self, query: impl FnOnce(SyncSender<T>) -> FlowQuery) -> Option<T> {
         let (reply, answer): (_, Receiver<T>) = sync_channel(1);
-        self.looks.try_send(look(reply)).ok()?;
-        answer.recv_timeout(PATIENCE).ok()
+        self.queries.try_send(query(reply)).ok()?;
+        answer.recv_timeout(REPLY_TIMEOUT).ok()
     }
 
     fn bundle(&self, view: &View) -> BundleStatus {
-        let signed = self.shared.signed.load();
+        let signed = self.shared.signed_bundle.load();
         let (digest, key) = signed
             .as_ref()
             .map(|signed| (hex::encode(signed.digest), signed.key.to_string()))
@@ -65,13 +65,13 @@
             version: view.bundle.version,
             digest,
             key,
-            age: self.clock.now().since(Millis(self.shared.accepted.load(Relaxed))),
+            age: self.clock.now().since(Millis(self.shared.accepted_at.load(Relaxed))),
             conflict: self.shared.conflict.load(Relaxed),
         }
     }
 }
 
-impl Status {
+impl StatusSource {
     fn services(&self, view: &View, flows: &[u64]) -> Vec<ServiceStatus> {
         let plans = self.shared.plans.load();
         let status = |service: &Arc<ServiceView>| {
@@ -82,12 +82,12 @@
     }
 }
 
-impl Source for Status {
-    fn status(&self) -> Shown {
+impl Source for StatusSource {
+    fn status(&self) -> Status {
         let view = self.shared.view.load_full();
         let stage = self.shared.stage();
-        let flows = self.ask(Look::Counts).unwrap_or_default();
-        Shown {
+        let flows = self.ask(FlowQuery::Counts).unwrap_or_default();
+        Status {
             site: self.settings.site.clone(),
             name: self.settings.name.clone(),
             domain: self.settings.domain.clone(),
@@ -104,8 +104,8 @@
 
     fn explain(&self, flow: &FlowKey) -> Explanation {
         let view = self.shared.view.load_full();
-        let known = self.ask(|reply| Look::One(*flow, reply)).flatten();
-        let mut shown = Explanation {
+        let known = self.ask(|reply| FlowQuery::One(*flow, reply)).flatten();
+        let mut explanation = Explanation {
             flow: *flow,
             id: None,
             service: None,
@@ -118,33 +118,35 @@
             history: Vec::new(),
             keepers: Vec::new(),
         };
-        let Some(view) = view else { return shown };
-        shown.bundle = Some(self.bundle(&view));
-        shown.id = Some(flow_id(view.hasher.id(flow)));
-        shown.reason = Reason::NoService;
-        let Some((service, class)) = view.find(flow.service, flow.protocol) else { return shown };
+        let Some(view) = view else { return explanation };
+        explanation.bundle = Some(self.bundle(&view));
+        explanation.id = Some(flow_id(view.hasher.id(flow)));
+        explanation.reason = Reason::NoService;
+        let Some((service, class)) = view.find(flow.service, flow.protocol) else {
+            return explanation;
+        };
         let bucket = service.bucket(view.hasher.id(flow));
         let state = service.state(bucket);
-        shown.service = Some(service.spec.name.clone());
-        shown.class = Some(class);
-        shown.bucket = Some(bucket);
-        shown.keepers = service.keepers.of(bucket).cloned().collect();
-        shown.history = owners(state, &view.registry, self.clock.now());
+        explanation.service = Some(service.spec.name.clone());
+        explanation.class = Some(class);
+        explanation.bucket = Some(bucket);
+        explanation.keepers = service.keepers.of(bucket).cloned().collect();
+        explanation.history = owners(state, &view.registry, self.clock.now());
         let plans = self.shared.plans.load();
         let plan = plans.get(&service.spec.name);
-        shown.plan = plan.map(|plan| plan_status(plan));
+        explanation.plan = plan.map(|plan| plan_status(plan));
         let planned = plan.is_some_and(|plan| plan.moves.iter().any(|(b, _)| *b == bucket));
         let (target, reason) =
-            choose(known, state, planned, view.orphaned(service, self.clock.now()));
-        shown.target = target.map(|id| view.registry.get(id).name.clone());
-        shown.reason = reason;
-        shown
+            explain_choice(known, state, planned, view.orphaned(service, self.clock.now()));
+        explanation.target = target.map(|id| view.registry.get(id).name.clone());
+        explanation.reason = reason;
+        explanation
     }
 
     fn flows(&self, limit: usize) -> Vec<FlowStatus> {
         let Some(view) = self.shared.view.load_full() else { return Vec::new() };
-        let some = self.ask(|reply| Look::Some(limit, reply)).unwrap_or_default();
-        some.iter().filter_map(|known| flow(&view, known)).collect()
+        let flows = self.ask(|reply| FlowQuery::List(limit, reply)).unwrap_or_default();
+        flows.iter().filter_map(|known| flow(&view, known)).collect()
     }
 }
 
@@ -166,13 +168,13 @@
 }
 
 fn members(view: &View) -> Vec<MemberStatus> {
-    let shown = |member: &medlarspur_lib::members::Member| MemberStatus {
+    let status = |member: &medlarspur_lib::members::Member| MemberStatus {
         name: member.name.clone(),
         domain: member.domain.clone(),
         state: member.state,
         version: member.version,
     };
-    view.members.iter().map(shown).collect()
+    view.members.iter().map(status).collect()
 }
 
 fn service_status(view: &View, service: &ServiceView, flows: &[u64]) -> ServiceStatus {
@@ -216,8 +218,8 @@
     PlanStatus { sequence, author, moves: plan.moves.len() as u32 }
 }
 
-fn choose(
-    known: Option<Known>,
+fn explain_choice(
+    known: Option<KnownFlow>,
     state: &BucketView,
     planned: bool,
     orphaned: Millis,
@@ -235,7 +237,7 @@
     format!("{:016x}", id.0)
 }
 
-fn flow(view: &View, known: &Known) -> Option<FlowStatus> {
+fn flow(view: &View, known: &KnownFlow) -> Option<FlowStatus> {
     let entry = view.registry.get(known.flow.target);
     let service = view.service(&entry.service)?;
     let state = service.state(service.bucket(known.id));
--- a/daemon/tests/marked.rs
+++ b/daemon/tests/marked.rs
@@ -13,7 +13,7 @@
 };
 
 /// How long anything is waited for; far more than it takes on a busy machine.
-pub const PATIENCE: Duration = Duration::from_secs(40);
+pub const TIMEOUT: Duration = Duration::from_secs(40);
 
 /// A site with that many targets and instances in rotation, and no callers.
 pub fn site(targets: usize, instances: usize) -> Site {
@@ -26,12 +26,12 @@
     for _ in 0..instances {
         site.add_instance().expect("an instance");
     }
-    assert!(site.wait_for_rotation(instances, PATIENCE), "the instances are ready");
+    assert!(site.wait_for_rotation(instances, TIMEOUT), "the instances are ready");
     site
 }
 
 /// Has some callers of each class come.
-pub fn come(site: &mut Site) {
+pub fn add_mixed_callers(site: &mut Site) {
     site.add_callers(Class::Feed, 12);
     site.add_callers(Class::Request, 5);
     site.add_callers(Class::Upload, 2);
@@ -39,7 +39,7 @@
 
 /// Waits until something holds.
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
         thread::sleep(Duration::from_millis(20));
@@ -57,15 +57,15 @@
 }
 
 /// Ends the callers; answers what they got, once nothing is violated.
-pub fn end(site: &Site) -> Tally {
-    assert!(site.stop_callers(PATIENCE), "all requests end");
+pub fn stop_callers(site: &Site) -> Tally {
+    assert!(site.stop_callers(TIMEOUT), "all requests end");
     assert_eq!(site.violations(), []);
     site.tally()
 }
 
 /// How many requests ended in another way than answered; says which, for whoever reads why a
 /// test failed.
-pub fn unanswered(tally: &Tally) -> usize {
+pub fn count_unanswered(tally: &Tally) -> usize {
     let others = tally.finished.iter().filter(|it| it.outcome != Outcome::Answered);
     for it in others {
         eprintln!("{} ms: {:?} of {:?} after {} ms", it.at, it.outcome, it.class, it.span);
--- a/daemon/tests/test_checker.rs
+++ b/daemon/tests/test_checker.rs
@@ -43,10 +43,10 @@
     assert_eq!(checker.check(&old).expect("sound"), Version(1));
     assert_eq!(checker.check(&new).expect("sound"), Version(2));
 
-    assert!(checker.take(&signed(&old, 1)).is_none());
+    assert!(checker.take_checked(&signed(&old, 1)).is_none());
     assert_eq!(checker.check(&new).expect("sound"), Version(2));
-    assert!(checker.take(&signed(&new, 2)).is_some());
-    assert!(checker.take(&signed(&new, 2)).is_none());
+    assert!(checker.take_checked(&signed(&new, 2)).is_some());
+    assert!(checker.take_checked(&signed(&new, 2)).is_none());
 }
 
 /// An author draws a new seed under the next version. Instances must refuse
@@ -57,7 +57,7 @@
     let checker = &checker(&key);
     let first = text(&key, 1, SEED);
     checker.check(&first).expect("sound");
-    checker.take(&signed(&first, 1)).expect("in force");
+    checker.take_checked(&signed(&first, 1)).expect("in force");
 
     let refusal = checker.check(&text(&key, 2, &SEED.replace("00", "01")));
 
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -113,7 +113,7 @@
 #[test]
 fn an_instance_that_slept_places_nothing_at_a_leaving_target() {
     let (mut draft, mut gate) = started("active");
-    gate.wake(START);
+    gate.resume(START);
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("a change");
     gate.follow(&pending, START);
@@ -134,7 +134,7 @@
     gate.follow(&pending, START);
     let awake = START + Millis::secs(8);
 
-    gate.wake(awake);
+    gate.resume(awake);
     let verdict = open(&mut gate, &pending, awake, 1);
 
     assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
--- a/daemon/tests/test_marked_asker.rs
+++ b/daemon/tests/test_marked_asker.rs
@@ -1,7 +1,7 @@
 //! Asking many targets at once.
 
 use medlarspur_daemon::marked::{
-    asker::{Asker, MAX_QUESTIONS},
+    asker::{MAX_PROBES, Prober},
     inbox::{self, Event},
 };
 use medlarspur_lib::{
@@ -80,19 +80,19 @@
 fn threads_and_connections_do_not_grow_with_the_targets_that_are_silent() {
     let (address, kept) = silent();
     let (sender, inbox) = inbox::channel().expect("an inbox");
-    let mut asker = Asker::new(sender);
+    let mut prober = Prober::new(sender);
     for count in [100, 600] {
         let mut found = BTreeSet::new();
         let (mut most_threads, mut most_opening) = (0, 0);
         // As many orders at once as its inbox takes.
         for numbers in (0..count).collect::<Vec<_>>().chunks(200) {
-            numbers.iter().for_each(|number| asker.ask(&target(*number, address), "/health"));
+            numbers.iter().for_each(|number| prober.probe(&target(*number, address), "/health"));
             let known = found.len();
             while found.len() < known + numbers.len() {
-                let mut fds = [PollFd::new(inbox.waker(), PollFlags::POLLIN)];
+                let mut fds = [PollFd::new(inbox.wake_fd(), PollFlags::POLLIN)];
                 poll(&mut fds, PollTimeout::from(2_000_u16)).expect("it waits");
                 for event in inbox.drain() {
-                    let Event::Found(incarnation, finding) = event else { panic!("{event:?}") };
+                    let Event::Probed(incarnation, finding) = event else { panic!("{event:?}") };
                     assert_eq!(finding, Finding::Silent);
                     found.insert(incarnation);
                 }
@@ -102,6 +102,6 @@
         }
 
         assert_eq!(most_threads, 1, "with {count} targets");
-        assert!(most_opening <= 2 * MAX_QUESTIONS + kept.len(), "{most_opening} connections");
+        assert!(most_opening <= 2 * MAX_PROBES + kept.len(), "{most_opening} connections");
     }
 }
--- a/daemon/tests/test_marked_evacuation.rs
+++ b/daemon/tests/test_marked_evacuation.rs
@@ -1,6 +1,8 @@
 //! Operators empty a failure domain while callers use the site.
 
-use crate::marked::{end, lines_with, site, unanswered, wait_for_answers, wait_until};
+use crate::marked::{
+    count_unanswered, lines_with, site, stop_callers, wait_for_answers, wait_until,
+};
 use medlarspur_lib::bundle::Class;
 use medlarspur_standin::site::{DOMAINS, Site};
 
@@ -35,7 +37,7 @@
     wait_until("all know", || told("domain restored")(&site));
     wait_until("it is used again", || opened(&site, domain) > before);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// An instance starts while a domain is evacuated. It learns of it with the picture by which
@@ -49,11 +51,11 @@
 
     site.add_instance().expect("an instance");
     site.add_instance().expect("an instance");
-    assert!(site.wait_for_rotation(3, crate::marked::PATIENCE), "they are ready");
+    assert!(site.wait_for_rotation(3, crate::marked::TIMEOUT), "they are ready");
     let before = opened(&site, domain);
     site.add_callers(Class::Request, 8);
     wait_for_answers(&site, 80);
 
     assert_eq!(opened(&site, domain), before);
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
--- a/daemon/tests/test_marked_instances.rs
+++ b/daemon/tests/test_marked_instances.rs
@@ -1,7 +1,8 @@
 //! Instances that leave, die, freeze and start while callers use the site.
 
 use crate::marked::{
-    PATIENCE, come, end, lines_with, site, unanswered, wait_for_answers, wait_until,
+    TIMEOUT, add_mixed_callers, count_unanswered, lines_with, site, stop_callers, wait_for_answers,
+    wait_until,
 };
 use medlarspur_lib::bundle::Class;
 use nix::sys::signal::Signal;
@@ -9,11 +10,11 @@
 #[test]
 fn a_calm_day_is_served() {
     let mut site = site(8, 3);
-    come(&mut site);
+    add_mixed_callers(&mut site);
 
     wait_for_answers(&site, 200);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// An instance is stopped for an update. Routers learn of it late and go on
@@ -21,7 +22,7 @@
 #[test]
 fn an_instance_that_leaves_cuts_no_flow() {
     let mut site = site(8, 3);
-    come(&mut site);
+    add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
     site.instances[0].signal(Signal::SIGTERM).expect("it runs");
@@ -29,7 +30,7 @@
     assert_eq!(site.routers.count(), 2, "it left rotation before it stopped");
     wait_for_answers(&site, 100);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
     let ended = site.instances[0].ended().expect("it has ended");
     assert!(ended.success(), "{ended}");
 }
@@ -46,7 +47,7 @@
     wait_until("it has left rotation", || site.routers.count() == 2);
     wait_for_answers(&site, 100);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// All instances are killed at once and others start in their place, with an
@@ -61,10 +62,10 @@
     site.drop_instance(0);
     site.add_instance().expect("an instance");
     site.add_instance().expect("an instance");
-    assert!(site.wait_for_rotation(2, PATIENCE));
+    assert!(site.wait_for_rotation(2, TIMEOUT));
     wait_for_answers(&site, 60);
 
-    end(&site);
+    stop_callers(&site);
 }
 
 /// An instance stands still for seconds and wakes with an old picture: a target
@@ -72,7 +73,7 @@
 #[test]
 fn an_instance_that_froze_serves_again() {
     let mut site = site(8, 3);
-    come(&mut site);
+    add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
     site.instances[0].signal(Signal::SIGSTOP).expect("it runs");
@@ -82,7 +83,7 @@
     wait_until("it is back in rotation", || site.routers.count() == 3);
     wait_for_answers(&site, 100);
 
-    end(&site);
+    stop_callers(&site);
 }
 
 /// Whoever collects the logs hangs, and the pipe is full. An instance that
@@ -93,11 +94,11 @@
     let mut setup = site.setup();
     setup.unread = true;
     site.launch(setup).expect("an instance");
-    assert!(site.wait_for_rotation(1, PATIENCE));
+    assert!(site.wait_for_rotation(1, TIMEOUT));
     site.add_callers(Class::Request, 30);
 
     // Each answered request has a line of some 150 bytes; a pipe holds 64 KiB.
     wait_for_answers(&site, 1_200);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
--- a/daemon/tests/test_marked_pictures.rs
+++ b/daemon/tests/test_marked_pictures.rs
@@ -2,7 +2,7 @@
 
 use medlarspur_daemon::marked::{
     inbox::{self, Event, Inbox},
-    pictures::{MAX_TOLD, Order, Pictures},
+    pictures::{Command, MAX_TRANSFERS, UpdateExchange},
 };
 use medlarspur_marked::{News, Revision, Scope};
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
@@ -22,19 +22,19 @@
 }
 
 /// An instance's pictures, at an address of the system's choice.
-fn start() -> (SocketAddrV4, Pictures, Inbox) {
+fn start() -> (SocketAddrV4, UpdateExchange, Inbox) {
     for _ in 0..20 {
         let (sender, inbox) = inbox::channel().expect("an inbox");
         let address = free();
-        if let Ok(pictures) = Pictures::start(address, sender) {
-            return (address, pictures, inbox);
+        if let Ok(exchange) = UpdateExchange::start(address, sender) {
+            return (address, exchange, inbox);
         }
     }
     panic!("no port stays free");
 }
 
 fn events(inbox: &Inbox) -> Vec<Event> {
-    let mut fds = [PollFd::new(inbox.waker(), PollFlags::POLLIN)];
+    let mut fds = [PollFd::new(inbox.wake_fd(), PollFlags::POLLIN)];
     poll(&mut fds, PollTimeout::from(5_000_u16)).expect("it waits");
     inbox.drain().collect()
 }
@@ -48,8 +48,8 @@
     thread::spawn(move || {
         loop {
             for event in events(&inbox) {
-                let Event::Asked { known, reply } = event else { panic!("{event:?}") };
-                reply.send(Order::Tell(known, news(revision)));
+                let Event::PullRequested { known, reply } = event else { panic!("{event:?}") };
+                reply.send(Command::Send(known, news(revision)));
             }
         }
     });
@@ -61,20 +61,20 @@
     let (address, _pictures, inbox) = start();
     answer(inbox, 7);
     let stuck: Vec<TcpStream> =
-        (0..MAX_TOLD).map(|_| TcpStream::connect(address).expect("it connects")).collect();
+        (0..MAX_TRANSFERS).map(|_| TcpStream::connect(address).expect("it connects")).collect();
 
     let (_, asking, answers) = start();
     let (mut told, mut asked) = (0, 0);
-    (0..MAX_TOLD).for_each(|_| asking.pull(address, Revision::new(0, 0)));
+    (0..MAX_TRANSFERS).for_each(|_| asking.pull(address, Revision::new(0, 0)));
     while told < 300 {
         for event in events(&answers) {
             match event {
-                Event::Told { from, news } => {
-                    assert_eq!((from, news.revision), (address, Revision::new(0, 7)));
+                Event::Pulled { from, update } => {
+                    assert_eq!((from, update.revision), (address, Revision::new(0, 7)));
                     told += 1;
                 }
                 // Too many at once: whoever returns asks again, or another one.
-                Event::NotTold(from) => assert_eq!(from, address),
+                Event::PullFailed(from) => assert_eq!(from, address),
                 other => panic!("{other:?}"),
             }
             asked += 1;
@@ -99,7 +99,7 @@
     let mut silent = BTreeSet::new();
     while silent.len() < 2 {
         for event in events(&answers) {
-            let Event::NotTold(from) = event else { panic!("{event:?}") };
+            let Event::PullFailed(from) = event else { panic!("{event:?}") };
             silent.insert(from);
         }
     }
--- a/daemon/tests/test_marked_store.rs
+++ b/daemon/tests/test_marked_store.rs
@@ -1,7 +1,8 @@
 //! A store that is away, turns instances away, forgets, and moves.
 
 use crate::marked::{
-    PATIENCE, come, end, lines_with, site, unanswered, wait_for_answers, wait_until,
+    TIMEOUT, add_mixed_callers, count_unanswered, lines_with, site, stop_callers, wait_for_answers,
+    wait_until,
 };
 use medlarspur_lib::bundle::Class;
 use medlarspur_standin::{
@@ -15,7 +16,7 @@
 #[test]
 fn the_site_is_served_while_the_store_is_away() {
     let mut site = site(8, 3);
-    come(&mut site);
+    add_mixed_callers(&mut site);
     wait_for_answers(&site, 30);
 
     site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
@@ -28,7 +29,7 @@
         lines_with(&site, &["config in force", &revision]).len() == 3
     });
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// Guards against refusing the callers of a route whose type this version doesn't know.
@@ -46,13 +47,13 @@
             lines_with(&site, &["config in force version=1000"]).len() == 2
         });
 
-        come(&mut site);
+        add_mixed_callers(&mut site);
         wait_for_answers(&site, 60);
 
-        let tally = end(&site);
+        let tally = stop_callers(&site);
         let answered = |class| tally.count(class, Outcome::Answered);
         assert!(answered(Class::Feed) > 0 && answered(Class::Upload) > 0, "{kind}");
-        assert_eq!(unanswered(&tally), 0, "{kind}");
+        assert_eq!(count_unanswered(&tally), 0, "{kind}");
     }
 }
 
@@ -64,14 +65,14 @@
 
     site.add_instance().expect("an instance");
 
-    assert!(site.wait_for_rotation(3, PATIENCE), "it is ready");
+    assert!(site.wait_for_rotation(3, TIMEOUT), "it is ready");
 }
 
 /// The store drops its history, so changes since can't be told one by one.
 #[test]
 fn a_store_that_drops_its_history_is_read_anew() {
     let mut site = site(8, 2);
-    come(&mut site);
+    add_mixed_callers(&mut site);
 
     site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
     site.publish();
@@ -81,11 +82,11 @@
     let revision = format!("known={}", site.store.revision());
     wait_until("all is known", || lines_with(&site, &[&revision]).len() >= 2);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// Waits until two instances of each failure domain read the store and the others don't.
-fn settle(site: &Site) {
+fn wait_for_readers(site: &Site) {
     wait_until("two of each domain read", || {
         let begun = lines_with(site, &["this instance reads the store"]).len();
         begun - lines_with(site, &["this instance stops reading"]).len() == 2 * DOMAINS.len()
@@ -120,7 +121,7 @@
 #[test]
 fn listeners_hear_that_a_target_leaves_after_the_store_came_back_from_a_copy() {
     let mut site = site(8, 6);
-    settle(&site);
+    wait_for_readers(&site);
     lose_two_configs(&mut site);
 
     site.drain(0);
@@ -132,7 +133,7 @@
 #[test]
 fn callers_notice_nothing_when_the_store_comes_back_from_copies() {
     let mut site = site(8, 4);
-    come(&mut site);
+    add_mixed_callers(&mut site);
     wait_for_answers(&site, 30);
 
     for leaving in [0, 1] {
@@ -156,7 +157,7 @@
         wait_for_answers(&site, 60);
     }
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// Operators move the store, rewrite the settings and tell the instance. A
--- a/daemon/tests/test_marked_targets.rs
+++ b/daemon/tests/test_marked_targets.rs
@@ -1,6 +1,9 @@
 //! Targets that leave, crash and are replaced while callers use the site.
 
-use crate::marked::{come, end, lines_with, site, unanswered, wait_for_answers, wait_until};
+use crate::marked::{
+    add_mixed_callers, count_unanswered, lines_with, site, stop_callers, wait_for_answers,
+    wait_until,
+};
 use medlarspur_lib::bundle::Class;
 use medlarspur_standin::{
     site::{DESK, INGEST},
@@ -11,13 +14,13 @@
 #[test]
 fn a_released_target_cuts_no_flow() {
     let mut site = site(8, 3);
-    come(&mut site);
+    add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
     site.release(0).expect("a new host");
     wait_for_answers(&site, 100);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 #[test]
@@ -35,7 +38,7 @@
     wait_for_answers(&site, 80);
 
     assert_eq!(site.opened(0), opened);
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// Guards against callers who go on waiting for a target that has crashed.
@@ -51,15 +54,15 @@
     wait_until("it is missed", || !lines_with(&site, &[&lost]).is_empty());
     wait_for_answers(&site, 150);
 
-    let tally = end(&site);
-    assert_eq!(unanswered(&tally), 0, "feeds are asked for again and answered");
+    let tally = stop_callers(&site);
+    assert_eq!(count_unanswered(&tally), 0, "feeds are asked for again and answered");
 }
 
 /// Guards against packets for a dead target that reach the next one at its address.
 #[test]
 fn a_reused_address_takes_nothing_that_was_not_meant_for_it() {
     let mut site = site(8, 3);
-    come(&mut site);
+    add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
     site.end_target(0, false);
@@ -68,7 +71,7 @@
     site.begin_target(3, DESK);
     wait_for_answers(&site, 150);
 
-    end(&site);
+    stop_callers(&site);
 }
 
 /// Guards against a target that is left out of use after it has started again.
@@ -86,7 +89,7 @@
     wait_for_answers(&site, 150);
 
     assert!(site.opened(0) > 0, "it takes flows again");
-    assert_eq!(unanswered(&end(&site)), 0, "feeds are asked for again and answered");
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0, "feeds are asked for again and answered");
 }
 
 /// Guards against flows of a full target that are reset, and requests that wait for it.
@@ -105,7 +108,7 @@
     wait_for_answers(&site, 150);
 
     assert!(lines_with(&site, &["flow reset", "reason=target-lost"]).is_empty());
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// Guards against requests that nobody answers because two targets have taken their opening.
@@ -121,5 +124,5 @@
     site.set_room(0, Room::Unbounded);
     wait_for_answers(&site, 100);
 
-    assert_eq!(unanswered(&end(&site)), 0);
+    assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
--- a/daemon/tests/test_sink.rs
+++ b/daemon/tests/test_sink.rs
@@ -1,6 +1,6 @@
 //! A place for log lines that nobody empties.
 
-use medlarspur_daemon::sink::Sink;
+use medlarspur_daemon::sink::LogSink;
 use std::{
     io::{self, Write},
     thread,
@@ -25,7 +25,7 @@
 /// what found no room is counted.
 #[test]
 fn a_sink_that_nobody_empties_loses_lines_and_holds_nobody_up() {
-    let mut sink = Sink::start(Full).expect("a thread");
+    let mut sink = LogSink::start(Full).expect("a thread");
 
     for _ in 0..20_000 {
         sink.write_all(b"a line\n").expect("it never fails");
