--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -1,4 +1,4 @@
-//! From checked settings to a running instance.
+//! Starts an instance from validated settings and runs it until a signal stops it.
 
 use crate::{
     checker::Checker,
@@ -38,65 +38,66 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// How many readings of the platform may wait for the control thread. Each is
-/// a whole bundle or list, and a newer one makes the older one worthless.
+/// Maximum number of platform events queued for the control thread, and of operators'
+/// queries queued for the packet thread. Each platform event is a whole bundle or list,
+/// which supersedes any older one.
 const PLATFORM_QUEUE: usize = 8;
 
-/// How many results of probes may wait for the control thread: more than come
-/// in one of its rounds.
+/// Maximum number of probe results queued for the control thread: more than arrive
+/// during one of its rounds.
 const PROBE_QUEUE: usize = 1024;
 
-/// Why an instance can't run.
+/// Reasons why an instance can't start or run.
 #[derive(Debug, Snafu)]
 pub enum BootError {
-    /// A socket for packets or questions.
+    /// A socket for packets or questions can't be opened.
     #[snafu(display("cannot open a socket"))]
     Socket {
-        /// Which and why.
+        /// The socket's address and the cause.
         source: SocketError,
     },
-    /// The control connections.
+    /// The control connections can't be served.
     #[snafu(display("cannot serve peers"))]
     Peer {
-        /// Why.
+        /// The cause.
         source: PeerError,
     },
-    /// The platform's reader.
+    /// The platform's reader can't be started.
     #[snafu(display("cannot read the platform"))]
     Platform {
-        /// Why.
+        /// The cause.
         source: ReaderError,
     },
-    /// The probes of targets.
+    /// The prober of targets can't be started.
     #[snafu(display("cannot probe targets"))]
     Probe {
-        /// Why.
+        /// The cause.
         source: ProberError,
     },
-    /// The metrics.
+    /// The metrics can't be registered.
     #[snafu(display("cannot register the metrics"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetersError,
     },
-    /// The operators' server.
+    /// The operators' HTTP server can't be started.
     #[snafu(display("cannot serve operators"))]
     Operators {
-        /// Why.
+        /// The cause.
         source: OperatorError,
     },
-    /// A thread, a signal handler or the standard output.
+    /// A system call failed: for a thread, a signal handler, a TLS file or standard output.
     #[snafu(display("cannot {what}"))]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// What the system said.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// What an instance says of itself on its standard output once it listens, for
-/// whoever started it with ports left to the system.
+/// The line of JSON on standard output that reports the listening addresses, for a
+/// parent process that has left the choice of ports to the system.
 #[derive(Debug, Serialize)]
 struct StartupInfo<'a> {
     name: &'a str,
@@ -106,7 +107,7 @@
     operator: SocketAddr,
 }
 
-/// Runs an instance until a signal ends it.
+/// Runs an instance until SIGTERM or SIGINT stops it.
 pub fn run(settings: &Settings) -> Result<(), BootError> {
     let clock = Clock::start();
     let shared = Arc::new(Shared::default());
@@ -184,7 +185,8 @@
     fs::read(path).context(SystemSnafu { what: "read a file of the TLS settings" })
 }
 
-/// Differs for each instance, so that no two spread their refusals alike.
+/// Returns a seed derived from the instance's name. Instances with different seeds
+/// spread refusals over different callers.
 fn seed(settings: &Settings) -> u64 {
     let mut hasher = DefaultHasher::new();
     settings.name.hash(&mut hasher);
@@ -219,10 +221,10 @@
         .context(SystemSnafu { what: "write to the standard output" })
 }
 
-/// This instance for its peers. Its incarnation is the wall clock's, so that a
-/// restarted instance is told from its earlier life; a clock that is wrong is
-/// corrected when a peer holds a later incarnation against it.
-#[allow(clippy::disallowed_methods, reason = "nothing else of an earlier life lasts")]
+/// Returns this instance's own membership entry. The incarnation is the wall-clock
+/// time in milliseconds, which distinguishes a restarted instance from its previous
+/// run. If the clock is wrong, a peer that knows a later incarnation corrects it.
+#[allow(clippy::disallowed_methods, reason = "no other state survives a restart")]
 fn local_member(settings: &Settings, addresses: Addresses) -> Member {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Member {
--- a/daemon/src/changes.rs
+++ b/daemon/src/changes.rs
@@ -1,4 +1,4 @@
-//! Log lines for what changes in the fleet as this instance sees it.
+//! Log lines for changes of members, plans and bundles.
 
 use medlarspur_lib::{
     ids::Version,
@@ -25,7 +25,7 @@
     log::info!("member={name} domain={domain} state={state} incarnation={}", member.incarnation);
 }
 
-/// Logs a plan that is followed from now on.
+/// Logs a plan that has come into effect.
 pub fn log_plan(plan: &ServicePlan) {
     log::info!(
         "plan service={} sequence={} author={} moves={}",
@@ -36,8 +36,8 @@
     );
 }
 
-/// Logs that a version was signed off with two contents. All instances come
-/// to the same one, but perhaps not to the one that was meant.
+/// Logs that two bundles with different contents were signed under one version. All
+/// instances agree on the same one, but it may not be the intended one.
 pub fn log_conflict(version: Version) {
     log::error!("bundle={version} conflict=true: two contents under one version");
 }
--- a/daemon/src/checker.rs
+++ b/daemon/src/checker.rs
@@ -1,4 +1,4 @@
-//! Decides whether a bundle may be taken, for the spread of bundles.
+//! Verification of bundles received from the platform and from peers.
 
 use medlarspur_lib::{
     bundle::{Bundle, Keys, Refusal, Signed},
@@ -8,10 +8,11 @@
 use medlarspur_operator::{Family, Meters};
 use std::{cell::RefCell, sync::Arc};
 
-/// Checks bundles against the settings and the bundle in force, and keeps the
-/// values of the last one that passed, so that they are parsed only once. One
-/// that passed and did not come into force must not be kept: a platform that
-/// serves old bundles would fill the memory with them.
+/// Verifies bundles against the settings and the bundle in force.
+///
+/// The last bundle that passed is kept in parsed form, so that it is parsed only once.
+/// No earlier one is kept: a platform that serves old bundles, which pass and never come
+/// into force, would fill the memory with them.
 pub struct Checker {
     keys: Keys,
     site: SiteName,
@@ -21,12 +22,13 @@
 }
 
 impl Checker {
-    /// Trusts `keys` for bundles of `site`, and counts what comes of each.
+    /// Creates a checker that trusts `keys` for bundles of `site` and counts outcomes in
+    /// `meters`.
     pub fn new(keys: Keys, site: SiteName, meters: Meters) -> Checker {
         Checker { keys, site, checked: RefCell::default(), in_force: RefCell::default(), meters }
     }
 
-    /// Counts what came of a bundle.
+    /// Counts a bundle by its outcome, a label of the metric.
     pub fn count_outcome(&self, outcome: &'static str) {
         self.meters.count(Family::Bundles, outcome).add(1);
     }
@@ -39,7 +41,8 @@
         Ok(signed)
     }
 
-    /// The values of a text that has just passed.
+    /// Takes the parsed bundle of a text if it is the last one that passed, and records it
+    /// as the bundle in force.
     pub fn take_checked(&self, text: &SignedText) -> Option<Signed> {
         let signed = self.checked.take().filter(|signed| signed.digest == text.digest)?;
         self.in_force.replace(Some(signed.bundle.clone()));
--- a/daemon/src/clock.rs
+++ b/daemon/src/clock.rs
@@ -1,10 +1,10 @@
-//! The one place where the daemon reads a clock.
+//! The process's monotonic clock.
 
 use medlarspur_lib::time::Millis;
 use std::time::Instant;
 
-/// What the clock shows at the start of the process. What peers tell of the
-/// time before, such as when a bucket moved, needs room below the start.
+/// Time on the clock at the start of the process, one week after zero. Peers report
+/// events from before the start, such as a bucket's move, whose times must not be negative.
 const START: Millis = Millis::secs(7 * 24 * 3_600);
 
 /// A monotonic clock that starts with the process.
@@ -12,17 +12,17 @@
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts a week after zero.
+    /// Starts the clock at one week.
     pub fn start() -> Clock {
         Clock(Instant::now())
     }
 
-    /// The time now.
+    /// The current time.
     pub fn now(&self) -> Millis {
         START + self.uptime()
     }
 
-    /// The time since the start.
+    /// Time since the start of the process.
     pub fn uptime(&self) -> Millis {
         self.0.elapsed().into()
     }
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -1,5 +1,5 @@
-//! The control thread: joins the members, the bundle and the plans with the
-//! view that the packet thread follows.
+//! The control thread: builds the view that the packet thread follows from the
+//! members, the bundle and the plans.
 
 use crate::{
     changes,
@@ -35,43 +35,43 @@
     time::Duration,
 };
 
-/// How long the thread sleeps at most between two looks at its inputs. News
-/// crosses an instance in this time, and a few such hops must fit well into
-/// the second in which a bundle comes into force.
+/// Maximum time between two checks of the thread's inputs. It is also the time that a
+/// message takes to pass through an instance; several such hops must fit well into the
+/// second within which a bundle comes into force.
 const MAX_WAIT: Duration = Duration::from_millis(20);
 
-/// How often plans are thought over. The verdicts change every two seconds at
+/// Interval at which plans are revised. Probe verdicts change every two seconds at
 /// most.
 const PLAN_INTERVAL: Millis = Millis(1_000);
 
-/// How often history is asked of a peer at most.
+/// Minimum time between two requests for a peer's history.
 const HISTORY_INTERVAL: Millis = Millis(1_000);
 
-/// What the control thread works with.
+/// The inputs and outputs of the control thread.
 pub struct ControlParts {
-    /// The protocol between instances.
+    /// Settings of the protocol between instances.
     pub settings: medlarspur_lib::control::ControlSettings,
-    /// Checks bundles.
+    /// Verifies bundles.
     pub checker: Checker,
     /// The connections to peers.
     pub peers: PeerHandle,
-    /// The platform's reader, and what it brings.
+    /// The platform's reader and its events.
     pub platform: (Reader, Receiver<PlatformEvent>),
-    /// The probes of targets, and what they bring.
+    /// The prober of targets and its results.
     pub probes: (Prober, Receiver<ProbeEvent>),
-    /// To the packet thread.
+    /// Commands for the packet thread.
     pub commands: Producer<Command>,
-    /// From the packet thread.
+    /// Adverts from the packet thread.
     pub adverts: Consumer<KeeperAdvert>,
-    /// Set by a signal when the instance shall shutdown.
+    /// Set by a signal that requests shutdown.
     pub shutdown: Arc<AtomicBool>,
     /// The clock of the process.
     pub clock: Clock,
-    /// What the threads share.
+    /// State that the threads share.
     pub shared: Arc<Shared>,
 }
 
-/// Runs until told to stop.
+/// Runs the control thread until the instance stops.
 pub fn run(parts: ControlParts) {
     let ControlParts { settings, checker, peers, platform, probes, commands, .. } = parts;
     let ControlParts { adverts, shutdown, clock, shared, .. } = parts;
@@ -129,7 +129,8 @@
 }
 
 impl ControlThread<'_> {
-    /// Waits for the platform; the other inputs are looked at after the wait.
+    /// Waits for a platform event for [`MAX_WAIT`] at most; the other inputs are polled
+    /// after the wait.
     fn await_platform_event(
         &self,
         platform_events: &Receiver<PlatformEvent>,
@@ -137,7 +138,8 @@
         match platform_events.recv_timeout(MAX_WAIT) {
             Ok(event) => Some(event),
             Err(RecvTimeoutError::Timeout) => None,
-            // The reader's threads end only with the process.
+            // The reader's threads end only with the process; the sleep avoids a busy
+            // loop until then.
             Err(RecvTimeoutError::Disconnected) => {
                 std::thread::sleep(MAX_WAIT);
                 None
@@ -145,7 +147,7 @@
         }
     }
 
-    /// Takes in all that has come and does what follows from it.
+    /// Processes all pending input, then does the periodic work.
     fn round(&mut self, now: Millis, event: Option<PlatformEvent>) {
         if let Some(event) = event {
             self.handle_platform_event(now, event);
@@ -216,7 +218,7 @@
                 }
             }
             Action::ReadPlatform(reads) => self.reader.set_watching(reads),
-            // The instance serves once it has published a view.
+            // The instance enters the serving stage when it has published a view.
             Action::Ready => log::info!("ready=true"),
             Action::Slept { gap } => {
                 log::warn!("slept_ms={gap}");
@@ -266,9 +268,9 @@
         }
     }
 
-    /// Asks a peer that knows of other earlier owners. Without that, an
-    /// instance that missed a move would send unknown flows of the bucket to
-    /// its present owner, unasked.
+    /// Requests the history from a peer whose record of earlier owners differs. Otherwise
+    /// an instance that missed a move would send the bucket's unknown flows to the current
+    /// owner without asking its peers.
     fn request_history(&mut self, now: Millis, peer: SocketAddrV4) {
         if self.draft.is_none()
             || self.last_history_request.is_some_and(|at| now.since(at) < HISTORY_INTERVAL)
@@ -298,7 +300,8 @@
         self.send_command(Command::Probed(event));
     }
 
-    /// Plans for the services for which this instance ranks first.
+    /// Revises the plans of the services that this instance is the author for, and sets
+    /// the targets to probe.
     fn plan_services(&mut self, now: Millis) {
         if now.since(self.last_plan) < PLAN_INTERVAL {
             return;
@@ -329,8 +332,8 @@
     }
 
     fn plan_service(&mut self, now: Millis, spec: &Service) {
-        // An author that has just started knows no verdicts, and would undo
-        // what the one before it planned.
+        // An author that has just started has no verdicts yet and would undo the
+        // plans of its predecessor.
         let probed = spec.targets.iter().filter(|target| target.probe.is_some());
         if probed.clone().any(|target| !self.verdicts.contains_key(&target.name)) {
             return;
@@ -347,7 +350,7 @@
         self.handle_event(now, Event::Propose { service: spec.name.clone(), moves });
     }
 
-    /// Lets operators see what the protocol knows.
+    /// Publishes the protocol's state and counters for operators.
     fn publish_status(&self) {
         let conflict = self.controller.spread().conflict;
         let version = self.controller.current().map(|text| text.version);
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -1,16 +1,18 @@
-//! The decisions on openings, bound to the packet path: it translates between
-//! the targets of the view and the positions that the decisions work with.
+//! Admission control on the packet path: an adapter between the forwarder, which
+//! identifies targets by their ids in the view, and the crate `medlarspur_load`, which
+//! identifies them by their positions in the bundle.
 //!
-//! A target that leaves takes new work for as long as it owns a bucket: a move
-//! is carried out up to 1.2 s after the bundle that causes it, and until then
-//! its new flows go to the old owner. Refused there by the bundle's word alone,
-//! callers are turned away during each planned change while the other targets
-//! have room.
+//! A leaving target accepts new flows as long as it owns a bucket. A bucket's move takes
+//! effect up to 1.2 s after the bundle that causes it, and until then new flows of the
+//! bucket go to the old owner. If that owner refused them as soon as the bundle says that
+//! it leaves, callers would be turned away during every planned change although other
+//! targets have capacity.
 //!
-//! An instance that slept may learn of a bundle long after the others. It still
-//! waits with the moves, but the others have carried them out, and the target
-//! may be about to go down: work placed there would be cut. Until its news is
-//! fresh again, it goes by the bundle's word.
+//! An instance whose process was paused may learn of a bundle long after the others.
+//! It has still to wait before it carries out the moves, but the others already have, and
+//! the leaving target may stop at any moment and cut the flows placed there. So until its
+//! view is up to date again, it refuses new flows at each target that the bundle marks as
+//! leaving.
 
 use medlarspur_lib::{
     bundle::{Class, Limits, Service, TargetState},
@@ -28,47 +30,50 @@
 use medlarspur_target::{Event, Verdict};
 use std::{sync::Arc, time::Duration};
 
-/// What a caller is told before anything was measured.
+/// Retry delay given to a refused caller while none has been estimated.
 const DEFAULT_RETRY_AFTER: Millis = Millis::secs(1);
 
-/// How long an opening may wait undecided; far longer than any patience. One
-/// whose service is gone is never decided and would be remembered forever.
+/// Age at which an undecided opening is dropped from the records; far longer than any
+/// opening may wait. An opening whose service is gone is never decided and would stay
+/// recorded forever.
 const MAX_WAITING_AGE: Millis = Millis::secs(10);
 
-/// Where what happens to one class of a service is recorded.
+/// Histograms of one class of a service.
 type Recorder = Arc<ClassMeters>;
 
-/// A target that leaves and still owns a bucket.
+/// A leaving target that still owns a bucket.
 #[derive(Debug, Clone, Copy)]
 struct LeavingOwner {
     service: ServiceIx,
     target: TargetIx,
     id: TargetId,
-    /// The revision of the service that this was seen in.
+    /// Revision of the service at which the ownership was last checked.
     revision: u64,
 }
 
-/// The gate of one instance.
+/// Admission control of one instance.
 pub struct LoadGate {
     meters: Meters,
     recorders: Map<(ServiceIx, Class), Recorder>,
-    /// Openings that wait, since when.
+    /// Waiting openings, with the start of the wait.
     waiting: FlowMap<(Millis, Recorder)>,
     gate: load::Gate,
     positions: Map<TargetId, (ServiceIx, TargetIx)>,
     names: Map<TargetName, TargetId>,
-    /// Few or none: a view is published often, and only these are looked at.
+    /// Usually few or none. Views are published often, and only these targets are
+    /// checked for each.
     leaving_owners: Vec<LeavingOwner>,
     retry_after: Vec<Millis>,
     decided: Vec<(FlowId, load::Verdict)>,
     version: Option<medlarspur_lib::ids::Version>,
-    /// Until when the bundle may be news to this instance alone.
+    /// Time until which this instance, after a pause of its process, may lag behind the
+    /// others.
     distrust_until: Millis,
 }
 
 impl LoadGate {
-    /// Decides with the default settings and records in `meters`. `seed`
-    /// differs for each instance, so that no two spread their refusals alike.
+    /// Creates a gate with the default settings that records in `meters`. `seed` must
+    /// differ between instances, so that they spread refusals over different callers.
     pub fn new(seed: u64, meters: Meters) -> LoadGate {
         LoadGate {
             meters,
@@ -85,7 +90,7 @@
         }
     }
 
-    /// Says that this process slept.
+    /// Must be called after a pause of the process. Closes all leaving targets.
     pub fn resume(&mut self, now: Millis) {
         self.distrust_until = now + DISTRUST;
         for owner in self.leaving_owners.drain(..) {
@@ -123,7 +128,7 @@
         }
     }
 
-    /// Takes what a target's endpoint said, or that it said nothing.
+    /// Records the result of a probe: the target's own report, or that there was none.
     pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.told {
@@ -138,8 +143,8 @@
         self.report_signal(now, target, signal);
     }
 
-    /// Closes the leaving targets whose last bucket has moved. Within a bundle
-    /// no leaving target gets a bucket back.
+    /// Closes the leaving targets whose last bucket has moved. No leaving target regains
+    /// a bucket within a bundle.
     fn close_moved(&mut self, view: &View) {
         let gate = &mut self.gate;
         self.leaving_owners.retain_mut(|owner| {
@@ -167,7 +172,7 @@
         self.recorders.get(&(service, class))
     }
 
-    /// Remembers since when an opening waits, or records that it did not.
+    /// Stores the start of an opening's wait, or records a wait of zero.
     fn record_verdict(&mut self, now: Millis, opening: &Opening, verdict: load::Verdict) {
         let Some(recorder) = self.recorder(opening.target, opening.class) else { return };
         let recorder = recorder.clone();
@@ -182,7 +187,7 @@
         }
     }
 
-    /// Records how long an opening waited, if it was admitted in the end.
+    /// Removes a decided opening, and records its wait if it was admitted.
     fn record_wait(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
         let Some((since, recorder)) = self.waiting.remove(&flow) else { return };
         if matches!(verdict, load::Verdict::Admit) {
@@ -237,8 +242,8 @@
     }
 
     fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow) {
-        // Packets of a flow may pass any instance; only the one that opened it
-        // knows how long it lasted.
+        // A flow's packets may pass through any instance; only the one that opened the
+        // flow knows its duration.
         if flow.belief == Belief::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
@@ -261,8 +266,8 @@
     }
 }
 
-/// The leaving targets that still own a bucket. A service whose buckets never
-/// moved has none, which spares a large site the look at most of its buckets.
+/// Returns the leaving targets that still own a bucket. Services at revision 0, whose
+/// buckets never moved, have none and are skipped, which on a large site are most.
 fn find_leaving_owners(view: &View) -> Vec<LeavingOwner> {
     let mut owners = Vec::new();
     for (at, service) in view.services.iter().enumerate() {
@@ -303,7 +308,8 @@
     }
 }
 
-/// The settings of the decisions: what the bundle sets, and their defaults.
+/// Returns the settings for `medlarspur_load`: those of the bundle, and defaults for the
+/// rest.
 pub fn load_settings(limits: &Limits) -> load::Settings {
     let default = load::Settings::default();
     load::Settings {
--- a/daemon/src/lib.rs
+++ b/daemon/src/lib.rs
@@ -1,12 +1,12 @@
-//! One instance: threads, one a duty, joined by bounded rings.
+//! One load balancer instance: a thread for each task, connected by bounded queues.
 //!
-//! | thread | duty |
+//! | thread | task |
 //! |---|---|
-//! | `packets` | callers' packets, peers' questions, the flow table |
-//! | `control` | members, bundle, plans; publishes the view |
-//! | `peers` | the control connections to other instances |
-//! | `watch-…` | the platform's bundle and list, while it reads them |
-//! | `operator` | HTTP for operators, reading only |
+//! | `packets` | forwards callers' packets, answers peers' questions, owns the flow table |
+//! | `control` | maintains members, bundle and plans; publishes the view |
+//! | `peers` | control connections to other instances |
+//! | `watch-…` | watch the platform's bundle and instance list, while this instance reads them |
+//! | `operator` | read-only HTTP interface for operators |
 //!
 //! See `docs/architecture.md`.
 
--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -1,7 +1,7 @@
-//! The life of an instance as a type: starting → serving → leaving → stopped.
+//! The life cycle of an instance as a typestate: starting → serving → leaving → stopped.
 //!
-//! Each stage has only the steps that make sense in it, so that, say, an
-//! instance can't be stopped without having left.
+//! Each stage offers only the transitions that are valid in it. An instance can't be
+//! stopped, for example, before it has left.
 
 use crate::{
     clock::Clock,
@@ -18,29 +18,29 @@
     time::Duration,
 };
 
-/// How often a stage looks whether it is over.
+/// Interval at which the conditions for the next stage are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long no packet may have come before a leaving instance is done. The
-/// fabric learns late that an instance leaves and goes on sending until then.
+/// Time without packets after which a leaving instance may stop. The fabric learns
+/// with a delay that an instance leaves, and keeps sending to it until then.
 const IDLE_TIME: Millis = Millis(2_000);
 
-/// How long leaving takes at least: peers have to hear of it, and keepers to
-/// be told, before what only this instance knows is gone.
+/// Minimum duration of leaving. Peers must learn of it, and keepers must receive the
+/// flows that only this instance knows, before those are lost.
 const MIN_DRAIN_TIME: Millis = Millis(3_000);
 
-/// How long leaving takes at most, whatever still comes.
+/// Maximum duration of leaving, even if packets still arrive.
 const MAX_DRAIN_TIME: Millis = Millis(30_000);
 
-/// Learns the bundle; forwards nothing yet.
+/// Waits for a bundle; forwards nothing yet.
 #[derive(Debug)]
 pub struct Starting;
 
-/// Forwards.
+/// Forwards packets.
 #[derive(Debug)]
 pub struct Serving;
 
-/// Forwards what still comes and hands over.
+/// Forwards the packets that still arrive and sends its flows to their keepers.
 #[derive(Debug)]
 pub struct Leaving;
 
@@ -54,7 +54,7 @@
 }
 
 impl Lifecycle<Starting> {
-    /// Begins a life. `shutdown` is set by a signal.
+    /// Starts the life cycle. `shutdown` is set by a signal.
     pub fn start(
         shared: Arc<Shared>,
         shutdown: Arc<AtomicBool>,
@@ -63,7 +63,7 @@
         Lifecycle { shared, shutdown, clock, stage: PhantomData }
     }
 
-    /// Waits until there is a bundle in force, or the instance shall shutdown.
+    /// Waits until a bundle is in force or shutdown is requested.
     pub fn wait_for_bundle(self) -> Lifecycle<Serving> {
         while self.shared.stage() == Stage::Starting && !self.shutdown.load(Relaxed) {
             thread::sleep(POLL_INTERVAL);
@@ -73,7 +73,7 @@
 }
 
 impl Lifecycle<Serving> {
-    /// Waits until the instance shall shutdown.
+    /// Waits until shutdown is requested.
     pub fn wait_for_shutdown(self) -> Lifecycle<Leaving> {
         while !self.shutdown.load(Relaxed) {
             thread::sleep(POLL_INTERVAL);
@@ -84,8 +84,8 @@
 }
 
 impl Lifecycle<Leaving> {
-    /// Waits until packets have stopped coming and the keepers were told all,
-    /// and ends the threads.
+    /// Waits until packets have stopped arriving and the keepers have received all
+    /// flows, then stops the threads.
     pub fn drain(self) {
         let started = self.clock.now();
         loop {
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines as text or as JSON, with their fields.
+//! Logger setup, and the formats of log lines as text and JSON.
 
 use crate::sink::LogSink;
 use env_logger::{Builder, Target, fmt::Formatter};
@@ -16,27 +16,26 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// One line in JSON.
+/// A log line in JSON.
 #[derive(Debug, Serialize)]
 struct Line<'a> {
-    /// Milliseconds since the Unix epoch, by the machine's clock.
+    /// Milliseconds since the Unix epoch, by the wall clock.
     time: u128,
     level: &'a str,
     part: &'a str,
     text: String,
-    /// What decided it, by name.
+    /// The line's key-value pairs.
     #[serde(flatten)]
     fields: BTreeMap<String, String>,
 }
 
-/// Sets the logger up on standard error; `RUST_LOG` may raise or lower the
-/// level.
+/// Initializes the logger on standard error. `RUST_LOG` overrides `level`.
 pub fn init(form: LogForm, level: LevelFilter) {
     builder(form, level).init();
 }
 
-/// Sets the logger up on standard output, behind a [`LogSink`] that never makes a
-/// thread wait.
+/// Initializes the logger on standard output, through a [`LogSink`] that never blocks the
+/// logging thread.
 pub fn init_with_sink(form: LogForm, level: LevelFilter) -> io::Result<LogSink> {
     let sink = LogSink::start(stdout())?;
     builder(form, level).target(Target::Pipe(Box::new(sink.clone()))).init();
@@ -56,7 +55,10 @@
     builder
 }
 
-#[allow(clippy::disallowed_methods, reason = "lines of several machines are put side by side")]
+#[allow(
+    clippy::disallowed_methods,
+    reason = "lines of several machines are compared by wall-clock time"
+)]
 fn json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let mut fields = FieldMap(BTreeMap::new());
@@ -79,7 +81,7 @@
     writeln!(out, "{time} {level:5} {part} {line}")
 }
 
-/// Gathers the fields of a line.
+/// Collects the key-value pairs of a line.
 struct FieldMap(BTreeMap<String, String>);
 
 impl<'kvs> VisitSource<'kvs> for FieldMap {
@@ -89,7 +91,7 @@
     }
 }
 
-/// Appends the fields of a line as ` name=value`.
+/// Appends the key-value pairs of a line as ` key=value`.
 struct FieldText<'a>(&'a mut String);
 
 impl<'kvs> VisitSource<'kvs> for FieldText<'_> {
@@ -98,8 +100,8 @@
     }
 }
 
-/// Joins the lines of a text. An error is told with its causes, one a line;
-/// whoever searches the log for it must find them together.
+/// Joins the lines of a text into one. An error report has one line for each cause;
+/// joined, a search of the log finds the causes with the error.
 pub fn one_line(text: &str) -> String {
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     lines.collect::<Vec<_>>().join(" ")
--- a/daemon/src/main.rs
+++ b/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon: one instance of medlarspur.
+//! Command line of `medlarspurd`, which runs one load balancer instance.
 
 use log::LevelFilter;
 use medlarspur_daemon::{boot, logs, marked, sink::LogSink};
@@ -14,12 +14,12 @@
     process::ExitCode,
 };
 
-/// The settings can't be read or don't hold.
+/// Exit status for settings that can't be read or are invalid.
 const EXIT_SETTINGS: u8 = 2;
-/// The instance can't run.
+/// Exit status for an instance that failed to start or run.
 const EXIT_RUN: u8 = 1;
 
-/// The command line.
+/// Parsed command-line flags.
 struct Flags {
     settings: PathBuf,
     check: bool,
@@ -41,7 +41,7 @@
         return start(&flags, MarkedSettings::parse(&text), |settings| {
             let sink = logs::init_with_sink(settings.log, LevelFilter::Info);
             if let Err(error) = &sink {
-                eprintln!("warning: nothing is logged: {error}");
+                eprintln!("warning: logging is disabled: {error}");
             }
             let sink = sink.ok();
             let result = marked::run(&flags.settings, settings, sink.clone());
@@ -49,7 +49,7 @@
             if let Err(report) = &result {
                 log::error!("{report}");
             }
-            // Without a thread for it there is nothing to wait for.
+            // If the log thread didn't start, there are no lines to flush.
             sink.iter().for_each(LogSink::flush);
             result
         });
@@ -62,7 +62,7 @@
     })
 }
 
-/// Runs with settings that hold, or says what is wrong with them.
+/// Runs the instance with valid settings, or prints the faults of invalid ones.
 fn start<S, E: Error>(
     flags: &Flags,
     settings: Result<S, document::Report>,
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -1,7 +1,7 @@
-//! Shows in the metrics what the threads count.
+//! Registration of the metrics.
 //!
-//! The threads count in numbers of their own and publish copies now and then;
-//! a scrape reads the copies, so it never holds a thread up.
+//! Each thread keeps its own counters and publishes copies at intervals. A scrape reads
+//! the copies, so it never delays a thread.
 
 use crate::shared::{Shared, Stage};
 use medlarspur_fabric::Counts as SocketCounts;
@@ -12,12 +12,12 @@
 use medlarspur_target::Counts as ProbeCounts;
 use std::sync::{Arc, atomic::Ordering::Relaxed};
 
-/// The label of bundles that came into force.
+/// Label of bundles that came into force.
 pub const ACCEPTED: &str = "accepted";
-/// The label of what peers sent of a bundle that does not fit together.
+/// Label of bundles whose parts, received from peers, don't match.
 pub const INCOMPLETE: &str = "incomplete";
 
-/// One series of a family and where its value is found.
+/// Label of a series and the function that reads its value.
 type Series<T> = (&'static str, fn(&T) -> u64);
 
 const SOCKETS: [Series<SocketCounts>; 7] = [
@@ -59,7 +59,7 @@
     ("malformed", |counters| counters.malformed),
 ];
 
-/// Shows everything that is shared.
+/// Registers the metrics of all shared state.
 pub fn register(meters: &Meters, shared: &Arc<Shared>) {
     let read = shared.clone();
     meters.forwarder(move || read.counters.load_full());
--- a/daemon/src/outbox.rs
+++ b/daemon/src/outbox.rs
@@ -1,5 +1,5 @@
-//! What the forwarder wants sent, gathered until the end of a round, so that
-//! one system call sends many packets.
+//! Output of the forwarder, collected until the end of a round, so that one system call
+//! sends many packets.
 
 use crate::shared::{KeeperAdvert, Shared};
 use medlarspur_fabric::{Outbox as SendQueue, Socket};
@@ -9,7 +9,7 @@
 use rtrb::Producer;
 use std::{net::SocketAddrV4, sync::Arc};
 
-/// The sink of the packet thread.
+/// The forwarder's [`Sink`] on the packet thread.
 pub struct Outbox {
     packets: SendQueue,
     questions: SendQueue,
@@ -20,7 +20,8 @@
 }
 
 impl Outbox {
-    /// Sends packets for callers to `return_address` and signs questions by `secret`.
+    /// Creates an outbox that sends packets for callers to `return_address` and
+    /// authenticates questions with `secret`.
     pub fn new(
         return_address: SocketAddrV4,
         secret: Secret,
@@ -31,7 +32,7 @@
         Outbox { packets, questions, return_address, secret, adverts, shared }
     }
 
-    /// Sends what was gathered.
+    /// Sends the collected packets and questions.
     pub fn flush(&mut self, fabric: &mut Socket, questions: &mut Socket) {
         self.packets.flush(fabric);
         self.questions.flush(questions);
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -1,5 +1,6 @@
-//! The packet thread: callers' packets and peers' questions in, packets to
-//! targets out. It alone has the flow table, so nothing here waits for a lock.
+//! The packet thread: forwards callers' packets to targets and answers peers' questions.
+//!
+//! It is the only owner of the flow table, so the packet path takes no lock.
 
 use crate::{
     clock::Clock,
@@ -20,47 +21,51 @@
     time::Duration,
 };
 
-/// How long the thread sleeps at most: bounds how late a held packet's time
-/// limit is noticed.
+/// Maximum sleep of a round; bounds the delay in noticing that a held packet's
+/// deadline has passed.
 const MAX_WAIT: Duration = Duration::from_millis(5);
 
-/// How often counters are published.
+/// Interval at which counters are published.
 const PUBLISH_INTERVAL: Millis = Millis(250);
 
-/// A gap between two rounds that means that the process slept. A busy machine
-/// delays a round by tens of milliseconds, not by this.
+/// Gap between two rounds from which the process is considered to have been paused. A
+/// busy machine delays a round by tens of milliseconds only.
 const PAUSE_THRESHOLD: Millis = Millis(500);
 
-/// For how many flows there is room from the start.
+/// Number of flows for which the flow table has capacity from the start.
 const INITIAL_FLOWS: usize = 65_536;
 
-/// What the packet thread works with.
+/// The inputs and outputs of the packet thread.
 pub struct PacketParts {
-    /// Takes packets from the fabric.
+    /// Socket for packets from the fabric.
     pub fabric: Listener,
-    /// Exchanges questions with peers.
+    /// Socket for questions and answers of peers.
     pub questions: Listener,
-    /// Where packets for callers go.
+    /// Address to which packets for callers are sent.
     pub return_address: std::net::SocketAddrV4,
-    /// The key of the questions.
+    /// Key that authenticates questions and answers.
     pub secret: Secret,
-    /// What other threads ask.
+    /// Commands from the control thread.
     pub commands: Consumer<Command>,
-    /// What operators ask.
+    /// Queries of operators.
     pub queries: Receiver<FlowQuery>,
-    /// Adverts for keepers.
+    /// Adverts for keepers, sent by the control thread.
     pub adverts: Producer<KeeperAdvert>,
-    /// The decisions on openings.
+    /// Admission control for openings.
     pub gate: LoadGate,
-    /// Measures how long packets stay here.
+    /// Measures the time that packets spend in the thread.
     pub sampler: Sampler,
     /// The clock of the process.
     pub clock: Clock,
-    /// What the threads share.
+    /// State that the threads share.
     pub shared: Arc<Shared>,
 }
 
-/// Runs until told to stop.
+/// Runs the packet thread until the instance stops.
+///
+/// # Errors
+///
+/// Fails if a socket can't be read.
 pub fn run(parts: PacketParts) -> Result<(), SocketError> {
     let PacketParts {
         fabric,
@@ -145,8 +150,8 @@
             return;
         }
         if self.installed_epoch == 0 {
-            // A new instance knows no flow and not yet what moved before it
-            // came; until its peers have told it, it asks.
+            // A new instance knows neither the flows nor the earlier moves of
+            // buckets. It asks its peers until it has received both.
             self.forwarder.distrust(now);
         }
         self.installed_epoch = view.epoch;
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Answers an operator; one that has gone away misses the answer.
+    /// Answers an operator's query. The answer is dropped if the operator has disconnected.
     fn answer_query(&self, query: FlowQuery, now: Millis) {
         let flows = self.forwarder.flows();
         let known = |(id, flow): (_, &medlarspur_lib::flows::Flow)| KnownFlow {
--- a/daemon/src/sample.rs
+++ b/daemon/src/sample.rs
@@ -1,14 +1,13 @@
-//! Measures how long packets stay in the packet thread.
+//! Samples the time that packets spend in the packet thread.
 //!
-//! One packet is measured in a round, and rounds in one millisecond at most
-//! once: reading the clock for each packet would cost more than the lookup
-//! that is measured.
+//! At most one packet is measured in a round and in a millisecond. Reading the clock for
+//! each packet would cost more than the lookup that is measured.
 
 use medlarspur_lib::{packet::Packet, time::Millis, view::View};
 use medlarspur_operator::{ClassMeters, Meters};
 use std::{sync::Arc, time::Instant};
 
-/// Chooses the packets that are measured.
+/// Measures sampled packets.
 pub struct Sampler {
     meters: Meters,
     last_sample: Millis,
@@ -16,12 +15,12 @@
 }
 
 impl Sampler {
-    /// Records in `meters`.
+    /// Creates a sampler that records in `meters`.
     pub fn new(meters: Meters) -> Sampler {
         Sampler { meters, last_sample: Millis(0), sample: None }
     }
 
-    /// Looks at the first packet of a round, which has just been received.
+    /// Starts a measurement with the first packet of a round, which has just been received.
     pub fn begin(&mut self, now: Millis, bytes: &[u8], view: Option<&Arc<View>>) {
         let Some(view) = view.filter(|_| now != self.last_sample) else { return };
         let Ok(packet) = Packet::parse(bytes) else { return };
@@ -32,7 +31,7 @@
         self.sample = Some((Instant::now(), meters));
     }
 
-    /// Says that the packets of the round are on their way.
+    /// Ends the measurement, after the packets of the round have been sent.
     pub fn end(&mut self) {
         if let Some((began, meters)) = self.sample.take() {
             meters.forward(began.elapsed());
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -1,5 +1,7 @@
-//! What the threads let each other see. One thread writes each part; the
-//! others read whole values and never wait.
+//! State and messages shared by the threads.
+//!
+//! Each value is written by one thread. The others read consistent copies without
+//! waiting.
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use medlarspur_lib::{
@@ -18,70 +20,70 @@
     mpsc::SyncSender,
 };
 
-/// How many messages fit into a ring between two threads: more than one tick
-/// of the slower one brings.
+/// Capacity of a ring between two threads, in messages: more than arrive during one tick
+/// of the slower thread.
 pub const RING_CAPACITY: usize = 1024;
 
-/// What the control thread asks of the packet thread.
+/// Command of the control thread for the packet thread.
 #[derive(Debug)]
 pub enum Command {
-    /// A peer's advert for this instance as a keeper.
+    /// Stores the flows of a peer's advert, for which this instance is a keeper.
     Advert(Advert),
-    /// The process slept.
+    /// Reports that the process was paused.
     Paused,
-    /// A probe of a target has ended.
+    /// Reports the result of a target's probe.
     Probed(medlarspur_target::Event),
 }
 
-/// A question of an operator about flows.
+/// An operator's query about flows, with the channel for the answer.
 #[derive(Debug)]
 pub enum FlowQuery {
-    /// What is known of one flow.
+    /// Returns one flow, if it is known.
     One(FlowKey, SyncSender<Option<KnownFlow>>),
-    /// Some of the flows.
+    /// Returns flows, up to a maximum number.
     List(usize, SyncSender<Vec<KnownFlow>>),
-    /// How many flows go to each target, by its local id.
+    /// Returns the number of flows of each target, indexed by the target's local id.
     Counts(SyncSender<Vec<u64>>),
 }
 
-/// What the packet thread knows of a flow.
+/// A flow of the flow table.
 #[derive(Debug, Clone)]
 pub struct KnownFlow {
     /// The flow's id.
     pub id: medlarspur_lib::ids::FlowId,
-    /// What the flow table holds.
+    /// The entry in the flow table.
     pub flow: medlarspur_lib::flows::Flow,
-    /// How long it is known.
+    /// Time since the flow was first seen.
     pub age: Millis,
-    /// How long its last packet is ago.
+    /// Time since the flow's last packet.
     pub idle: Millis,
 }
 
-/// What the packet thread hands to the control thread.
+/// An advert that the packet thread passes to the control thread for sending.
 #[derive(Debug)]
 pub struct KeeperAdvert {
-    /// The instance that keeps the flows.
+    /// The instance that keeps copies of the flows.
     pub keeper: InstanceName,
-    /// The flows.
+    /// The advert with the flows.
     pub advert: Advert,
 }
 
-/// The stages of an instance's life, as others see them.
+/// Stage of the instance's life cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 #[repr(u8)]
 pub enum Stage {
-    /// Learns the bundle.
+    /// Waits for a bundle.
     Starting,
-    /// Forwards.
+    /// Forwards packets.
     Serving,
-    /// Forwards what still comes, and hands over.
+    /// Forwards the packets that still arrive and sends its flows to their keepers.
     Leaving,
-    /// Forwards nothing any more.
+    /// Forwards nothing.
     Stopped,
 }
 
 impl Stage {
-    /// Its name in logs and in the status.
+    /// The stage's name in logs.
     pub fn label(self) -> &'static str {
         match self {
             Stage::Starting => "starting",
@@ -92,48 +94,48 @@
     }
 }
 
-/// The parts.
+/// State that the threads share.
 #[derive(Debug, Default)]
 pub struct Shared {
     /// The view in force; written by the control thread.
     pub view: ArcSwapOption<View>,
-    /// What the forwarder counted; written by the packet thread.
+    /// The forwarder's counters; written by the packet thread.
     pub counters: ArcSwap<Counters>,
-    /// The bundle in force as it was signed off; written by the control thread.
+    /// The bundle in force with its signature; written by the control thread.
     pub signed_bundle: ArcSwapOption<Signed>,
-    /// When it was accepted.
+    /// Time at which that bundle was accepted, in milliseconds.
     pub accepted_at: AtomicU64,
-    /// Whether its version was seen with two contents.
+    /// Whether a second bundle with different content was seen under its version.
     pub conflict: AtomicBool,
-    /// Which life of the instance this is.
+    /// The instance's incarnation.
     pub incarnation: AtomicU64,
-    /// Whether keepers were told all; written by the packet thread.
+    /// Whether the keepers have been sent all flows; written by the packet thread.
     pub keepers_updated: AtomicBool,
-    /// How many flows are known; written by the packet thread.
+    /// Number of known flows; written by the packet thread.
     pub flows: AtomicU64,
-    /// When the last packet came; written by the packet thread.
+    /// Time of the last packet, in milliseconds; written by the packet thread.
     pub last_packet: AtomicU64,
-    /// Messages that found a ring full.
+    /// Number of messages dropped because a ring was full.
     pub overruns: AtomicU64,
-    /// What the socket of the fabric counted; written by the packet thread.
+    /// Counters of the socket for packets; written by the packet thread.
     pub fabric: ArcSwap<medlarspur_fabric::Counts>,
-    /// What the socket of questions counted; written by the packet thread.
+    /// Counters of the socket for questions; written by the packet thread.
     pub questions: ArcSwap<medlarspur_fabric::Counts>,
-    /// What the platform's reader counted; written by the control thread.
+    /// Counters of the platform's reader; written by the control thread.
     pub platform: ArcSwap<medlarspur_platform::Counts>,
-    /// What the prober of targets counted; written by the control thread.
+    /// Counters of the prober; written by the control thread.
     pub probes: ArcSwap<medlarspur_target::Counts>,
-    /// The plans that are followed; written by the control thread.
+    /// The plans in effect; written by the control thread.
     pub plans: ArcSwap<Map<ServiceName, Arc<ServicePlan>>>,
-    /// What the control connections counted; written by the control thread.
+    /// Counters of the control connections; written by the control thread.
     pub peers: ArcSwap<medlarspur_peer::Counters>,
-    /// Set once to end all threads.
+    /// Set once, to stop all threads.
     pub stop: AtomicBool,
     stage: AtomicU8,
 }
 
 impl Shared {
-    /// The stage of the instance's life.
+    /// The current stage of the life cycle.
     pub fn stage(&self) -> Stage {
         match self.stage.load(Relaxed) {
             0 => Stage::Starting,
@@ -143,18 +145,18 @@
         }
     }
 
-    /// Enters a stage; only `life` does.
+    /// Enters a stage. Called for serving by the control thread, else by the life cycle.
     pub(crate) fn set_stage(&self, stage: Stage) {
         self.stage.store(stage as u8, Relaxed);
         log::info!("stage={}", stage.label());
     }
 
-    /// Whether the threads shall end.
+    /// Whether the threads must stop.
     pub fn should_stop(&self) -> bool {
         self.stop.load(Relaxed)
     }
 
-    /// Counts a message that found a ring full.
+    /// Counts a message dropped because a ring was full.
     pub fn count_overrun(&self) {
         self.overruns.fetch_add(1, Relaxed);
     }
--- a/daemon/src/sink.rs
+++ b/daemon/src/sink.rs
@@ -1,9 +1,9 @@
-//! A place for log lines that never makes the writer wait.
+//! A log writer that never blocks the logging thread.
 //!
-//! If whoever reads standard output stops reading, a write blocks as soon as the
-//! pipe is full. On the packet thread that would stop all flows, and it would
-//! show only as a silent instance. So lines go into a bounded ring, and a thread
-//! of their own writes them; what finds the ring full is lost and counted.
+//! If the reader of standard output stops reading, a write blocks as soon as the pipe
+//! is full. On the packet thread that would stop all flows without any log line about
+//! it. So lines are queued in a bounded channel and written by a separate thread. Lines
+//! that find the queue full are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -17,18 +17,18 @@
     time::Duration,
 };
 
-/// How many lines may wait: the most that all budgets let through in a second,
-/// twice over.
+/// Maximum number of queued lines: twice what all rate limits of log lines admit in a
+/// second.
 const CAPACITY: usize = 4_096;
-/// How long the thread waits after it has written. Lines come in groups, and
-/// each wake-up and write costs processor time.
+/// Delay after a write. Lines arrive in groups, and each wake-up and write costs
+/// processor time.
 const BATCH_DELAY: Duration = Duration::from_millis(200);
-/// How long the end of the process waits for the last lines.
+/// Maximum time to wait for the last lines when the process ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
-/// The thread needs little more than a buffer on the heap.
+/// Stack size of the thread, in bytes. Its buffer is on the heap.
 const STACK_SIZE: usize = 64 << 10;
 
-/// Takes whole lines.
+/// Writer that queues log lines. Each write must be a whole line.
 #[derive(Debug, Clone)]
 pub struct LogSink {
     lines: SyncSender<Item>,
@@ -38,12 +38,12 @@
 #[derive(Debug)]
 enum Item {
     Line(Box<[u8]>),
-    /// All that came before has been written when this is answered.
+    /// Answered when all earlier lines have been written.
     Flush(SyncSender<()>),
 }
 
 impl LogSink {
-    /// Starts a thread that writes to `out`.
+    /// Starts a thread that writes the lines to `out`.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<LogSink> {
         let (lines, waiting) = sync_channel(CAPACITY);
         let lost = Arc::<AtomicU64>::default();
@@ -53,16 +53,16 @@
         Ok(sink)
     }
 
-    /// How many lines were lost so far because the ring was full.
+    /// Number of lines lost so far because the queue was full or `out` failed.
     pub fn lost(&self) -> u64 {
         self.lost.load(Relaxed)
     }
 
-    /// Waits a moment until what was logged has been written.
+    /// Waits until the queued lines have been written, for [`FLUSH_TIMEOUT`] at most.
     pub fn flush(&self) {
         let (done, wait) = sync_channel(1);
         if self.lines.try_send(Item::Flush(done)).is_ok() {
-            // Nobody reads if this times out, and the process ends all the same.
+            // A timeout means that the output isn't read; the process ends regardless.
             let _ = wait.recv_timeout(FLUSH_TIMEOUT);
         }
     }
@@ -89,8 +89,8 @@
     let mut text = Vec::new();
     while let Ok(first) = waiting.recv() {
         let mut flushes = Vec::new();
-        // No more at once than the ring holds: whoever logs may be faster than this
-        // loop, and the text would grow without end.
+        // Takes no more at once than the queue holds. Threads may log faster than this
+        // loop runs, and the text would grow without bound.
         for item in iter::once(first).chain(waiting.try_iter().take(CAPACITY)) {
             match item {
                 Item::Line(line) => text.extend_from_slice(&line),
@@ -102,8 +102,7 @@
             text.extend(format!("log lines lost={}\n", now_lost - reported).into_bytes());
             reported = now_lost;
         }
-        // With standard output gone there is nowhere to say so; the counter of
-        // lost lines in the metrics goes on.
+        // A failed write can't be logged; the metric of lost lines shows it.
         if out.write_all(&text).and_then(|()| out.flush()).is_err() {
             lost.fetch_add(1, Relaxed);
         }
--- a/daemon/src/status.rs
+++ b/daemon/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators are shown, gathered when they ask.
+//! Status and explanations for operators, collected on request.
 
 use crate::{
     clock::Clock,
@@ -26,11 +26,11 @@
     time::Duration,
 };
 
-/// How long an operator waits for the packet thread. It answers within a
-/// round, some milliseconds; if it doesn't, less is explanation.
+/// Maximum time to wait for the packet thread. It normally answers within a round, some
+/// milliseconds. Without its answer, the reply to the operator leaves out its flows.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Answers operators from what the threads share.
+/// Answers operators' requests from the state that the threads share.
 pub struct StatusSource {
     settings: Settings,
     shared: Arc<Shared>,
@@ -39,7 +39,7 @@
 }
 
 impl StatusSource {
-    /// Shows the instance of these settings.
+    /// Creates the source for the instance with these settings.
     pub fn new(
         settings: &Settings,
         shared: Arc<Shared>,
@@ -49,7 +49,7 @@
         StatusSource { settings: settings.clone(), shared, queries, clock }
     }
 
-    fn ask<T>(&self, query: impl FnOnce(SyncSender<T>) -> FlowQuery) -> Option<T> {
+    fn request<T>(&self, query: impl FnOnce(SyncSender<T>) -> FlowQuery) -> Option<T> {
         let (reply, answer): (_, Receiver<T>) = sync_channel(1);
         self.queries.try_send(query(reply)).ok()?;
         answer.recv_timeout(REPLY_TIMEOUT).ok()
@@ -86,7 +86,7 @@
     fn status(&self) -> Status {
         let view = self.shared.view.load_full();
         let stage = self.shared.stage();
-        let flows = self.ask(FlowQuery::Counts).unwrap_or_default();
+        let flows = self.request(FlowQuery::Counts).unwrap_or_default();
         Status {
             site: self.settings.site.clone(),
             name: self.settings.name.clone(),
@@ -104,7 +104,7 @@
 
     fn explain(&self, flow: &FlowKey) -> Explanation {
         let view = self.shared.view.load_full();
-        let known = self.ask(|reply| FlowQuery::One(*flow, reply)).flatten();
+        let known = self.request(|reply| FlowQuery::One(*flow, reply)).flatten();
         let mut explanation = Explanation {
             flow: *flow,
             id: None,
@@ -145,7 +145,7 @@
 
     fn flows(&self, limit: usize) -> Vec<FlowStatus> {
         let Some(view) = self.shared.view.load_full() else { return Vec::new() };
-        let flows = self.ask(|reply| FlowQuery::List(limit, reply)).unwrap_or_default();
+        let flows = self.request(|reply| FlowQuery::List(limit, reply)).unwrap_or_default();
         flows.iter().filter_map(|known| flow(&view, known)).collect()
     }
 }
