--- a/daemon/src/marked/asker.rs
+++ b/daemon/src/marked/asker.rs
@@ -1,8 +1,8 @@
-//! Asks targets whether they answer, all of them on one thread.
+//! Active health checks of targets, all on one thread.
 //!
-//! When a failure domain is cut off or goes dark, many of its targets are in doubt in the same
-//! moment, and each question waits for its whole time. A fixed number of questions is under way,
-//! the others wait in the order in which they came, each target once.
+//! When a failure domain is partitioned or loses power, many of its targets are suspected at
+//! once, and each probe lasts until its timeout. A fixed number of probes is in flight. Further
+//! requests are queued in order of arrival, one for each target.
 
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::poll_until;
@@ -12,21 +12,23 @@
 use nix::poll::{PollFd, PollFlags};
 use std::{collections::VecDeque, io, net::SocketAddrV4, thread, time::Instant};
 
-/// How many targets are asked at once. Each holds up to two of the process's files.
+/// Maximum number of probes in flight. Each uses up to two file descriptors.
 pub const MAX_PROBES: usize = 64;
-/// How many may wait for that. One too many is left out: the next doubt asks again.
+/// Maximum number of queued requests. Further ones are dropped; the next suspicion of the
+/// target requests a probe again.
 pub const MAX_QUEUED: usize = 1_024;
-/// The thread needs room for one answer's head.
+/// Stack size of the thread, in bytes: enough for the head of one answer.
 const STACK_SIZE: usize = 64 << 10;
 
-/// Asks targets. Its thread starts with the first question, which most instances never have.
+/// Handle of the probing thread, which is started by the first request. Most instances never
+/// have one.
 #[derive(Debug)]
 pub struct Prober {
     sender: Sender,
     requests: Option<Sender<ProbeRequest>>,
 }
 
-/// A target to ask.
+/// Request to probe a target.
 #[derive(Debug)]
 struct ProbeRequest {
     incarnation: Incarnation,
@@ -36,21 +38,23 @@
 }
 
 impl Prober {
-    /// One that hands what it finds to the main thread.
+    /// Creates a prober that sends results to the main thread.
     pub fn new(sender: Sender) -> Prober {
         Prober { sender, requests: None }
     }
 
-    /// Asks without waiting for the answer.
+    /// Requests a probe of a target, without waiting for the result.
     pub fn probe(&mut self, target: &Target, path: &str) {
         let incarnation = target.incarnation;
         let (name, address) = (target.name.clone(), target.address);
         let request = ProbeRequest { incarnation, name, address, path: path.into() };
         match self.requests().map(|requests| requests.send(request)) {
             Ok(Delivery::Queued) => {}
-            Ok(Delivery::Full) => log::warn!("ask: {incarnation} is not asked, others wait"),
+            Ok(Delivery::Full) => {
+                log::warn!("ask: probe of {incarnation} dropped, the queue is full")
+            }
             Ok(Delivery::Closed) => self.requests = None,
-            Err(error) => log::warn!("ask: {incarnation} is not asked: {error}"),
+            Err(error) => log::warn!("ask: probe of {incarnation} failed to start: {error}"),
         }
     }
 
@@ -69,12 +73,12 @@
     }
 }
 
-/// The thread that asks.
+/// The probing thread.
 struct ProberThread {
     inbox: Inbox<ProbeRequest>,
     sender: Sender,
-    /// Targets that wait to be asked, and those that wait or are asked.
     queue: VecDeque<ProbeRequest>,
+    /// Targets with a probe queued or in flight.
     pending: Set<Incarnation>,
     probes: Vec<(Incarnation, Question)>,
 }
@@ -89,7 +93,7 @@
         while !self.inbox.is_closed() {
             for request in self.inbox.drain() {
                 if self.queue.len() >= MAX_QUEUED {
-                    log::warn!("ask: {} is not asked, others wait", request.incarnation);
+                    log::warn!("ask: probe of {} dropped, the queue is full", request.incarnation);
                 } else if self.pending.insert(request.incarnation) {
                     self.queue.push_back(request);
                 }
@@ -98,7 +102,7 @@
             match self.wait() {
                 Ok(ready) => self.advance_probes(&ready),
                 Err(error) => {
-                    log::error!("ask: all questions are given up: {error}");
+                    log::error!("ask: probing stopped, all probes are lost: {error}");
                     return;
                 }
             }
@@ -116,8 +120,8 @@
         }
     }
 
-    /// Waits for an order, an answer, or until a question is due; tells which questions have
-    /// a socket that is ready.
+    /// Waits for a request, a ready socket, or a probe's deadline. Returns for each probe whether
+    /// one of its sockets is ready.
     fn wait(&self) -> io::Result<Vec<bool>> {
         let due = self.probes.iter().map(|(_, probe)| probe.due()).min();
         let sockets = self.probes.iter().enumerate();
@@ -153,7 +157,7 @@
     fn report(&mut self, incarnation: Incarnation, result: Finding) {
         self.pending.remove(&incarnation);
         if self.sender.send(Event::Probed(incarnation, result)) == Delivery::Full {
-            log::warn!("ask: what {incarnation} answered is lost, the inbox is full");
+            log::warn!("ask: probe result of {incarnation} lost, the inbox is full");
         }
     }
 }
--- a/daemon/src/marked/current.rs
+++ b/daemon/src/marked/current.rs
@@ -1,9 +1,8 @@
-//! The settings as they are now: the file may change while the process runs,
-//! with a signal or without one.
+//! Settings that can be reloaded while the process runs.
 //!
-//! What may change is where the store and the peers are. It is read again when
-//! a signal says so and when the store can't be reached, which is when another
-//! address would help. Everything else needs a restart.
+//! Only the addresses of the store and of the peers can change; everything else needs a
+//! restart. The file is read again on a signal, and when the store can't be reached, as
+//! its address may have changed.
 
 use medlarspur_lib::settings::MarkedSettings;
 use snafu::{ResultExt, Snafu};
@@ -14,16 +13,16 @@
     sync::{Mutex, PoisonError},
 };
 
-/// Why settings that were read again are not taken.
+/// Reasons why reloaded settings are rejected.
 #[derive(Debug, Snafu)]
 enum ReloadError {
-    #[snafu(display("they can't be read"))]
+    #[snafu(display("the file can't be read"))]
     Read { source: io::Error },
-    #[snafu(display("they don't hold: {faults}"))]
+    #[snafu(display("the file is invalid: {faults}"))]
     Faulty { faults: medlarspur_lib::document::Report },
 }
 
-/// The settings that are in force.
+/// The settings in force.
 #[derive(Debug)]
 pub struct LiveSettings {
     path: PathBuf,
@@ -31,28 +30,28 @@
 }
 
 impl LiveSettings {
-    /// Starts with settings that were read from `path`.
+    /// Creates live settings from those read from `path`.
     pub fn new(path: &Path, settings: &MarkedSettings) -> LiveSettings {
         LiveSettings { path: path.to_owned(), settings: Mutex::new(settings.clone()) }
     }
 
-    /// Where the store is.
+    /// The store's address.
     pub fn store_address(&self) -> SocketAddrV4 {
         self.settings.lock().unwrap_or_else(PoisonError::into_inner).store
     }
 
-    /// Where instances are that may know others.
+    /// The addresses of instances from which others can be learned.
     pub fn seeds(&self) -> Vec<SocketAddrV4> {
         self.settings.lock().unwrap_or_else(PoisonError::into_inner).peers.clone()
     }
 
-    /// Reads the settings again and takes over what may change. Those in force
-    /// stay if the new ones don't hold.
+    /// Reads the settings again and takes over those that can change. Invalid settings
+    /// are rejected as a whole.
     pub fn reload(&self) {
         let fresh = match self.read() {
             Ok(fresh) => fresh,
             Err(error) => {
-                log::warn!("reload: the settings stay as they are: {error}");
+                log::warn!("reload: rejected, the settings stay as they are: {error}");
                 return;
             }
         };
@@ -63,9 +62,9 @@
         let peers = fresh.peers.clone();
         let taken = MarkedSettings { store: fresh.store, peers, ..settings.clone() };
         if taken != fresh {
-            log::warn!("reload: some settings have changed that need a restart");
+            log::warn!("reload: some changed settings need a restart and are ignored");
         }
-        log::info!("reload: the store is at {}, peers at {:?}", fresh.store, fresh.peers);
+        log::info!("reload: store address {}, peer addresses {:?}", fresh.store, fresh.peers);
         *settings = taken;
     }
 
--- a/daemon/src/marked/inbox.rs
+++ b/daemon/src/marked/inbox.rs
@@ -1,4 +1,4 @@
-//! What threads hand to one that also waits for sockets, with a way to wake it.
+//! Channel to a thread that also polls sockets: a bounded queue and a pipe to wake it.
 
 use super::pictures::Command;
 use medlarspur_lib::status::{MarkedExplanation, MarkedStatus};
@@ -19,72 +19,72 @@
     },
 };
 
-/// How many values may wait. Their receiver empties the inbox in each round; if it does not
-/// come to that, news is read again.
+/// Maximum number of queued values. The receiver empties the inbox in each round. If the inbox
+/// is full, an update is dropped and read or pulled again.
 const CAPACITY: usize = 256;
 
-/// A value for the main thread.
+/// Event for the main thread.
 #[derive(Debug)]
 pub enum Event {
-    /// News that was read from the store, maybe without any change.
+    /// An update was read from the store, possibly without changes.
     StoreRead {
-        /// The news.
+        /// The update.
         update: News,
-        /// Whether the store is in an earlier era than was believed.
+        /// Whether the store is in an earlier era than was known.
         fell_back: bool,
     },
     /// The store could not be read.
     StoreFailed,
-    /// What another instance has told when it was asked.
+    /// An update was pulled from another instance.
     Pulled {
-        /// Who told it.
+        /// The instance that sent it.
         from: SocketAddrV4,
-        /// What it told.
+        /// The update.
         update: News,
     },
-    /// Another instance asks for what has changed since a revision.
+    /// Another instance requests the changes since a revision.
     PullRequested {
-        /// What it knows.
+        /// The revision that it knows.
         known: Revision,
-        /// Where the answer goes.
+        /// The thread that sends the answer.
         reply: Sender<Command>,
     },
-    /// An instance that was asked has told nothing.
+    /// A pull from this instance failed.
     PullFailed(SocketAddrV4),
-    /// What asking a target brought.
+    /// A target's probe has ended with this result.
     Probed(Incarnation, Finding),
-    /// An operator asks.
+    /// An operator's query.
     Operator(OperatorQuery),
 }
 
-/// What operators ask, each with where the answer goes; it has room for it.
+/// An operator's query, with a channel that has capacity for the answer.
 #[derive(Debug)]
 pub enum OperatorQuery {
-    /// For the state of the instance.
+    /// Returns the state of the instance.
     Status(SyncSender<MarkedStatus>),
-    /// Where a flow goes and why.
+    /// Explains the decision on a flow.
     Explain(FlowKey, SyncSender<MarkedExplanation>),
 }
 
-/// What became of a value.
+/// Outcome of sending a value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// It waits in the inbox.
+    /// The value is in the inbox.
     Queued,
-    /// The inbox has no room for it.
+    /// The inbox is full; the value is dropped.
     Full,
-    /// The receiver has ended, and the process ends.
+    /// The receiver is gone, because the process ends.
     Closed,
 }
 
-/// The receiver's end; the main thread's takes [`Event`]s.
+/// Receiving end of a channel. The main thread's inbox receives [`Event`]s.
 #[derive(Debug)]
 pub struct Inbox<T = Event> {
     events: Receiver<T>,
     wake: OwnedFd,
 }
 
-/// The other threads' end.
+/// Sending end of a channel.
 #[derive(Debug)]
 pub struct Sender<T = Event> {
     events: SyncSender<T>,
@@ -97,7 +97,7 @@
     }
 }
 
-/// Makes both ends.
+/// Creates a channel.
 pub fn channel<T>() -> io::Result<(Sender<T>, Inbox<T>)> {
     let (events, inbox) = sync_channel(CAPACITY);
     let (wake, writer) = pipe2(OFlag::O_NONBLOCK | OFlag::O_CLOEXEC)?;
@@ -106,23 +106,23 @@
 }
 
 impl<T> Inbox<T> {
-    /// Becomes readable when something waits.
+    /// Descriptor that becomes readable when a value is queued.
     pub fn wake_fd(&self) -> BorrowedFd<'_> {
         self.wake.as_fd()
     }
 
-    /// Takes what waits.
+    /// Removes and returns the queued values.
     pub fn drain(&self) -> impl Iterator<Item = T> {
         let _ = self.drain_pipe();
         self.events.try_iter()
     }
 
-    /// Whether all senders are gone, so that nothing comes any more.
+    /// Whether all senders are gone.
     pub fn is_closed(&self) -> bool {
         self.drain_pipe() == Ok(0)
     }
 
-    /// Empties the pipe; answers how many bytes came last, which is none once it has ended.
+    /// Empties the pipe. Returns the number of bytes of the last read, 0 if the pipe is closed.
     fn drain_pipe(&self) -> nix::Result<usize> {
         let mut bytes = [0; 64];
         loop {
@@ -135,24 +135,24 @@
 }
 
 impl<T> Sender<T> {
-    /// Hands a value over without waiting.
+    /// Sends a value without waiting, and wakes the receiver.
     pub fn send(&self, event: T) -> Delivery {
         let sent = match self.events.try_send(event) {
             Ok(()) => Delivery::Queued,
             Err(TrySendError::Full(_)) => Delivery::Full,
             Err(TrySendError::Disconnected(_)) => Delivery::Closed,
         };
-        // A full pipe wakes the receiver as well as one more byte would.
+        // A full pipe is readable already, so the receiver wakes without another byte.
         if let Err(error) = write(&self.wake, &[0])
             && error != Errno::EAGAIN
         {
-            log::warn!("inbox: the receiver can't be woken: {error}");
+            log::warn!("inbox: waking the receiver failed: {error}");
         }
         sent
     }
 
-    /// Wakes the receiver when one of these signals comes, which would
-    /// otherwise be noticed with the next packet only.
+    /// Wakes the receiver when one of these signals arrives. Otherwise it would notice the
+    /// signal only with the next packet.
     pub fn wake_on(&self, signals: &[i32]) -> io::Result<()> {
         for signal in signals {
             pipe::register(*signal, self.wake.try_clone()?)?;
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -1,4 +1,4 @@
-//! The main thread of an instance: packets, news and what is due.
+//! The main thread of an instance: packets, updates and timers.
 
 mod report;
 
@@ -37,72 +37,76 @@
     time::Duration,
 };
 
-/// How many batches one round takes before it sends and looks at the inbox.
+/// Maximum number of batches of packets handled in a round before the inbox is read.
 const MAX_BATCHES: usize = 4;
-/// How often packets that came before anything is known are dropped. A caller
-/// gives an opening up after 1.4 s; older packets would open flows that nobody
+/// Interval at which queued packets are dropped while no routes and targets are known. A
+/// caller abandons an opening after 1.4 s; older packets would open flows that no caller
 /// waits for.
 const DROP_INTERVAL: Millis = Millis(700);
-/// How long a leaving instance goes on at least: routers ask twice a second and
-/// take it out after two refusals.
+/// Minimum duration of leaving. Routers check readiness twice a second and remove an
+/// instance after two failed checks.
 const MIN_LEAVE_TIME: Millis = Millis(1_300);
-/// How long no packet may have come before a leaving instance is done.
+/// Time without packets after which a leaving instance may stop.
 const IDLE_TIME: Millis = Millis(500);
-/// How long before it would be killed a leaving instance ends by itself.
+/// Time before the end of the grace period, when the process is killed, at which a leaving
+/// instance stops by itself.
 const KILL_MARGIN: Millis = Millis::secs(1);
 
-/// Why an instance can't run.
+/// Reasons why an instance can't start or run.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// The socket for packets.
-    #[snafu(display("cannot take packets"))]
+    /// The socket for packets can't be bound or read.
+    #[snafu(display("cannot receive packets"))]
     Packets {
-        /// Why.
+        /// The cause.
         source: SocketError,
     },
-    /// The metrics.
+    /// The metrics can't be registered.
     #[snafu(display("cannot set up the metrics"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetersError,
     },
-    /// A thread, a pipe, a listener or a signal handler.
+    /// A system call failed: for a thread, a pipe, a listener or a signal handler.
     #[snafu(display("cannot {what}"))]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// Why it failed.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Runs with the settings that were read from `path` until the process is told
-/// to end.
+/// Runs an instance with the settings that were read from `path` until SIGTERM stops it.
+///
+/// # Errors
+///
+/// Fails if a socket, thread, pipe or signal handler can't be set up, or if the socket for
+/// packets can't be read.
 pub fn run(path: &Path, settings: &MarkedSettings, sink: Option<LogSink>) -> Result<(), RunError> {
     let system = |what| SystemSnafu { what };
-    let (sender, inbox) = inbox::channel().context(system("make the inbox"))?;
+    let (sender, inbox) = inbox::channel().context(system("create the inbox"))?;
     let shutdown = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGTERM, shutdown.clone()).context(system("handle SIGTERM"))?;
     let reload = Arc::new(AtomicBool::new(false));
     signal_hook::flag::register(SIGHUP, reload.clone()).context(system("handle SIGHUP"))?;
     sender.wake_on(&[SIGTERM, SIGHUP]).context(system("handle signals"))?;
-    let current = Arc::new(LiveSettings::new(path, settings));
+    let live = Arc::new(LiveSettings::new(path, settings));
     let socket = Socket::bind(settings.packets).context(PacketsSnafu)?;
     let ready = Arc::new(AtomicBool::new(false));
-    let asked = ready::serve(settings.ready, ready.clone());
-    let asked = asked.context(system("tell whether it is ready"))?;
-    let store_reader =
-        StoreReader::start(current.clone(), sender.clone(), settings.control.is_some());
+    let ready_address = ready::serve(settings.ready, ready.clone());
+    let ready_address = ready_address.context(system("serve readiness checks"))?;
+    let store_reader = StoreReader::start(live.clone(), sender.clone(), settings.control.is_some());
     let store_reader = store_reader.context(system("follow the store"))?;
     let clock = Clock::start();
     let peers =
         settings.control.map(|control| Peers::join(control, settings, &sender, clock.now()));
-    let peers = peers.transpose().context(system("talk to other instances"))?;
+    let peers = peers.transpose().context(system("open the control address"))?;
     let control = peers.as_ref().map(|peers| peers.socket.local()).transpose();
-    let control = control.context(system("talk to other instances"))?;
+    let control = control.context(system("open the control address"))?;
     log::info!(
         name = settings.name.as_str(), domain = settings.domain.as_str(),
-        packets:% = socket.local(), ready:% = asked, store:% = settings.store,
+        packets:% = socket.local(), ready:% = ready_address, store:% = settings.store,
         control = control.map(|it| it.to_string());
         "start"
     );
@@ -128,7 +132,7 @@
         metrics: None,
         shutdown,
         reload,
-        settings: current,
+        settings: live,
         ready,
     };
     if let Some(address) = settings.metrics {
@@ -153,7 +157,7 @@
     domain: DomainName,
     forwarder: Forwarder,
     output: RoundOutput,
-    /// The other instances, if the settings say where to talk to them.
+    /// The other instances, if the settings have a control address.
     peers: Option<Peers>,
     store_reader: StoreReader,
     sender: Sender,
@@ -161,24 +165,25 @@
     socket: Socket,
     inbox: Inbox,
     clock: Clock,
-    /// When the last packet came.
+    /// Time of the last packet.
     last_packet: Millis,
-    /// When the store answered last.
+    /// Time of the store's last answer.
     last_read: Option<Millis>,
     stats: Stats,
     published: SharedStats,
     metrics: Option<Metrics>,
+    /// Set by SIGTERM.
     shutdown: Arc<AtomicBool>,
-    /// Whether a signal says that the settings have changed.
+    /// Set by SIGHUP: the settings must be read again.
     reload: Arc<AtomicBool>,
     settings: Arc<LiveSettings>,
     ready: Arc<AtomicBool>,
 }
 
 impl Instance {
-    /// Waits until there are routes and targets. Packets wait in the socket
-    /// meanwhile: a caller whose packet is dropped repeats it only after 200 ms,
-    /// and the first answer of the store takes some ten.
+    /// Waits until routes and targets are known. Packets stay queued in the socket
+    /// meanwhile: a caller retransmits a dropped packet only after 200 ms, and the store's
+    /// first answer takes some 10 ms.
     fn wait_until_usable(&mut self) -> Result<(), RunError> {
         let mut dropped = self.clock.now();
         self.handle_messages();
@@ -211,7 +216,7 @@
         Ok(())
     }
 
-    /// Says that it is not ready and serves what still comes.
+    /// Reports that the instance isn't ready, and serves packets that still arrive.
     fn leave(&mut self, limit: Millis) -> Result<(), RunError> {
         self.ready.store(false, Relaxed);
         log::info!(flows = self.forwarder.len(), limit_ms = limit.0; "leave");
@@ -230,8 +235,8 @@
         self.shutdown.load(Relaxed)
     }
 
-    /// Waits for something to do, `max_wait` at most, and does it. Packets go
-    /// first: what is due may depend on an answer that waits in the socket.
+    /// Waits for input or a timer, for `max_wait` at most, and handles it. Packets are
+    /// handled first: a timer's action may depend on an answer queued in the socket.
     fn round(&mut self, max_wait: Option<Millis>) -> Result<(), RunError> {
         let now = self.clock.now();
         let peers = self.peers.as_ref().map(|peers| peers.fleet.deadline(now));
@@ -263,7 +268,7 @@
         Ok(())
     }
 
-    /// Notes by what picture the decisions of this round are made.
+    /// Sets the catalog state that this round's decisions are logged with.
     fn begin_round(&mut self) {
         let now = self.clock.now();
         let age = self.confirmed().map(|at| now.since(at));
@@ -286,7 +291,7 @@
                     }
                     Err(error) => {
                         self.stats.malformed[error as usize] += 1;
-                        log::debug!("packets: one is dropped: {error}");
+                        log::debug!("packets: malformed packet dropped: {error}");
                     }
                 }
             }
@@ -327,7 +332,7 @@
                     fleet.store_failed(forwarder.catalog(), now);
                 }),
                 Event::Pulled { from, update } => {
-                    log::debug!("peers: {from} has told {}", update.revision);
+                    log::debug!("peers: update from {from} up to revision {}", update.revision);
                     let known = self.forwarder.revision();
                     let fleet = self.peers.as_ref().map(|peers| &peers.fleet);
                     if fleet.is_none_or(|fleet| fleet.is_credible(update.revision, known)) {
@@ -337,7 +342,7 @@
                 Event::PullRequested { known, reply } => {
                     let update = self.forwarder.catalog().since(known, now);
                     if reply.send(Command::Send(known, update)) != Delivery::Queued {
-                        log::debug!("peers: whoever asked is not told");
+                        log::debug!("peers: answer to a pull dropped, the queue is full");
                     }
                 }
                 Event::PullFailed(from) => {
@@ -347,14 +352,14 @@
                 Event::Probed(target, finding) => {
                     self.forwarder.answer(target, finding, now, &mut self.output);
                 }
-                Event::Operator(question) => self.answer_operator(question, now),
+                Event::Operator(query) => self.answer_operator(query, now),
             }
         }
     }
 
-    /// A packet carries a mark that means nothing here: there is a target that
-    /// others know already. The caller sends the packet again after 200 ms, and
-    /// by then the target should be known.
+    /// Requests an update after a packet with an unknown mark, which belongs to a target
+    /// that other instances know already. The caller retransmits the packet after 200 ms;
+    /// the target should be known by then.
     fn catch_up(&mut self) {
         match &mut self.peers {
             Some(peers) if !peers.fleet.is_reading() => peers.fleet.suspect_lack(),
@@ -373,12 +378,12 @@
         }
     }
 
-    /// Takes other instances' messages, and does what is due among them.
+    /// Handles other instances' messages and the membership's timers.
     fn handle_messages(&mut self) {
         let now = self.clock.now();
         let Some(Peers { fleet, socket, exchange }) = &mut self.peers else { return };
         while let Some((from, message)) = socket.receive() {
-            // Merged one by one: each may go on from the one before.
+            // Updates are merged one by one: each may build on the one before.
             if let Some(update) = fleet.receive(from, message, self.forwarder.catalog(), now) {
                 self.forwarder.learn(update, now, &mut self.output);
             }
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -1,4 +1,4 @@
-//! What operators are shown of an instance: metrics, its state, why a flow goes where it goes.
+//! Metrics, status and explanations of flows for operators.
 
 use super::{Instance, MetricsSnafu, RunError};
 use crate::{
@@ -19,12 +19,12 @@
     sync::{Arc, atomic::Ordering::Relaxed},
 };
 
-/// How long after the start metrics begin to be served. Setting the server up takes some
-/// milliseconds of processor time, tens on a twentieth of a core; packets that wait at the
-/// start need them.
+/// Delay from the start until the metrics are served. Starting the server takes some
+/// milliseconds of processor time, or tens of milliseconds on a twentieth of a core, which
+/// packets queued at the start need more urgently.
 const METRICS_DELAY: Millis = Millis::secs(3);
 
-/// Metrics that are not served yet, or are.
+/// The metrics and their server, once it is started.
 pub(super) struct Metrics {
     address: SocketAddrV4,
     meters: Meters,
@@ -33,7 +33,7 @@
 }
 
 impl Instance {
-    /// Sets metrics up. They are served only [`METRICS_DELAY`] later.
+    /// Registers the metrics. They are served [`METRICS_DELAY`] later.
     pub(super) fn set_up_metrics(
         &mut self,
         address: SocketAddrV4,
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// Publishes what was counted, and begins to serve metrics when that is due.
+    /// Publishes the counters, and starts serving the metrics when that is due.
     pub(super) fn publish(&mut self) {
         let confirmed = self.confirmed();
         let Some(metrics) = &mut self.metrics else { return };
@@ -79,12 +79,12 @@
                     log::info!(address:% = server.address(); "operators: served");
                     metrics.server = Some(server);
                 }
-                Err(error) => log::warn!("metrics: not served: {}", Report::from_error(error)),
+                Err(error) => log::warn!("metrics: serving failed: {}", Report::from_error(error)),
             }
         }
     }
 
-    /// When the store or a reader confirmed the picture last.
+    /// Time at which the store or a reader last confirmed the catalog.
     pub(super) fn confirmed(&self) -> Option<Millis> {
         self.last_read.max(self.peers.as_ref().and_then(|peers| peers.fleet.confirmed()))
     }
@@ -98,7 +98,7 @@
             }
         };
         if !is_sent {
-            log::debug!("operator: whoever asked has gone");
+            log::debug!("operator: answer dropped, the requester has disconnected");
         }
     }
 
--- a/daemon/src/marked/lines.rs
+++ b/daemon/src/marked/lines.rs
@@ -1,28 +1,28 @@
-//! Writes down decisions, in a bounded number.
+//! Rate-limited log of the forwarder's decisions.
 
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 use medlarspur_load::lines::{Budget, Verdict};
 use medlarspur_marked::{Incarnation, Note, NoteKind, Revision};
 use std::fmt;
 
-/// The log target of lines on decisions; `docs/OPERATIONS.md` lists their fields.
+/// Log target of decisions. `docs/OPERATIONS.md` lists the fields of their lines.
 const TARGET: &str = "decision";
 
-/// What the instance knew when it decided.
+/// State of the catalog on which a decision is based.
 #[derive(Debug, Clone, Copy)]
 pub struct CatalogState {
-    /// Up to which revision it knew all changes.
+    /// Revision up to which all changes are known.
     pub revision: Revision,
-    /// How long ago that was confirmed, if it ever was.
+    /// Time since the catalog was last confirmed; none if it never was.
     pub age: Option<Millis>,
 }
 
-/// How many starts of targets are remembered by name: those of the size aimed for, with
-/// as many that were replaced within their memory. Beyond it all are forgotten, and
-/// lines name a target by its number until news of it comes again.
+/// Maximum number of incarnations whose names are remembered: those of the largest supported
+/// site, and as many that were replaced while they are remembered. At the limit all names are
+/// forgotten, and lines identify a target by its number until its next update.
 const MAX_NAMES: usize = 20_000;
 
-/// The budgets of all kinds of lines, and the names of targets.
+/// Log of decisions, with a rate limit for each kind of line.
 #[derive(Debug)]
 pub struct DecisionLog {
     budgets: [Budget; NoteKind::ALL.len()],
@@ -30,12 +30,12 @@
 }
 
 impl DecisionLog {
-    /// Full budgets.
+    /// Creates a log with full budgets.
     pub fn new(now: Millis) -> DecisionLog {
         DecisionLog { budgets: [Budget::new(now); NoteKind::ALL.len()], names: Map::default() }
     }
 
-    /// Writes a note, if its kind's budget has room.
+    /// Logs a note, unless the budget of its kind is exhausted.
     pub fn write(&mut self, note: &Note, state: CatalogState, now: Millis) {
         if let Note::Entry { target, name, .. } = note {
             self.remember_name(*target, name);
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -1,7 +1,7 @@
-//! What the instance shows in its metrics.
+//! The instance's metrics.
 //!
-//! The main thread counts in numbers of its own and publishes a copy after each
-//! round; a scrape reads the copy, so it never holds packets up.
+//! The main thread keeps its own counters and publishes a copy after each round. A scrape
+//! reads the copy, so it never delays packets.
 
 use super::store::CallCounts;
 use crate::{clock::Clock, sink::LogSink};
@@ -15,44 +15,44 @@
     time::Duration,
 };
 
-/// A copy of what the main thread counts and knows.
+/// Copy of the main thread's counters and state.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Stats {
-    /// Packets that were taken from the fabric.
+    /// Number of packets received from the fabric.
     pub received: u64,
-    /// Packets that are none, by reason.
+    /// Number of malformed packets, by reason.
     pub malformed: [u64; PacketError::ALL.len()],
-    /// What the forwarder counts.
+    /// The forwarder's counters.
     pub counts: Counts,
-    /// What the socket counts.
+    /// The packet socket's counters.
     pub wire: SocketCounts,
-    /// Flows with a record.
+    /// Number of flows in the flow table.
     pub flows: u64,
-    /// Other instances that are known.
+    /// Number of other known instances.
     pub members: u64,
-    /// Whether it is ready.
+    /// Whether the instance is ready.
     pub ready: bool,
-    /// Whether it reads the store.
+    /// Whether the instance reads the store.
     pub reading: bool,
-    /// When its picture was confirmed last.
+    /// Time at which the catalog was last confirmed.
     pub confirmed: Option<Millis>,
-    /// Up to which revision it knows all changes.
+    /// Revision up to which all changes are known.
     pub revision: Revision,
-    /// The version of the config in force.
+    /// Version of the config in force.
     pub version: u64,
-    /// Listed targets that answer, and that don't.
+    /// Numbers of listed targets that answer and that don't.
     pub reach: (usize, usize),
-    /// Targets that take no openings.
+    /// Number of targets that accept no openings.
     pub full: usize,
-    /// Failure domains that operators have emptied.
+    /// Number of evacuated failure domains.
     pub evacuated: usize,
-    /// Routes of the config in force that can't be served.
+    /// Number of routes of the config in force that can't be served.
     pub omitted: u32,
-    /// Targets that were not taken because another one has their number.
+    /// Number of targets that were rejected because another one has the same number.
     pub clashes: u64,
 }
 
-/// The copy that scrapes read.
+/// The published copy, read by scrapes.
 #[derive(Debug, Default, Clone)]
 pub struct SharedStats(Arc<Mutex<Stats>>);
 
@@ -71,7 +71,7 @@
     }
 }
 
-/// One series and where its value is found.
+/// Family and label of a series, and the function that reads its value.
 type CounterSeries = (Family, &'static str, fn(&Stats) -> u64);
 
 const COUNTERS: [CounterSeries; 33] = [
@@ -110,7 +110,7 @@
     (Family::Probes, "silent", |it| it.counts.found[Finding::Silent as usize]),
 ];
 
-/// One gauge and where its value is found.
+/// A gauge and the function that reads its value.
 type GaugeSeries = (Gauge, fn(&Stats) -> u64);
 
 const GAUGES: [GaugeSeries; 12] = [
@@ -128,7 +128,7 @@
     (Gauge::RoutesOmitted, |it| u64::from(it.omitted)),
 ];
 
-/// Shows all numbers.
+/// Registers the metrics.
 pub fn register(
     meters: &Meters,
     published: &SharedStats,
@@ -166,7 +166,7 @@
     }
 }
 
-/// Records measured times, with the histograms at hand.
+/// Records measured times, with a cache of the histograms in use.
 #[derive(Clone)]
 pub struct Histograms {
     meters: Meters,
@@ -174,12 +174,12 @@
 }
 
 impl Histograms {
-    /// Records into these metrics.
+    /// Creates a recorder for these metrics.
     pub fn new(meters: Meters) -> Histograms {
         Histograms { meters, classes: Map::default() }
     }
 
-    /// Records one time.
+    /// Records a time of a class of a service.
     pub fn record(&mut self, service: &ServiceName, class: Class, span: Span) {
         let key = (service.clone(), class);
         let meters = &self.meters;
--- a/daemon/src/marked/mod.rs
+++ b/daemon/src/marked/mod.rs
@@ -1,17 +1,17 @@
-//! An instance whose fabric returns marks, so that instances need no agreement
-//! on flows.
+//! An instance for a fabric that returns marks, which make agreement between instances
+//! on flows unnecessary.
 //!
-//! | thread | duty | waits for |
+//! | thread | task | waits for |
 //! |---|---|---|
-//! | main | callers' packets and all decisions on them | packets, the inbox, the next thing due |
+//! | main | forwards callers' packets, decides on flows | packets, the inbox, the next deadline |
 //! | `store` | follows the store, while this instance is a reader | the store |
-//! | `pictures` | tells other instances all that is known here, asks them for what is lacking | other instances |
-//! | `ready` | tells routers whether the instance is ready | a router |
-//! | `ask` | asks targets whether they answer, from the first question on | the targets |
+//! | `pictures` | sends updates to other instances and pulls missing ones from them | other instances |
+//! | `ready` | answers routers' health checks | a router |
+//! | `ask` | probes targets; started by the first probe | the targets |
+//! | `log` | writes log lines from a bounded queue ([`sink`](crate::sink)) | log lines |
 //!
-//! A thread `log` writes log lines, which go to it through a bounded ring
-//! ([`sink`](crate::sink)). The main thread alone has the flows. The others hand it values through the
-//! [`Inbox`](inbox::Inbox) and never wait for it.
+//! The flow table belongs to the main thread. The other threads send it values through the
+//! [`Inbox`](inbox::Inbox) without waiting.
 
 pub mod asker;
 mod current;
--- a/daemon/src/marked/output.rs
+++ b/daemon/src/marked/output.rs
@@ -1,4 +1,4 @@
-//! Turns decisions into datagrams.
+//! Output of the forwarder: datagrams, probes, histograms and log lines.
 
 use super::{
     asker::Prober,
@@ -11,7 +11,7 @@
 use medlarspur_platform::site::packet;
 use std::net::SocketAddrV4;
 
-/// Gathers the datagrams of a round.
+/// Collects the datagrams of a round and carries out the forwarder's other outputs.
 pub struct RoundOutput {
     outbox: Outbox,
     scratch: Vec<u8>,
@@ -24,7 +24,7 @@
 }
 
 impl RoundOutput {
-    /// Callers take packets at the port `caller_port`.
+    /// Creates an output that sends resets to callers at the port `caller_port`.
     pub fn new(prober: Prober, caller_port: u16, now: Millis) -> RoundOutput {
         RoundOutput {
             outbox: Outbox::new(),
@@ -38,18 +38,18 @@
         }
     }
 
-    /// Records measured histograms from now on.
+    /// Sets the histograms in which measured times are recorded.
     pub fn record_times(&mut self, histograms: Histograms) {
         self.histograms = Some(histograms);
     }
 
-    /// Begins a round, in which decisions are made by this catalog.
+    /// Begins a round. `catalog` is the state on which its decisions are based.
     pub fn begin_round(&mut self, catalog: CatalogState, now: Millis) {
         self.catalog = catalog;
         self.now = now;
     }
 
-    /// What was gathered.
+    /// The collected datagrams.
     pub fn outbox(&mut self) -> &mut Outbox {
         &mut self.outbox
     }
--- a/daemon/src/marked/peers.rs
+++ b/daemon/src/marked/peers.rs
@@ -1,4 +1,4 @@
-//! Messages to and from other instances, as datagrams by the main thread.
+//! Communication with other instances: datagrams sent and received by the main thread.
 
 use super::{inbox::Sender, pictures::UpdateExchange};
 use medlarspur_lib::{settings::MarkedSettings, time::Millis};
@@ -12,23 +12,23 @@
     os::fd::{AsFd, BorrowedFd},
 };
 
-/// How often a port is sought that is free for both UDP and TCP, where the
+/// Maximum number of retries to find a port that is free for both UDP and TCP, if the
 /// settings leave the port to the system.
 const PORT_TRIES: usize = 20;
 
-/// The other instances, with the ways to talk to them.
+/// Membership of the other instances, and the channels to them.
 #[derive(Debug)]
 pub struct Peers {
-    /// What is believed of them.
+    /// The membership state.
     pub fleet: Fleet,
-    /// For datagrams.
+    /// Socket for gossip datagrams.
     pub socket: ControlSocket,
-    /// For what is too large for one.
+    /// Pulls over TCP, for updates too large for a datagram.
     pub exchange: UpdateExchange,
 }
 
 impl Peers {
-    /// Binds the control address for datagrams and for pictures.
+    /// Binds the control address for datagrams and for pulls.
     ///
     /// # Errors
     ///
@@ -56,14 +56,14 @@
     }
 }
 
-/// The socket for datagrams.
+/// Socket for gossip datagrams.
 #[derive(Debug)]
 pub struct ControlSocket {
     socket: UdpSocket,
 }
 
 impl ControlSocket {
-    /// Binds the address.
+    /// Binds a non-blocking socket to the address.
     pub fn bind(address: SocketAddrV4) -> io::Result<ControlSocket> {
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Becomes readable when a message waits.
+    /// Descriptor that becomes readable when a message is pending.
     pub fn as_fd(&self) -> BorrowedFd<'_> {
         self.socket.as_fd()
     }
 
-    /// Takes the next message that can be understood.
+    /// Returns the next valid message, or none if no datagram is pending.
     pub fn receive(&self) -> Option<(SocketAddrV4, Message)> {
         let mut bytes = [0; MAX_DATAGRAM];
         loop {
@@ -91,25 +91,25 @@
                 Ok((count, SocketAddr::V4(from))) => (count, from),
                 Ok(_) => continue,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
-                // What a peer that has gone causes passes by itself.
+                // Errors caused by a peer that has ended are transient.
                 Err(error) => {
-                    log::debug!("peers: {error}");
+                    log::debug!("peers: receiving failed: {error}");
                     return None;
                 }
             };
             match message::decode(&bytes[..count]) {
                 Ok(message) => return Some((from, message)),
-                Err(error) => log::debug!("peers: a message of {from} is not taken: {error}"),
+                Err(error) => log::debug!("peers: invalid message from {from} dropped: {error}"),
             }
         }
     }
 
-    /// Sends what the fleet has to say. What can't be sent is lost like any
-    /// datagram; the next heartbeat makes up for it.
+    /// Sends the pending messages of the membership. A message that can't be sent is lost
+    /// like any datagram; the next heartbeat makes up for it.
     pub fn send(&self, fleet: &mut Fleet) {
         for Outgoing { to, bytes } in fleet.take_outgoing() {
             if let Err(error) = self.socket.send_to(&bytes, to) {
-                log::debug!("peers: nothing is sent to {to}: {error}");
+                log::debug!("peers: sending to {to} failed: {error}");
             }
         }
     }
--- a/daemon/src/marked/pictures.rs
+++ b/daemon/src/marked/pictures.rs
@@ -1,14 +1,14 @@
-//! Whole pictures between instances: all that one knows, told to another over TCP.
+//! Pulls of updates between instances over TCP, up to snapshots of the whole catalog.
 //!
-//! One thread tells whoever asks and asks where something is lacking here. When hundreds
-//! start together, each needs a picture, which takes a part of a second on a narrow link. So
-//! few are told at once, by connections that hold nobody else up, and whoever is one too many
-//! is turned away at once and asks another instance
-//! ([`Fleet::pull_failed`](medlarspur_marked::Fleet::pull_failed)). All who wait for the same
-//! picture share one copy of it.
+//! One thread serves pulls of other instances and makes those of this one. When hundreds of
+//! instances start together, each needs a snapshot, whose transfer takes a part of a second on a
+//! narrow link. So only a few transfers run at once, on connections that don't block each other.
+//! Requesters beyond that are rejected immediately and pull from another instance
+//! ([`Fleet::pull_failed`](medlarspur_marked::Fleet::pull_failed)). Requesters of the same update
+//! share one encoded copy.
 //!
-//! Whoever asks sends the revision that it knows, 4 bytes of its era and 8 of its count; the
-//! answer is its size, 4 bytes, and the news. Numbers are big-endian.
+//! A request is the revision that the requester knows, 4 bytes of era and 8 bytes of count. The
+//! response is the size, 4 bytes, and the update. Numbers are big-endian.
 
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::{connect, is_decided, poll_until};
@@ -27,58 +27,58 @@
     time::{Duration, Instant},
 };
 
-/// How many are told at once. A picture of 6,000 targets has some 300 KB, so that four take
-/// half a second of a link of 20 Mbit/s.
+/// Maximum number of concurrent transfers to other instances. A snapshot of 6,000 targets has
+/// some 300 KB, so that four transfers occupy a link of 20 Mbit/s for half a second.
 pub const MAX_TRANSFERS: usize = 4;
-/// How many pictures are asked for at once.
+/// Maximum number of concurrent pulls from other instances.
 const MAX_PULLS: usize = 4;
-/// How long a connection to another instance may take to open; the longest round trip between
-/// failure domains of a region is some 3 ms.
+/// Timeout for opening a connection to another instance. The longest round trip between failure
+/// domains of a region is some 3 ms.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
-/// How long a connection may stand still after that: half a megabyte over the narrowest link
-/// known, 10 Mbit/s, beside others.
+/// Timeout for a connection without progress. Half a megabyte over the narrowest known link, of
+/// 10 Mbit/s and shared with others, takes about as long.
 const STALL_TIMEOUT: Duration = Duration::from_millis(800);
-/// How long a connection may take to say what it knows before it makes room for another one.
+/// Time in which a connection must send its request; after that it may be replaced by a new one.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(20);
-/// The largest picture that is taken, in bytes: some 60 bytes for each of
-/// 5,600 targets and 3,400 routes, with much room.
+/// Maximum size of an accepted update, in bytes. A snapshot has some 60 bytes for each target and
+/// route, so that 5,600 targets and 3,400 routes stay far below the limit.
 const MAX_UPDATE_SIZE: u32 = 8 << 20;
-/// Pictures are not on the stack.
+/// Stack size of the thread, in bytes. Updates are on the heap.
 const STACK_SIZE: usize = 64 << 10;
 
-/// How many bytes say what is known.
+/// Size of a request, in bytes.
 const REQUEST_SIZE: usize = 12;
 
-/// Why a picture was not passed on.
+/// Reasons why an update was not transferred.
 #[derive(Debug, Snafu)]
 enum TransferError {
     #[snafu(display("the connection failed"))]
     Connection { source: io::Error },
-    #[snafu(display("the other end stands still"))]
+    #[snafu(display("the other end makes no progress"))]
     Stalled,
-    #[snafu(display("it has {size} bytes, more than {MAX_UPDATE_SIZE}"))]
+    #[snafu(display("the update has {size} bytes, at most {MAX_UPDATE_SIZE} are allowed"))]
     Oversize { size: u32 },
-    #[snafu(display("it can't be understood"))]
+    #[snafu(display("the update is invalid"))]
     Message { source: MessageError },
 }
 
-/// What the thread is to do.
+/// Command for the thread.
 #[derive(Debug)]
 pub enum Command {
-    /// Ask that instance for what has changed since a revision.
+    /// Pull the changes since a revision from this instance.
     Pull(SocketAddrV4, Revision),
-    /// Tell those who wait for it what has changed since a revision.
+    /// Send this update to all requesters that wait for the changes since a revision.
     Send(Revision, News),
 }
 
-/// Hands orders to the thread.
+/// Handle of the thread.
 #[derive(Debug, Clone)]
 pub struct UpdateExchange {
     commands: Sender<Command>,
 }
 
 impl UpdateExchange {
-    /// Serves pictures at an address and asks others for theirs.
+    /// Starts a thread that serves pulls at an address and makes pulls from others.
     ///
     /// # Errors
     ///
@@ -101,22 +101,23 @@
         Ok(UpdateExchange { commands })
     }
 
-    /// Asks another instance for what has changed since `known`, without waiting. The main
-    /// thread gets [`Event::Pulled`] or [`Event::PullFailed`].
+    /// Requests a pull of the changes since `known`, without waiting. The main thread receives
+    /// [`Event::Pulled`] or [`Event::PullFailed`].
     pub fn pull(&self, from: SocketAddrV4, known: Revision) {
         if self.commands.send(Command::Pull(from, known)) != Delivery::Queued {
-            log::warn!("pictures: {from} is not asked, too much waits");
+            log::warn!("pictures: pull from {from} dropped, the queue is full");
         }
     }
 }
 
-/// The thread.
+/// The thread that serves and makes pulls.
 struct ExchangeThread {
     listener: TcpListener,
     inbox: Inbox<Command>,
     sender: Sender,
     commands: Sender<Command>,
-    /// Since which revision the main thread is asked for news, and until when that holds.
+    /// The revision since which an update was requested from the main thread, and the deadline
+    /// after which it may be requested again.
     requested: Option<(Revision, Instant)>,
     transfers: Vec<Transfer>,
     pulls: Vec<Pull>,
@@ -126,7 +127,7 @@
     fn run(mut self) {
         loop {
             if let Err(error) = self.wait() {
-                return log::error!("pictures: none is told any more: {error}");
+                return log::error!("pictures: pulls are no longer served or made: {error}");
             }
             let now = Instant::now();
             for command in self.inbox.drain().collect::<Vec<_>>() {
@@ -157,14 +158,17 @@
         poll_until(&mut fds, deadlines.min())
     }
 
-    /// Takes new connections. One that has not said for a while what it knows makes room, so
-    /// that nobody who says nothing keeps others out; else one too many is ended.
+    /// Accepts new connections. At the limit, a connection whose request is overdue is replaced by
+    /// the new one, so that silent connections don't lock others out. If there is none, the new
+    /// connection is closed.
     fn accept(&mut self, now: Instant) {
         loop {
             let stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(error) => return log::debug!("pictures: a connection is not taken: {error}"),
+                Err(error) => {
+                    return log::debug!("pictures: accepting a connection failed: {error}");
+                }
             };
             if self.transfers.len() >= MAX_TRANSFERS {
                 let silent = |it: &Transfer| {
@@ -177,7 +181,7 @@
                 }
             }
             if let Err(error) = stream.set_nonblocking(true) {
-                log::debug!("pictures: a connection is not taken: {error}");
+                log::debug!("pictures: accepting a connection failed: {error}");
                 continue;
             }
             let stage = TransferStage::Request { known: [0; REQUEST_SIZE], filled: 0 };
@@ -185,7 +189,7 @@
         }
     }
 
-    /// Asks the main thread for the next picture that somebody waits for.
+    /// Requests the next update that a requester waits for from the main thread.
     fn request_update(&mut self, now: Instant) {
         if self.requested.is_some_and(|(_, until)| now < until) {
             return;
@@ -201,7 +205,8 @@
         }
     }
 
-    /// Begins to tell all who wait for that news. Whoever knows nothing has none to tell.
+    /// Begins to send the update to all requesters that wait for it. An instance that knows nothing
+    /// yet closes their connections instead.
     fn send_update(&mut self, since: Revision, update: &News, now: Instant) {
         self.requested = None;
         let encoded = match update.revision > Revision::default() {
@@ -210,14 +215,14 @@
         };
         let bytes: Arc<[u8]> = match encoded {
             Ok(bytes) => bytes.into(),
-            Err(error) => return log::warn!("pictures: none can be told: {error}"),
+            Err(error) => return log::warn!("pictures: encoding an update failed: {error}"),
         };
-        let is_for =
+        let is_waiting =
             |it: &Transfer| matches!(it.stage, TransferStage::Waiting { known } if known == since);
         if bytes.is_empty() {
-            return self.transfers.retain(|it| !is_for(it));
+            return self.transfers.retain(|it| !is_waiting(it));
         }
-        for it in self.transfers.iter_mut().filter(|it| is_for(it)) {
+        for it in self.transfers.iter_mut().filter(|it| is_waiting(it)) {
             it.stage = TransferStage::Sending { bytes: bytes.clone(), sent: 0 };
             it.deadline = now + STALL_TIMEOUT;
         }
@@ -227,7 +232,7 @@
         self.transfers.retain_mut(|it| match it.advance(now) {
             Ok(is_done) => !is_done,
             Err(error) => {
-                log::debug!("pictures: one was not told: {error}");
+                log::debug!("pictures: sending an update failed: {error}");
                 false
             }
         });
@@ -241,7 +246,7 @@
         match pull {
             Ok(pull) => self.pulls.push(pull),
             Err(error) => {
-                log::debug!("pictures: {from} is not asked: {error}");
+                log::debug!("pictures: pull from {from} failed to start: {error}");
                 self.sender.send(Event::PullFailed(from));
             }
         }
@@ -255,32 +260,32 @@
                 Ok(None) => return true,
                 Ok(Some(update)) => Event::Pulled { from, update },
                 Err(error) => {
-                    log::debug!("pictures: none from {from}: {error}");
+                    log::debug!("pictures: pull from {from} failed: {error}");
                     Event::PullFailed(from)
                 }
             };
             if sender.send(event) == Delivery::Full {
-                log::warn!("pictures: what {from} said is lost, the inbox is full");
+                log::warn!("pictures: result of the pull from {from} lost, the inbox is full");
             }
             false
         });
     }
 }
 
-/// A connection by which another instance asks for a picture.
+/// A connection on which another instance pulls an update.
 struct Transfer {
     stream: TcpStream,
     stage: TransferStage,
     deadline: Instant,
 }
 
-/// How far it has come.
+/// Stage of a transfer.
 enum TransferStage {
-    /// The other one says what it knows.
+    /// The request is being received.
     Request { known: [u8; REQUEST_SIZE], filled: usize },
-    /// The main thread is asked for the picture.
+    /// The update has yet to come from the main thread.
     Waiting { known: Revision },
-    /// It is told.
+    /// The update is being sent.
     Sending { bytes: Arc<[u8]>, sent: usize },
 }
 
@@ -293,7 +298,7 @@
         }
     }
 
-    /// Does what can be done by now; tells whether all is done.
+    /// Makes progress without blocking. Returns whether the transfer is complete.
     fn advance(&mut self, now: Instant) -> Result<bool, TransferError> {
         let moved = match &mut self.stage {
             TransferStage::Request { known, filled } => {
@@ -306,7 +311,8 @@
                 count
             }
             TransferStage::Waiting { .. } => {
-                // Whoever has gone is noticed, or its socket would stay ready for nothing.
+                // Detects a closed connection, whose socket would otherwise stay ready and
+                // keep the thread busy.
                 moved_bytes(self.stream.peek(&mut [0]))?;
                 0
             }
@@ -332,17 +338,17 @@
     }
 }
 
-/// A connection by which another instance is asked for a picture.
+/// A connection on which this instance pulls an update from another one.
 struct Pull {
     from: SocketAddrV4,
     stream: TcpStream,
-    /// What is still to be said of what is known here.
+    /// The request, until it is sent.
     known: Option<[u8; REQUEST_SIZE]>,
     response: Response,
     deadline: Instant,
 }
 
-/// How much has come of an answer.
+/// The part of a response that is being received.
 enum Response {
     Size { bytes: [u8; 4], filled: usize },
     Snapshot { bytes: Vec<u8>, filled: usize },
@@ -360,7 +366,7 @@
         if self.known.is_some() { PollFlags::POLLOUT } else { PollFlags::POLLIN }
     }
 
-    /// Does what can be done by now; tells the news once all of it is there.
+    /// Makes progress without blocking. Returns the update when it is complete.
     fn advance(&mut self, now: Instant) -> Result<Option<News>, TransferError> {
         if let Some(known) = self.known {
             if is_decided(&self.stream) {
@@ -383,7 +389,7 @@
         Ok(None)
     }
 
-    /// Takes what has come of the answer.
+    /// Receives a part of the response. Returns the number of bytes received.
     fn receive(&mut self) -> Result<usize, TransferError> {
         match &mut self.response {
             Response::Size { bytes, filled } => {
@@ -417,7 +423,7 @@
     Revision::new(u32::from_be_bytes([a, b, c, d]), u64::from_be_bytes(count))
 }
 
-/// How many bytes were moved; none if that would have blocked.
+/// Returns the number of bytes read or written, 0 if the operation would have blocked.
 fn moved_bytes(result: io::Result<usize>) -> Result<usize, TransferError> {
     match result {
         Ok(0) => Err(io::Error::from(ErrorKind::UnexpectedEof)).context(ConnectionSnafu),
--- a/daemon/src/marked/shown.rs
+++ b/daemon/src/marked/shown.rs
@@ -1,4 +1,4 @@
-//! What operators are shown: questions go to the main thread and come back.
+//! Status and explanations for operators, requested from the main thread.
 
 use super::inbox::{Event, OperatorQuery, Sender};
 use medlarspur_lib::{
@@ -11,23 +11,23 @@
     time::Duration,
 };
 
-/// How long the main thread may take to answer. It looks at its inbox after each batch of
-/// packets; at a twentieth of a core and with many batches that may be some 100 ms.
+/// Maximum time to wait for the main thread. It reads its inbox in each round, after a few
+/// batches of packets; on a twentieth of a core that may take some 100 ms.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Asks the main thread.
+/// Answers operators' requests by querying the main thread.
 #[derive(Debug)]
 pub struct StatusSource {
     sender: Sender,
 }
 
 impl StatusSource {
-    /// One that asks by way of the inbox.
+    /// Creates a source that sends queries to the main thread's inbox.
     pub fn new(sender: Sender) -> StatusSource {
         StatusSource { sender }
     }
 
-    fn ask<T>(&self, query: impl FnOnce(SyncSender<T>) -> OperatorQuery) -> Option<T> {
+    fn request<T>(&self, query: impl FnOnce(SyncSender<T>) -> OperatorQuery) -> Option<T> {
         let (reply, answer) = sync_channel(1);
         self.sender.send(Event::Operator(query(reply)));
         answer.recv_timeout(REPLY_TIMEOUT).ok()
@@ -36,11 +36,11 @@
 
 impl MarkedSource for StatusSource {
     fn status(&self) -> Option<MarkedStatus> {
-        self.ask(OperatorQuery::Status)
+        self.request(OperatorQuery::Status)
     }
 
     fn explain(&self, flow: &FlowKey) -> Option<MarkedExplanation> {
         let flow = medlarspur_marked::FlowKey { caller: flow.caller, service: flow.service };
-        self.ask(|reply| OperatorQuery::Explain(flow, reply))
+        self.request(|reply| OperatorQuery::Explain(flow, reply))
     }
 }
--- a/daemon/src/marked/store.rs
+++ b/daemon/src/marked/store.rs
@@ -1,4 +1,4 @@
-//! The thread that follows the store, as long as this instance is a reader.
+//! The thread that follows the store while this instance is a reader.
 
 use super::{
     current::LiveSettings,
@@ -19,24 +19,24 @@
     thread::{self, Thread},
 };
 
-/// How many faults of one answer are listed. Another writer may fill the store with
-/// entries that can't be used, and each full reading would tell them all again.
+/// Maximum number of faults logged for one answer. Another writer may fill the store with
+/// invalid entries, and each full read would log them all again.
 const MAX_LISTED_FAULTS: usize = 20;
 
-/// How calls to the store ended.
+/// Counters of calls to the store.
 #[derive(Debug, Default)]
 pub struct CallCounts {
-    /// With an answer.
+    /// Calls that were answered.
     pub answered: AtomicU64,
-    /// Without one that could be used.
+    /// Calls that failed or had no usable answer.
     pub failed: AtomicU64,
-    /// Items, or parts of the config, that were not taken.
+    /// Entries, or parts of the config, that were rejected.
     pub omitted: AtomicU64,
-    /// Fields of the config for which another value was taken.
+    /// Fields of the config that were replaced by a default.
     pub assumed: AtomicU64,
 }
 
-/// Tells the thread whether to read.
+/// Handle of the thread, by which reading is paused and continued.
 #[derive(Debug)]
 pub struct StoreReader {
     calls: Arc<CallCounts>,
@@ -44,18 +44,19 @@
     thread: Thread,
 }
 
-/// What the thread is to do.
+/// The thread's mode.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Mode {
+    /// Read on from the last revision read.
     Read,
-    /// Read on from there, or from what was read before if that is later.
+    /// Read on from this revision, or from the last one read if that is later.
     ReadFrom(Revision),
     Pause,
 }
 
 impl StoreReader {
-    /// Starts the thread for the store that the settings name. With `paused` it
-    /// reads only once it is told to.
+    /// Starts a thread that follows the store named by the settings. If `paused`, it reads
+    /// nothing until [`StoreReader::unpause`].
     pub fn start(
         settings: Arc<LiveSettings>,
         sender: Sender,
@@ -71,12 +72,12 @@
         Ok(StoreReader { calls, mode, thread: thread.thread().clone() })
     }
 
-    /// How its calls ended.
+    /// The counters of calls.
     pub fn calls(&self) -> Arc<CallCounts> {
         self.calls.clone()
     }
 
-    /// Goes on reading, from `known` on. Nothing happens if it does already.
+    /// Continues reading from `known` on, if reading is paused.
     pub fn unpause(&self, known: Revision) {
         let mut mode = lock(&self.mode);
         if *mode == Mode::Pause {
@@ -85,8 +86,8 @@
         }
     }
 
-    /// Reads on from `known`, which is of a later era than what was read. If the store is in an
-    /// earlier one, it says so.
+    /// Reads on from `known`, whose era is later than that of the last read. If the store is in
+    /// an earlier era, its answer says so.
     pub fn read_from(&self, known: Revision) {
         let mut mode = lock(&self.mode);
         if *mode != Mode::Pause {
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Stops reading after the call under way.
+    /// Pauses reading after the call in progress.
     pub fn pause(&self) {
         *lock(&self.mode) = Mode::Pause;
     }
 
-    /// Cuts a pause between calls short.
+    /// Ends the pause between two calls early.
     pub fn wake(&self) {
         self.thread.unpark();
     }
@@ -109,8 +110,8 @@
     mode.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// What to do now. A revision to read on from is taken once, under one lock, so
-/// that a pause which is ordered meanwhile stays.
+/// Returns the current mode. A revision to read on from is returned once. It is replaced
+/// under the same lock, so that a pause requested meanwhile isn't overwritten.
 fn next_mode(mode: &Mutex<Mode>) -> Mode {
     let mut mode = lock(mode);
     match *mode {
@@ -152,7 +153,7 @@
         match sender.send(event) {
             Delivery::Queued => {}
             Delivery::Full => {
-                log::warn!("store: news is read again, the inbox is full");
+                log::warn!("store: update dropped and read again, the inbox is full");
                 follower.start_over();
             }
             Delivery::Closed => return,
@@ -163,8 +164,8 @@
     }
 }
 
-/// Logs what was not taken, and when the store is lost or regained; answers
-/// whether it was lost just now.
+/// Logs faults, and changes of the store's reachability. Returns whether the store has
+/// just become unreachable.
 fn log_step(step: &Step, reachable: &mut Option<bool>) -> bool {
     for fault in step.faults.iter().take(MAX_LISTED_FAULTS) {
         let outcome = if fault.is_assumed() { "taken with a default" } else { "not taken" };
