--- a/daemon/examples/bench/lines.rs
+++ b/daemon/examples/bench/lines.rs
@@ -1,4 +1,4 @@
-//! What lines on decisions cost the thread that decides, and the one that writes them.
+//! Processor time of log lines on decisions, in the thread that decides and in the log thread.
 
 use crate::process::thread_nanos;
 use log::LevelFilter;
@@ -11,27 +11,28 @@
 use medlarspur_marked::{FlowKey, Incarnation, Note, Revision};
 use std::{thread, time::Duration};
 
-/// How many lines are written, and how many left out.
+/// Number of lines that are written, and of lines that are left out.
 const COUNT: u64 = 20_000;
-/// How much virtual time passes between two lines, so that each is within its budget:
-/// 100 a second.
+/// Virtual time between two lines, in milliseconds, such that each is within the budget of 100
+/// lines a second.
 const PAUSE: u64 = 10;
 
-/// Processor time a line, in nanoseconds.
+/// Processor time per line, in nanoseconds.
 pub struct Costs {
-    /// Of the thread that decides, for a line that is written.
+    /// Of the deciding thread, for a written line.
     pub written: u64,
-    /// Of the same, for one that is left out.
+    /// Of the deciding thread, for a line left out.
     pub left_out: u64,
-    /// Of the thread that writes.
+    /// Of the log thread.
     pub writer: u64,
-    /// Lines that found the ring full.
+    /// Number of lines lost because the queue was full.
     pub lost: u64,
 }
 
-/// Measures; the lines go to standard output.
+/// Measures the costs. The lines are written to standard output.
 pub fn run() -> Costs {
-    let sink = logs::init_with_sink(LogForm::Text, LevelFilter::Info).expect("a thread");
+    let sink =
+        logs::init_with_sink(LogForm::Text, LevelFilter::Info).expect("the log thread starts");
     let name = thread::current().name().expect("the main thread has a name").to_owned();
     let name = if name == "main" { "bench".to_owned() } else { name };
     let mut lines = DecisionLog::new(Millis(0));
@@ -39,7 +40,7 @@
     for nth in 0..COUNT {
         lines.write(&note(nth), state(), Millis(nth * PAUSE));
         if nth % 100 == 99 {
-            // The writer gathers for 200 ms; at 10,000 lines a second nothing is lost.
+            // The log thread writes every 200 ms; at 10,000 lines a second none is lost.
             thread::sleep(Duration::from_millis(10));
         }
     }
@@ -61,9 +62,9 @@
 }
 
 fn note(nth: u64) -> Note {
-    let caller = format!("100.64.0.7:{}", 1_024 + nth % 60_000).parse().expect("an address");
+    let caller = format!("100.64.0.7:{}", 1_024 + nth % 60_000).parse().expect("a valid address");
     Note::Opened {
-        flow: FlowKey { caller, service: "198.18.0.1:8443".parse().expect("an address") },
+        flow: FlowKey { caller, service: "198.18.0.1:8443".parse().expect("a valid address") },
         target: Incarnation(0x7f3a_91c2),
         class: Class::Feed,
         tier: Tier::Good,
--- a/daemon/examples/bench/main.rs
+++ b/daemon/examples/bench/main.rs
@@ -1,5 +1,5 @@
-//! Measures the packet path: in memory, and over loopback beside a bare relay
-//! of the same datagrams. `docs/MEASURES.md` says how to read the figures.
+//! Benchmarks of the packet path: in memory, and over loopback compared with a bare relay of
+//! the same datagrams. `docs/MEASURES.md` explains the figures.
 //!
 //! ```text
 //! cargo run --release -p medlarspur-daemon --example bench
@@ -15,9 +15,9 @@
 
 use relay::Rate;
 
-/// How many flows one instance has to hold.
+/// Number of flows that one instance must hold.
 const FLOWS: usize = 300_000;
-/// The packets on the loopback: an acknowledgement and a full upload segment.
+/// Sizes of packets on loopback, in bytes: an acknowledgement and a full upload segment.
 const PACKET_SIZES: [usize; 2] = [60, 1400];
 
 fn main() {
@@ -35,13 +35,13 @@
     }
 }
 
-/// Prints on standard error, since the lines are on standard output.
+/// Prints the results on standard error, because standard output has the log lines.
 fn print_lines() {
     let costs = lines::run();
-    eprintln!("a line, the thread that decides   {:6} ns", costs.written);
-    eprintln!("a line, the thread that writes    {:6} ns", costs.writer);
-    eprintln!("a line that is left out           {:6} ns", costs.left_out);
-    eprintln!("lines that found the ring full    {:6}", costs.lost);
+    eprintln!("written line, deciding thread     {:6} ns", costs.written);
+    eprintln!("written line, log thread          {:6} ns", costs.writer);
+    eprintln!("line left out, deciding thread    {:6} ns", costs.left_out);
+    eprintln!("lines lost, queue full            {:6}", costs.lost);
 }
 
 fn print_memory() {
--- a/daemon/examples/bench/memory.rs
+++ b/daemon/examples/bench/memory.rs
@@ -1,4 +1,4 @@
-//! The packet path without sockets.
+//! Benchmarks of the packet path without sockets.
 
 use crate::{
     process::resident,
@@ -26,13 +26,13 @@
 const NOW: Millis = Millis(1_000);
 const ROUNDS: usize = 5;
 
-/// One measured step.
+/// A measured step, with its time per packet.
 pub struct Row {
     pub name: &'static str,
     pub nanos: f64,
 }
 
-/// Collects what a forwarder wants to send.
+/// Collects the packets that a forwarder sends.
 #[derive(Default)]
 pub struct SentPackets {
     pub outbox: Outbox,
@@ -50,7 +50,7 @@
     fn advert(&mut self, _: &InstanceName, _: Advert) {}
 }
 
-/// A wire that repeats prepared packets and takes all that is sent.
+/// A wire that replays prepared packets and accepts all that are sent.
 struct ReplayWire<'a> {
     packets: &'a [Vec<u8>],
     next: usize,
@@ -84,7 +84,7 @@
     std::array::from_fn(|ix| SocketAddrV4::new(Ipv4Addr::new(10, 1, 0, ix as u8), 6080))
 }
 
-/// The view of Gromovestnik's services.
+/// The view of the benchmark's services.
 pub fn view() -> Arc<View> {
     site::view(&targets())
 }
@@ -95,8 +95,8 @@
     forwarder
 }
 
-/// The median time a packet of several rounds; a round makes what it needs and
-/// answers how long the measured part took.
+/// Returns the median time per packet of several rounds, in nanoseconds. A round returns the
+/// duration of its measured part.
 fn median(packets: usize, mut round: impl FnMut() -> Duration) -> f64 {
     let mut times: Vec<_> = (0..ROUNDS).map(|_| round()).collect();
     times.sort();
@@ -109,7 +109,7 @@
     start.elapsed()
 }
 
-/// Takes all packets through the whole path: receive, decide, send.
+/// Passes all packets through the whole path: receive, decide, send.
 fn pass(forwarder: &mut Forwarder<OpenGate>, packets: &[Vec<u8>]) {
     let mut wire = ReplayWire { packets, next: 0, counts: Counts::default() };
     let mut sent = SentPackets::default();
@@ -120,10 +120,10 @@
         }
         sent.outbox.flush(&mut wire);
     }
-    assert_eq!(wire.counts().sent, packets.len() as u64, "every packet goes on");
+    assert_eq!(wire.counts().sent, packets.len() as u64, "every packet is forwarded");
 }
 
-/// Measures the steps of the packet path with this many flows.
+/// Measures the steps of the packet path with this number of flows.
 pub fn run(flows: usize) -> Vec<Row> {
     let order = site::shuffled(flows);
     let openings: Vec<_> = order.iter().map(|&flow| site::opening_packet(flow)).collect();
@@ -150,8 +150,8 @@
     ]
 }
 
-/// The nanoseconds of a packet through the whole path when this many flows are
-/// known and their packets come in random order.
+/// Returns the time of a packet through the whole path, in nanoseconds, with this number of
+/// known flows and their packets in random order.
 pub fn hit_nanos(flows: usize) -> f64 {
     let order = site::shuffled(flows);
     let mid_flow: Vec<_> =
@@ -161,7 +161,7 @@
     median(flows, || timed(|| pass(&mut warm, &mid_flow)))
 }
 
-/// Batches in and out without looking at them.
+/// Receives and sends batches without parsing the packets.
 fn copy(packets: &[Vec<u8>]) {
     let mut wire = ReplayWire { packets, next: 0, counts: Counts::default() };
     let mut outbox = Outbox::new();
@@ -199,8 +199,8 @@
     }
 }
 
-/// The memory that this many flows take when the table grows by itself, in
-/// bytes.
+/// Returns the memory of this number of flows, in bytes, when the table starts without
+/// capacity.
 pub fn flow_memory(flows: usize) -> u64 {
     let mut forwarder = forwarder(0);
     let mut sent = SentPackets::default();
--- a/daemon/examples/bench/process.rs
+++ b/daemon/examples/bench/process.rs
@@ -1,17 +1,17 @@
-//! What the kernel says of this process and thread.
+//! Memory and processor time of this process and its threads, from procfs.
 
 use std::{fs, path::Path};
 
 const PAGE: u64 = 4096;
 
-/// The resident memory of the process, in bytes.
+/// Returns the resident memory of the process, in bytes.
 pub fn resident() -> u64 {
     let text = fs::read_to_string("/proc/self/statm").expect("procfs is mounted");
     let pages = text.split(' ').nth(1).and_then(|it| it.parse::<u64>().ok());
     pages.expect("statm has the resident pages second") * PAGE
 }
 
-/// The processor time of the threads with this name, in nanoseconds.
+/// Returns the processor time of the threads with this name, in nanoseconds.
 pub fn thread_nanos(name: &str) -> u64 {
     let tasks = fs::read_dir("/proc/self/task").expect("procfs is mounted");
     let paths = tasks.filter_map(|it| Some(it.ok()?.path()));
@@ -20,7 +20,7 @@
     named.filter_map(|it| run_time(&it)).sum()
 }
 
-/// The first field of a thread's `schedstat`.
+/// Returns a thread's time on the processor: the first field of `schedstat`.
 fn run_time(task: &Path) -> Option<u64> {
     fs::read_to_string(task.join("schedstat")).ok()?.split(' ').next()?.parse().ok()
 }
--- a/daemon/examples/bench/relay.rs
+++ b/daemon/examples/bench/relay.rs
@@ -1,4 +1,5 @@
-//! The packet thread over loopback, beside a bare relay of the same datagrams.
+//! Benchmark of the packet thread over loopback, compared with a bare relay of the same
+//! datagrams.
 
 use crate::{
     process::thread_nanos,
@@ -29,32 +30,32 @@
 
 const ROUNDS: usize = 9;
 const ROUND_TIME: Duration = Duration::from_millis(600);
-/// How long a relay runs before it is measured.
+/// Time that a relay runs before it is measured.
 const SETTLE_TIME: Duration = Duration::from_millis(150);
 const MAX_WAIT: Duration = Duration::from_millis(5);
-/// Enough to keep a relay's receive buffer full.
+/// Number of generator threads, enough to keep a relay's receive buffer full.
 const GENERATORS: usize = 2;
-/// The choice that sends nothing and ends the helper threads.
+/// Value of `choice` that stops the generators, the bare relay and the targets.
 const STOP: usize = 2;
 
-/// The kinds of relays, by the names of their threads.
+/// Thread names of the two kinds of relay.
 const THREAD_NAMES: [&str; 2] = ["bare relay", "packets"];
 
-/// What one kind of relay did: medians of its rounds.
+/// Results of one kind of relay: medians of its rounds.
 pub struct Rate {
     pub name: &'static str,
-    /// Packets relayed a second by one thread.
+    /// Packets per second of one thread.
     pub rate: f64,
-    /// Processor time a packet in nanoseconds, kernel included.
+    /// Processor time per packet in nanoseconds, including the kernel's.
     pub nanos: f64,
-    /// The rate beside the bare relay's in the round before.
+    /// Rate relative to the bare relay's in the round just before.
     pub ratio: f64,
-    /// The same of the packets for each second of processor time, which what
-    /// else runs on the machine disturbs less.
+    /// Packets per second of processor time, relative to the bare relay's. Other load on the
+    /// machine affects it less than `ratio`.
     pub cpu_ratio: f64,
 }
 
-/// Relays packets of `size` bytes for a while by each kind in turn.
+/// Measures each kind of relay in turn with packets of `size` bytes.
 pub fn run(flows: usize, size: usize) -> [Rate; 2] {
     let bench = Bench::start(flows, size);
     let mut rounds = [const { Vec::new() }; 2];
@@ -67,7 +68,7 @@
     array::from_fn(|kind| rate_of(kind, &rounds))
 }
 
-/// The packets a second and the nanoseconds a packet of one round.
+/// Packets per second and nanoseconds per packet of one round.
 type Round = (f64, f64);
 
 fn rate_of(kind: usize, rounds: &[Vec<Round>; 2]) -> Rate {
@@ -87,7 +88,7 @@
     values[values.len() / 2]
 }
 
-/// Generators, a relay of each kind and the targets, each with its threads.
+/// Threads of the generators, of both relays and of the targets.
 struct Bench {
     choice: Arc<AtomicUsize>,
     relayed: Arc<AtomicU64>,
@@ -128,9 +129,8 @@
         (packets / (end - start).as_secs_f64(), nanos / packets)
     }
 
-    /// How many packets were relayed, and when that was so. The packet thread
-    /// publishes its counters four times a second, so the next time is waited
-    /// for.
+    /// Returns the number of relayed packets and the time of the count. The packet thread
+    /// publishes its counters four times a second, so this waits for the next time.
     fn sample(&self, kind: usize) -> (u64, Instant) {
         if kind == 0 {
             return (self.relayed.load(Relaxed), Instant::now());
@@ -159,13 +159,13 @@
     thread::Builder::new().name(name.to_owned()).spawn(work).expect("there are threads left")
 }
 
-/// The thread of the daemon itself.
+/// The daemon's packet thread.
 fn packet_thread(fabric: Listener, shared: Arc<Shared>) -> impl FnOnce() {
     move || {
         let (_commands, command_receiver) = RingBuffer::new(RING_CAPACITY);
         let (adverts, _advert_receiver) = RingBuffer::new(RING_CAPACITY);
         let (_queries, query_receiver) = sync_channel(1);
-        let meters = Meters::new().expect("metrics can be set up");
+        let meters = Meters::new().expect("the metrics are registered");
         let parts = PacketParts {
             return_address: fabric.local(),
             fabric,
@@ -179,11 +179,11 @@
             clock: Clock::start(),
             shared,
         };
-        packets::run(parts).expect("the packet thread ends when told");
+        packets::run(parts).expect("the packet thread runs until it is stopped");
     }
 }
 
-/// Passes batches on without looking at them.
+/// The bare relay: forwards batches without parsing the packets.
 fn relay(
     listener: Listener,
     targets: [SocketAddrV4; TARGETS],
@@ -203,7 +203,7 @@
     }
 }
 
-/// Reads what targets are sent, as their kernels would.
+/// Reads the packets sent to targets, as the targets' kernels would.
 fn drain(sinks: [Listener; TARGETS], choice: Arc<AtomicUsize>) -> impl FnOnce() {
     move || {
         let mut sockets = sinks.map(Socket::from);
@@ -216,7 +216,7 @@
     }
 }
 
-/// Sends packets of a part of the flows in random order to the chosen relay.
+/// Sends packets of the `part`th share of the flows, in random order, to the chosen relay.
 fn generate(
     relays: [SocketAddrV4; 2],
     flows: usize,
--- a/daemon/examples/bench/site.rs
+++ b/daemon/examples/bench/site.rs
@@ -1,4 +1,4 @@
-//! The site that is measured: Gromovestnik's services and callers' packets.
+//! The site of the benchmarks: its services, and callers' packets.
 
 use medlarspur_lib::{
     bundle::{Bundle, Class, Limits, Port, Protocol, Seed, Service, Target, TargetState},
@@ -11,19 +11,19 @@
     sync::Arc,
 };
 
-/// How many hosts each service has.
+/// Number of hosts of each service.
 pub const HOSTS: [usize; 2] = [14, 4];
-/// How many hosts there are.
+/// Number of all hosts.
 pub const TARGETS: usize = HOSTS[0] + HOSTS[1];
 
 const ADDRESSES: [Ipv4Addr; 2] = [Ipv4Addr::new(10, 70, 0, 1), Ipv4Addr::new(10, 70, 0, 2)];
 const PORT: u16 = 7001;
 const SYN: u8 = 0x02;
-/// The bytes of an IP and a TCP header without options.
+/// Size of an IP and a TCP header without options, in bytes.
 const HEADERS: usize = 40;
 const ACK: u8 = 0x10;
 
-/// The view of an instance alone, with these targets.
+/// Returns the view of a single instance with these targets.
 pub fn view(targets: &[SocketAddrV4; TARGETS]) -> Arc<View> {
     let (alerts, ingest) = targets.split_at(HOSTS[0]);
     let services = vec![
@@ -36,8 +36,8 @@
     draft.commit().expect("the first view is a change")
 }
 
-/// A bundle of many services with two targets and 1,024 buckets each, made
-/// without text: what parsing gives back would hide what comes after it.
+/// Returns a bundle of many services with two targets and 1,024 buckets each. It isn't parsed
+/// from text: memory freed by the parser would hide later allocations from a measurement.
 pub fn many_services(services: usize) -> Arc<Bundle> {
     let address = |net, ix| Ipv4Addr::from(u32::from(Ipv4Addr::new(10, net, 0, 0)) + ix as u32);
     let services = (0..services).map(|ix| {
@@ -88,13 +88,13 @@
     })
 }
 
-/// A caller's packet that opens the flow with this number. It carries no data:
-/// an opening with data goes to no target.
+/// Returns a caller's packet that opens the flow with this number. It carries no data, because
+/// an opening with data isn't forwarded.
 pub fn opening_packet(flow: usize) -> Vec<u8> {
     packet(flow, HEADERS, SYN)
 }
 
-/// A caller's packet in the middle of the flow with this number.
+/// Returns a caller's packet in the middle of the flow with this number.
 pub fn mid_flow_packet(flow: usize, size: usize) -> Vec<u8> {
     packet(flow, size, ACK)
 }
@@ -112,8 +112,8 @@
     bytes
 }
 
-/// Makes a packet belong to the flow with this number. Each caller has 16
-/// flows; they are dealt to the services by their hosts.
+/// Sets a packet's addresses and port to those of the flow with this number. Each caller has
+/// 16 flows. The services share the flows in proportion to their hosts.
 pub fn set_flow(packet: &mut [u8], flow: usize) {
     let caller = Ipv4Addr::from(u32::from(Ipv4Addr::new(10, 0, 0, 0)) + (flow / 16) as u32);
     let port = 20_000 + (flow % 16) as u16;
@@ -123,8 +123,8 @@
     packet[20..22].copy_from_slice(&port.to_be_bytes());
 }
 
-/// The numbers of all flows in a fixed random order, since packets of
-/// neighbouring flows would find each other's memory in the cache.
+/// Returns the numbers of all flows in a fixed random order. Packets of neighbouring flows
+/// would find each other's memory in the cache.
 pub fn shuffled(flows: usize) -> Vec<usize> {
     let mut order: Vec<_> = (0..flows).collect();
     let mut state = 0x9e37_79b9_7f4a_7c15u64;
--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -1,7 +1,7 @@
-//! Costs of an instance's duties against one size each, for `docs/measures/roles.md`.
+//! Costs of an instance's tasks as functions of a size, for `docs/measures/roles.md`.
 //!
-//! Each call measures one point in a process of its own, because memory that an
-//! earlier point gave back would hide what the next one takes.
+//! Each process measures a single point. Memory freed by an earlier point would hide the
+//! allocations of the next one.
 
 use crate::{
     memory,
@@ -42,14 +42,14 @@
 };
 
 const NOW: Millis = Millis(1_000);
-/// The services and members of the target size, for the slopes that depend on
-/// two sizes.
+/// Numbers of services and members of the largest supported site, for the slopes that depend
+/// on two sizes.
 const SERVICES: usize = 3_400;
 const MEMBERS: usize = 1_000;
-/// How often a short work is repeated; the median counts.
+/// Number of repetitions, of which the median is taken.
 const REPEATS: usize = 5;
 
-/// Measures one point; nothing if there is no slope of this name.
+/// Measures one point. Returns none if there is no slope of this name.
 pub fn measure(name: &str, size: usize) -> Option<f64> {
     Some(match name {
         "flow-memory" => memory::flow_memory(size) as f64,
@@ -86,7 +86,7 @@
     start.elapsed()
 }
 
-/// What a keeper spends on flows that others tell it: bytes and nanoseconds.
+/// Returns the cost of flows received by a keeper: bytes and nanoseconds.
 fn keeper_cost(flows: usize) -> (f64, f64) {
     let mut forwarder = Forwarder::new(OpenGate, 0);
     let mut sent = memory::SentPackets::default();
@@ -102,7 +102,7 @@
     (resident().saturating_sub(before) as f64, time.as_nanos() as f64)
 }
 
-/// How many flows an advert has at the pace of an instance.
+/// Number of flows in an advert at an instance's usual rate of adverts.
 const ADVERT_FLOWS: usize = 128;
 
 fn advert(start: usize, count: usize) -> Advert {
@@ -120,7 +120,7 @@
     medlarspur_peer::encode(&Message::Advert(advert(0, flows))).encoded_len() as f64
 }
 
-/// A signed bundle with this many services of two targets each.
+/// Returns a signed bundle with this number of services of two targets each, and its keys.
 fn bundle(services: usize, version: u64, weight: u16) -> (String, Keys) {
     let key: SecretKey = "07".repeat(32).parse().expect("any 32 bytes are a key");
     let mut text = format!(
@@ -150,7 +150,7 @@
     median(|| timed(|| check(&text, &keys))) / 1e3
 }
 
-/// The memory of a bundle's values and text while they are in force.
+/// Returns the memory of a bundle in force, parsed and as text, in bytes.
 fn check_memory(services: usize) -> f64 {
     let (text, keys) = bundle(services, 1, 100);
     let before = resident();
@@ -181,7 +181,7 @@
     after.saturating_sub(before) as f64
 }
 
-/// The time to put a bundle in force in which one target's weight changed.
+/// Returns the time to put a bundle in force in which one target's weight has changed.
 fn install_micros(services: usize) -> f64 {
     let mut draft = draft(services);
     let (light, keys) = bundle(services, 2, 50);
@@ -196,18 +196,20 @@
     }) / 1e3
 }
 
-/// The time that the packet thread stands still to take the next view.
+/// Returns the time for which the packet thread stops forwarding to install a view.
 fn follow_micros(services: usize) -> f64 {
     let mut draft = draft(services);
-    let mut forwarder =
-        Forwarder::new(LoadGate::new(1, Meters::new().expect("meters are registered once")), 0);
+    let mut forwarder = Forwarder::new(
+        LoadGate::new(1, Meters::new().expect("the metrics are registered once")),
+        0,
+    );
     let (light, keys) = bundle(services, 2, 50);
     let (full, _) = bundle(services, 3, 100);
     let both = [check(&light, &keys).bundle, check(&full, &keys).bundle];
     let mut alternating = both.iter().cycle();
     median(|| {
         draft.install(alternating.next().unwrap_or(&both[0]), NOW);
-        let view = draft.commit().expect("the bundle is another");
+        let view = draft.commit().expect("the bundle has changed");
         timed(|| forwarder.install(view, NOW))
     }) / 1e3
 }
@@ -225,7 +227,7 @@
     }
 }
 
-/// The time to take over that one of the members is another.
+/// Returns the time to apply the replacement of one member.
 fn members_micros(services: usize, members: usize) -> f64 {
     let mut draft = draft(services);
     let mut all: Vec<_> = (0..members).map(member).collect();
@@ -241,7 +243,7 @@
     }) / 1e3
 }
 
-/// The time to see for each service of the target size whether to plan for it.
+/// Returns the time to determine the services that an instance plans for.
 fn duties_micros(members: usize) -> f64 {
     let all: Vec<_> = (0..members).map(member).collect();
     let services: Vec<_> =
@@ -265,11 +267,11 @@
     })
 }
 
-/// An HTTP server that counts the bytes both ways.
+/// Starts an HTTP server that counts the bytes in both directions.
 fn serve(answer: String) -> (SocketAddrV4, Arc<AtomicU64>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback has free ports");
-    let SocketAddr::V4(address) = listener.local_addr().expect("it is bound") else {
-        unreachable!("it was bound to IPv4")
+    let SocketAddr::V4(address) = listener.local_addr().expect("the listener is bound") else {
+        unreachable!("the listener is bound to IPv4")
     };
     let bytes = Arc::new(AtomicU64::new(0));
     let counter = bytes.clone();
@@ -294,8 +296,7 @@
     }
 }
 
-/// Runs `work` on a thread of its own and answers its processor time in
-/// microseconds.
+/// Runs `work` on a separate thread and returns its processor time, in microseconds.
 fn thread_micros(work: impl FnOnce() + Send + 'static) -> f64 {
     const NAME: &str = "measured";
     let builder = thread::Builder::new().name(NAME.to_owned());
@@ -307,7 +308,7 @@
     builder.spawn(run).expect("there are threads left").join().expect("the work ends")
 }
 
-/// The cost of probes of a healthy target: microseconds and bytes above TCP.
+/// Returns the cost of probes of a healthy target: microseconds, and bytes above TCP.
 fn probe_cost(count: usize) -> (f64, f64) {
     let body = r#"{"slots":2,"connections":1999}"#;
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
@@ -321,7 +322,7 @@
     (micros, bytes.load(Relaxed) as f64)
 }
 
-/// The cost of watches that bring nothing: microseconds and bytes above TCP.
+/// Returns the cost of watches without changes: microseconds, and bytes above TCP.
 fn watch_cost(count: usize) -> (f64, f64) {
     let (address, bytes) = serve("HTTP/1.1 204 No Content\r\n\r\n".to_owned());
     let micros = thread_micros(move || {
