--- a/daemon/tests/marked.rs
+++ b/daemon/tests/marked.rs
@@ -1,4 +1,4 @@
-//! Sites whose fabric returns marks, with the daemon as processes.
+//! Fixtures for sites whose fabric returns marks, with instances as processes.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_standin::{
@@ -12,15 +12,15 @@
     time::{Duration, Instant},
 };
 
-/// How long anything is waited for; far more than it takes on a busy machine.
+/// Timeout of every wait; far longer than needed on a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(40);
 
-/// A site with that many targets and instances in rotation, and no callers.
+/// Starts a site with these numbers of targets and of instances in rotation, without callers.
 pub fn site(targets: usize, instances: usize) -> Site {
     let program = Path::new(env!("CARGO_BIN_EXE_medlarspurd"));
     let mut site = Site::start(program, targets, Hashing::Steady, 5).expect("a site");
-    // How soon news is in force is measured elsewhere: here a busy machine may
-    // be late.
+    // The time until an update is in force is checked elsewhere. Here a busy machine may
+    // exceed the bounds.
     site.terms.bound = Millis(u64::MAX);
     site.terms.evacuated = Millis(u64::MAX);
     for _ in 0..instances {
@@ -30,14 +30,14 @@
     site
 }
 
-/// Has some callers of each class come.
+/// Adds callers of each class.
 pub fn add_mixed_callers(site: &mut Site) {
     site.add_callers(Class::Feed, 12);
     site.add_callers(Class::Request, 5);
     site.add_callers(Class::Upload, 2);
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds. `what` names it if it never does.
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !holds() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Waits until that many more requests have been answered.
+/// Waits until `count` more requests have been answered.
 pub fn wait_for_answers(site: &Site, count: usize) {
     let answered = || {
         let finished = site.tally().finished;
@@ -56,15 +56,15 @@
     wait_until("requests are answered", || answered() >= before + count);
 }
 
-/// Ends the callers; answers what they got, once nothing is violated.
+/// Stops the callers, checks that no guarantee was violated, and returns the results.
 pub fn stop_callers(site: &Site) -> Tally {
     assert!(site.stop_callers(TIMEOUT), "all requests end");
     assert_eq!(site.violations(), []);
     site.tally()
 }
 
-/// How many requests ended in another way than answered; says which, for whoever reads why a
-/// test failed.
+/// Returns the number of requests that weren't answered, and prints each of them to explain a
+/// failed test.
 pub fn count_unanswered(tally: &Tally) -> usize {
     let others = tally.finished.iter().filter(|it| it.outcome != Outcome::Answered);
     for it in others {
@@ -73,7 +73,7 @@
     tally.finished.iter().filter(|it| it.outcome != Outcome::Answered).count()
 }
 
-/// The lines of all instances that hold all of these words.
+/// Returns the log lines of all instances that contain all of these words.
 pub fn lines_with(site: &Site, words: &[&str]) -> Vec<String> {
     let lines = site.instances.iter().flat_map(|it| it.lines());
     lines.filter(|line| words.iter().all(|word| line.contains(word))).collect()
--- a/daemon/tests/runner.rs
+++ b/daemon/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Tests of the daemon as a process, beside stand-ins for its peers.
+//! Tests of the daemon, mostly as a process with stand-ins for its peers.
 
 mod marked;
 mod test_check;
--- a/daemon/tests/test_check.rs
+++ b/daemon/tests/test_check.rs
@@ -1,9 +1,9 @@
-//! The check of settings before an instance is started.
+//! Tests of `--check`, which validates the settings without starting an instance.
 
 use expect_test::{Expect, expect};
 use std::{fs, process::Command};
 
-const SOUND: &str = "\
+const VALID: &str = "\
 site: sofia
 name: entry-1
 domain: lozenets
@@ -20,7 +20,7 @@
 #[allow(clippy::disallowed_methods, reason = "a test starts the program that it tests")]
 fn check(settings: &str, expected: Expect) {
     let folder = tempfile::tempdir().expect("a folder");
-    fs::write(folder.path().join("entry.yaml"), settings).expect("written");
+    fs::write(folder.path().join("entry.yaml"), settings).expect("the file is written");
 
     let output = Command::new(env!("CARGO_BIN_EXE_medlarspurd"))
         .args(["--settings", "entry.yaml", "--check"])
@@ -35,9 +35,9 @@
 }
 
 #[test]
-fn sound_settings_hold() {
+fn valid_settings_pass_the_check() {
     check(
-        SOUND,
+        VALID,
         expect![[r#"
         exit code 0
         entry.yaml: the settings hold
@@ -45,11 +45,11 @@
     );
 }
 
-/// Settings for a new host are copied by hand. Were only the first fault told,
-/// the host would be tried once for each of them.
+/// Guards against reporting only the first fault, which costs operators one run for each
+/// fault of settings copied by hand.
 #[test]
-fn every_fault_is_told_at_once() {
-    let faulty = SOUND.replace("domain: lozenets\n", "zone: lozenets\n").replace(":4001", "");
+fn every_fault_is_reported_at_once() {
+    let faulty = VALID.replace("domain: lozenets\n", "zone: lozenets\n").replace(":4001", "");
     check(
         &faulty,
         expect![[r#"
--- a/daemon/tests/test_checker.rs
+++ b/daemon/tests/test_checker.rs
@@ -1,4 +1,4 @@
-//! Which bundles an instance takes, and what it keeps of them.
+//! Tests of the verification of bundles, and of the parsed bundle that is kept.
 
 use medlarspur_daemon::checker::Checker;
 use medlarspur_lib::{
@@ -28,36 +28,36 @@
 }
 
 fn checker(key: &SecretKey) -> Checker {
-    let meters = Meters::new().expect("metrics");
+    let meters = Meters::new().expect("metrics are registered");
     Checker::new(Keys::new(vec![key.public()]), SiteName::new("sofia"), meters)
 }
 
 const SEED: &str = "00112233445566778899aabbccddeeff";
 
 #[test]
-fn the_values_of_the_last_sound_text_are_kept_once() {
+fn only_the_last_valid_bundle_can_be_taken_once() {
     let key = SecretKey::generate();
     let checker = &checker(&key);
     let (old, new) = (text(&key, 1, SEED), text(&key, 2, SEED));
 
-    assert_eq!(checker.check(&old).expect("sound"), Version(1));
-    assert_eq!(checker.check(&new).expect("sound"), Version(2));
+    assert_eq!(checker.check(&old).expect("a valid bundle"), Version(1));
+    assert_eq!(checker.check(&new).expect("a valid bundle"), Version(2));
 
     assert!(checker.take_checked(&signed(&old, 1)).is_none());
-    assert_eq!(checker.check(&new).expect("sound"), Version(2));
+    assert_eq!(checker.check(&new).expect("a valid bundle"), Version(2));
     assert!(checker.take_checked(&signed(&new, 2)).is_some());
     assert!(checker.take_checked(&signed(&new, 2)).is_none());
 }
 
-/// An author draws a new seed under the next version. Instances must refuse
-/// it, or each open feed would be sent to a target that never saw it.
+/// Guards against accepting a bundle whose author has generated a new seed, which would send
+/// each open feed to a target that doesn't know it.
 #[test]
-fn another_seed_than_the_one_in_force_is_refused() {
+fn a_bundle_with_another_seed_is_refused() {
     let key = SecretKey::generate();
     let checker = &checker(&key);
     let first = text(&key, 1, SEED);
-    checker.check(&first).expect("sound");
-    checker.take_checked(&signed(&first, 1)).expect("in force");
+    checker.check(&first).expect("a valid bundle");
+    checker.take_checked(&signed(&first, 1)).expect("the bundle that passed");
 
     let refusal = checker.check(&text(&key, 2, &SEED.replace("00", "01")));
 
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -1,4 +1,4 @@
-//! The gate follows who owns the buckets.
+//! Tests of admission at leaving targets, which depends on the ownership of buckets.
 
 use medlarspur_daemon::gate::LoadGate;
 use medlarspur_lib::{
@@ -13,7 +13,7 @@
 
 const START: Millis = Millis(10_000);
 
-/// Two targets, of which the second has the given state.
+/// Returns a bundle with two targets, of which the second has the given state.
 fn bundle(version: u64, state: &str) -> Arc<Bundle> {
     let text = format!(
         "\
@@ -29,25 +29,25 @@
       - {{name: alert-2, address: 10.1.0.2:6080, domain: druzhba, state: {state}}}
 "
     );
-    Arc::new(Bundle::parse(&text).expect("sound"))
+    Arc::new(Bundle::parse(&text).expect("a valid bundle"))
 }
 
-/// A draft that has published its first view, and a gate that follows it.
+/// Returns a draft that has published its first view, and a gate that follows it.
 fn started(state: &str) -> (Draft, LoadGate) {
     let mut draft = Draft::first(InstanceName::new("entry-1"), &bundle(1, state), Millis(0));
-    let mut gate = LoadGate::new(1, Meters::new().expect("metrics"));
+    let mut gate = LoadGate::new(1, Meters::new().expect("metrics are registered"));
     follow(&mut draft, &mut gate, START);
     (draft, gate)
 }
 
 fn follow(draft: &mut Draft, gate: &mut LoadGate, now: Millis) -> Arc<View> {
     draft.advance(now);
-    let view = draft.commit().expect("a change");
+    let view = draft.commit().expect("the view has changed");
     gate.follow(&view, now);
     view
 }
 
-/// What becomes of flow number `flow` if it opens at the second target.
+/// Returns the verdict on an opening of the flow numbered `flow` at the second target.
 fn open(gate: &mut LoadGate, view: &View, now: Millis, flow: u64) -> Verdict {
     let service = &view.services[0].spec;
     let target = view.registry.named(&service.name, &TargetName::new("alert-2"));
@@ -57,14 +57,13 @@
     gate.open(now, &opening)
 }
 
-/// A bundle lets a target leave. Its buckets move up to 1.2 s later, and until
-/// then all instances send it new flows. Refused there, callers were turned
-/// away for that time at every planned change.
+/// Guards against refusing callers at a leaving target before its buckets have moved. The move
+/// takes effect up to 1.2 s after the bundle, and until then all instances send new flows there.
 #[test]
-fn a_leaving_target_takes_work_until_its_buckets_have_moved() {
+fn a_leaving_target_accepts_flows_until_its_buckets_have_moved() {
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
-    let pending = draft.commit().expect("a change");
+    let pending = draft.commit().expect("the view has changed");
     gate.follow(&pending, START);
 
     let before = open(&mut gate, &pending, START, 1);
@@ -78,10 +77,10 @@
     assert!(matches!(after, Verdict::Refuse { .. }), "{after:?}");
 }
 
-/// An instance starts after a target has begun to leave: none of its buckets
-/// is owned by that target, so nothing may be let in there.
+/// Guards against admitting flows at a target that began to leave before the instance started.
+/// In that instance's view the target owns no bucket.
 #[test]
-fn a_target_that_left_before_the_start_takes_no_work() {
+fn a_target_that_was_leaving_before_the_start_accepts_no_flow() {
     let (mut draft, mut gate) = started("leaving");
     draft.install(&bundle(2, "leaving"), START);
     let view = follow(&mut draft, &mut gate, START);
@@ -91,13 +90,13 @@
     assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
 }
 
-/// A target is called back while its buckets are still on their way. Closed
-/// by what was noted of it before, it would stand idle.
+/// Guards against closing a target that becomes active again while its buckets are still to be
+/// moved. It would stay idle.
 #[test]
-fn a_target_that_is_called_back_takes_work_on() {
+fn a_target_that_becomes_active_again_keeps_accepting_flows() {
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
-    let pending = draft.commit().expect("a change");
+    let pending = draft.commit().expect("the view has changed");
     gate.follow(&pending, START);
 
     draft.install(&bundle(3, "active"), START);
@@ -107,15 +106,14 @@
     assert_eq!(verdict, Verdict::Admit);
 }
 
-/// An instance is frozen while a target leaves, and hears of it when it wakes.
-/// The others have long moved the buckets, so the target may go down at any
-/// moment: a user's work that is placed there is cut.
+/// Guards against opening flows at a leaving target after a pause of the process. The other
+/// instances have moved the buckets already, so the target may stop and cut the flows.
 #[test]
-fn an_instance_that_slept_places_nothing_at_a_leaving_target() {
+fn after_a_pause_no_flow_is_opened_at_a_leaving_target() {
     let (mut draft, mut gate) = started("active");
     gate.resume(START);
     draft.install(&bundle(2, "leaving"), START);
-    let pending = draft.commit().expect("a change");
+    let pending = draft.commit().expect("the view has changed");
     gate.follow(&pending, START);
 
     let verdict = open(&mut gate, &pending, START, 1);
@@ -124,13 +122,13 @@
     assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
 }
 
-/// An instance has heard that a target leaves and is frozen before it has
-/// carried the moves out.
+/// Guards against the same if the process is paused after it has learned that the target leaves
+/// and before it has carried out the moves.
 #[test]
-fn an_instance_that_sleeps_amid_a_move_places_nothing_at_the_old_owner() {
+fn after_a_pause_during_a_move_no_flow_is_opened_at_the_old_owner() {
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
-    let pending = draft.commit().expect("a change");
+    let pending = draft.commit().expect("the view has changed");
     gate.follow(&pending, START);
     let awake = START + Millis::secs(8);
 
--- a/daemon/tests/test_limits.rs
+++ b/daemon/tests/test_limits.rs
@@ -1,11 +1,11 @@
-//! The limits of a bundle reach the decisions under load.
+//! Tests of the conversion of a bundle's limits to load settings.
 
 use medlarspur_daemon::gate::load_settings;
 use medlarspur_lib::{bundle::Limits, time::Millis};
 use medlarspur_load::Settings;
 
 #[test]
-fn what_a_bundle_does_not_set_is_as_the_decisions_have_it() {
+fn limits_missing_from_a_bundle_have_their_defaults() {
     let limits = Limits { patience: Some(Millis(90)), ..Limits::default() };
 
     assert_eq!(load_settings(&Limits::default()), Settings::default());
--- a/daemon/tests/test_logs.rs
+++ b/daemon/tests/test_logs.rs
@@ -1,4 +1,4 @@
-//! The lines of the log.
+//! Tests of the format of log lines.
 
 use expect_test::expect;
 use medlarspur_daemon::logs::one_line;
--- a/daemon/tests/test_marked_asker.rs
+++ b/daemon/tests/test_marked_asker.rs
@@ -1,4 +1,4 @@
-//! Asking many targets at once.
+//! Tests of probing many targets at once.
 
 use medlarspur_daemon::marked::{
     asker::{MAX_PROBES, Prober},
@@ -28,12 +28,12 @@
     socket(AddressFamily::Inet, SockType::Stream, flags, None).expect("a socket")
 }
 
-/// An address that answers no connection: its queue of new ones is full.
+/// Returns an address that answers no connection, because the listener's backlog is full.
 fn silent() -> (SocketAddrV4, Vec<OwnedFd>) {
     let listener = stream();
     let any = SockaddrIn::new(127, 0, 0, 1, 0);
     bind(listener.as_raw_fd(), &any).expect("a port");
-    listen(&listener, Backlog::new(0).expect("a backlog")).expect("it listens");
+    listen(&listener, Backlog::new(0).expect("a backlog")).expect("the socket listens");
     let at: SockaddrIn = getsockname(listener.as_raw_fd()).expect("an address");
     let mut kept = vec![listener];
     for _ in 0..4 {
@@ -60,7 +60,7 @@
     }
 }
 
-/// How many connections to an address are being opened on this machine.
+/// Returns the number of connections to an address in the state SYN_SENT on this machine.
 fn opening(address: SocketAddrV4) -> usize {
     let remote = format!("{:08X}:{:04X}", u32::from(*address.ip()).swap_bytes(), address.port());
     let sockets = fs::read_to_string("/proc/self/net/tcp").expect("the list of sockets");
@@ -68,29 +68,29 @@
     fields.filter(|it| it.len() > 3 && it[2] == remote && it[3] == "02").count()
 }
 
-/// How many threads of this process ask.
+/// Returns the number of probing threads in this process.
 fn threads() -> usize {
     let tasks = fs::read_dir("/proc/self/task").expect("the list of threads");
     let names = tasks.filter_map(|task| fs::read_to_string(task.ok()?.path().join("comm")).ok());
     names.filter(|name| name.trim() == "ask").count()
 }
 
-/// Guards against a thread for each of the targets that a dark failure domain puts in doubt.
+/// Guards against one thread for each target that is suspected when a failure domain loses power.
 #[test]
-fn threads_and_connections_do_not_grow_with_the_targets_that_are_silent() {
+fn threads_and_connections_do_not_grow_with_the_number_of_silent_targets() {
     let (address, kept) = silent();
     let (sender, inbox) = inbox::channel().expect("an inbox");
     let mut prober = Prober::new(sender);
     for count in [100, 600] {
         let mut found = BTreeSet::new();
         let (mut most_threads, mut most_opening) = (0, 0);
-        // As many orders at once as its inbox takes.
+        // Fewer requests at once than the prober's inbox holds.
         for numbers in (0..count).collect::<Vec<_>>().chunks(200) {
             numbers.iter().for_each(|number| prober.probe(&target(*number, address), "/health"));
             let known = found.len();
             while found.len() < known + numbers.len() {
                 let mut fds = [PollFd::new(inbox.wake_fd(), PollFlags::POLLIN)];
-                poll(&mut fds, PollTimeout::from(2_000_u16)).expect("it waits");
+                poll(&mut fds, PollTimeout::from(2_000_u16)).expect("polling works");
                 for event in inbox.drain() {
                     let Event::Probed(incarnation, finding) = event else { panic!("{event:?}") };
                     assert_eq!(finding, Finding::Silent);
--- a/daemon/tests/test_marked_explained.rs
+++ b/daemon/tests/test_marked_explained.rs
@@ -1,5 +1,5 @@
-//! Three failures, each explained from what the instances wrote and nothing
-//! else, as `docs/OPERATIONS.md` tells.
+//! Tests that failures can be explained from log lines, as `docs/OPERATIONS.md` describes, and
+//! flows and state from operators' requests.
 
 use crate::marked::{lines_with, site, wait_for_answers, wait_until};
 use medlarspur_lib::{
@@ -9,28 +9,30 @@
 };
 use medlarspur_standin::{caller::Outcome, site::Site};
 
-/// The value of a field of a line.
+/// Returns the value of a field of a line.
 fn field<'a>(line: &'a str, name: &str) -> &'a str {
     let at = line.find(&format!(" {name}=")).unwrap_or_else(|| panic!("{name} in {line}"));
     line[at + name.len() + 2..].split(' ').next().expect("a value")
 }
 
-/// A caller says that nobody took its request. Its address and port lead to the
-/// reset, whose reason is that no target can take flows; the entries say why:
-/// all of them leave.
+/// Guards against lines that don't explain a refused request. The caller's address and port lead
+/// to the reset, whose reason is that no target accepts flows. The entries show that all of them
+/// are leaving.
 #[test]
-fn a_refused_flow_is_explained_by_targets_that_leave() {
+fn a_refused_flow_is_explained_by_leaving_targets() {
     let mut site = site(4, 1);
     for host in 0..3 {
         site.drain(host);
     }
-    wait_until("it is known", || lines_with(&site, &["state=leaving"]).len() == 3);
+    wait_until("the leaving targets are logged", || {
+        lines_with(&site, &["state=leaving"]).len() == 3
+    });
     site.add_callers(Class::Request, 1);
-    wait_until("it is refused", || site.tally().count(Class::Request, Outcome::Refused) > 0);
+    wait_until("the flow is refused", || site.tally().count(Class::Request, Outcome::Refused) > 0);
     let refused = site.tally().finished.into_iter().find(|it| it.outcome == Outcome::Refused);
-    let flow = format!("flow={}>", refused.expect("one").flow);
+    let flow = format!("flow={}>", refused.expect("a refused request").flow);
 
-    wait_until("it is written", || !lines_with(&site, &[&flow]).is_empty());
+    wait_until("the reset is logged", || !lines_with(&site, &[&flow]).is_empty());
     let lines = lines_with(&site, &[&flow]);
     assert_eq!(field(&lines[0], "reason"), "no-target");
     let known: u64 = field(&lines[0], "known").parse().expect("a revision");
@@ -38,10 +40,10 @@
     assert!(leaving.iter().all(|line| field(line, "revision").parse::<u64>().unwrap() <= known));
 }
 
-/// A feed goes silent in mid-flow. Its address and port lead to the target, to
-/// the reset, and by the target to what was found when it was asked.
+/// Guards against lines that don't explain a feed that is reset in mid-flow. The caller's address
+/// and port lead to the target and to the reset, and the target's lines to its probe's result.
 #[test]
-fn a_silent_feed_is_explained_by_a_target_that_was_lost() {
+fn a_reset_feed_is_explained_by_a_lost_target() {
     let mut site = site(4, 1);
     site.add_callers(Class::Feed, 6);
     wait_for_answers(&site, 20);
@@ -50,7 +52,7 @@
 
     site.end_target(0, false);
     let reset = ["flow reset", "reason=target-lost", &dead];
-    wait_until("its flows are reset", || !lines_with(&site, &reset).is_empty());
+    wait_until("the target's flows are reset", || !lines_with(&site, &reset).is_empty());
 
     let line = lines_with(&site, &reset).remove(0);
     let opened = lines_with(&site, &["flow opened", &format!("flow={} ", field(&line, "flow"))]);
@@ -60,20 +62,20 @@
     assert!(!lines_with(&site, &["target doubted", &dead]).is_empty());
 }
 
-/// A caller asks for an address that no route has. The reset says so, and which
-/// config was in force then.
+/// Guards against lines that don't explain a flow to an address without a route. The reset has
+/// the reason, and the revision that leads to the config in force.
 #[test]
 fn a_flow_that_never_opened_is_explained_by_the_config() {
     let mut site = site(4, 1);
     site.store.put_config(1_000, &[]);
-    wait_until("it is in force", || {
+    wait_until("the config is in force", || {
         !lines_with(&site, &["config in force", "version=1000"]).is_empty()
     });
     site.add_callers(Class::Upload, 1);
-    wait_until("it is refused", || site.tally().count(Class::Upload, Outcome::Refused) > 0);
+    wait_until("the flow is refused", || site.tally().count(Class::Upload, Outcome::Refused) > 0);
     let flow = format!("flow={}>", site.tally().finished[0].flow);
 
-    wait_until("it is written", || !lines_with(&site, &[&flow]).is_empty());
+    wait_until("the reset is logged", || !lines_with(&site, &[&flow]).is_empty());
     let line = lines_with(&site, &[&flow]).remove(0);
     assert_eq!(field(&line, "reason"), "no-route");
     let config = lines_with(&site, &["config in force", "version=1000"]).remove(0);
@@ -81,8 +83,8 @@
     assert_eq!(known.parse::<u64>().unwrap(), revision.parse::<u64>().unwrap());
 }
 
-/// Asks the only instance as operators do.
-fn ask<T: serde::de::DeserializeOwned>(site: &Site, path: &str) -> T {
+/// Sends a request to the only instance's operator interface.
+fn get_json<T: serde::de::DeserializeOwned>(site: &Site, path: &str) -> T {
     let served = "operators: served";
     wait_until("operators are served", || !lines_with(site, &[served]).is_empty());
     let line = lines_with(site, &[served]).remove(0);
@@ -91,7 +93,7 @@
     serde_json::from_str(&text.expect("text")).expect("JSON")
 }
 
-/// Somebody on call has a flow from a line and asks the instance while the flow lives.
+/// Guards against an instance that can't explain one of its live flows, or a flow without a route.
 #[test]
 fn a_live_flow_is_explained_by_its_instance() {
     let mut site = site(4, 1);
@@ -101,25 +103,27 @@
     let flow: FlowKey = field(&line, "flow").parse().expect("a flow");
     let other: FlowKey = "127.0.0.1:1>198.18.9.9:9".parse().expect("a flow");
 
-    let found: MarkedExplanation = ask(&site, &format!("/explain?flow={flow}"));
-    let nowhere: MarkedExplanation = ask(&site, &format!("/explain?flow={other}"));
+    let found: MarkedExplanation = get_json(&site, &format!("/explain?flow={flow}"));
+    let unrouted: MarkedExplanation = get_json(&site, &format!("/explain?flow={other}"));
 
     assert_eq!(found.reason, MarkedReason::Known);
     assert_eq!(found.class, Some(Class::Feed));
-    let target = found.target.expect("it has one");
+    let target = found.target.expect("the flow has a target");
     assert_eq!(target.name.as_str(), field(&line, "target"));
     assert_eq!(target.usage, TargetUse::Good);
     assert!(found.candidates.contains(&target) || found.candidates.len() == 3);
-    assert_eq!((nowhere.reason, nowhere.target), (MarkedReason::NoRoute, None));
+    assert_eq!((unrouted.reason, unrouted.target), (MarkedReason::NoRoute, None));
 }
 
 #[test]
-fn an_instance_tells_its_state() {
+fn an_instance_reports_its_status() {
     let mut site = site(4, 1);
     site.drain(0);
-    wait_until("it is known", || !lines_with(&site, &["state=leaving"]).is_empty());
+    wait_until("the leaving targets are logged", || {
+        !lines_with(&site, &["state=leaving"]).is_empty()
+    });
 
-    let status: MarkedStatus = ask(&site, "/status");
+    let status: MarkedStatus = get_json(&site, "/status");
 
     assert!(status.ready && status.reading);
     assert!(status.picture.version.is_some() && status.picture.age.is_some());
--- a/daemon/tests/test_marked_instances.rs
+++ b/daemon/tests/test_marked_instances.rs
@@ -1,4 +1,4 @@
-//! Instances that leave, die, freeze and start while callers use the site.
+//! Tests of instances that leave, are killed, are paused and start while callers use the site.
 
 use crate::marked::{
     TIMEOUT, add_mixed_callers, count_unanswered, lines_with, site, stop_callers, wait_for_answers,
@@ -8,7 +8,7 @@
 use nix::sys::signal::Signal;
 
 #[test]
-fn a_calm_day_is_served() {
+fn all_requests_are_answered_without_failures() {
     let mut site = site(8, 3);
     add_mixed_callers(&mut site);
 
@@ -17,43 +17,43 @@
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
-/// An instance is stopped for an update. Routers learn of it late and go on
-/// sending to it, and each of its flows goes on through another instance.
+/// Guards against flows that are cut when an instance leaves for an update. Routers learn of it
+/// with a delay and send to it until then; its flows continue through other instances.
 #[test]
 fn an_instance_that_leaves_cuts_no_flow() {
     let mut site = site(8, 3);
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
-    site.instances[0].signal(Signal::SIGTERM).expect("it runs");
-    wait_until("it has stopped", || !lines_with(&site, &["::instance stop"]).is_empty());
-    assert_eq!(site.routers.count(), 2, "it left rotation before it stopped");
+    site.instances[0].signal(Signal::SIGTERM).expect("the instance runs");
+    wait_until("the instance has stopped", || !lines_with(&site, &["::instance stop"]).is_empty());
+    assert_eq!(site.routers.count(), 2, "the instance left rotation before it stopped");
     wait_for_answers(&site, 100);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
-    let ended = site.instances[0].ended().expect("it has ended");
+    let ended = site.instances[0].ended().expect("the instance has ended");
     assert!(ended.success(), "{ended}");
 }
 
-/// An instance is killed without a word. Feeds that went through it go on
-/// through others, which have never seen them.
+/// Guards against feeds that are cut when an instance is killed. They continue through other
+/// instances, which have no record of them.
 #[test]
 fn a_killed_instance_breaks_no_feed() {
     let mut site = site(8, 3);
     site.add_callers(Class::Feed, 20);
     wait_for_answers(&site, 60);
 
-    site.instances[1].signal(Signal::SIGKILL).expect("it runs");
-    wait_until("it has left rotation", || site.routers.count() == 2);
+    site.instances[1].signal(Signal::SIGKILL).expect("the instance runs");
+    wait_until("the instance has left rotation", || site.routers.count() == 2);
     wait_for_answers(&site, 100);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
-/// All instances are killed at once and others start in their place, with an
-/// empty memory. Feeds that were open go on where they were.
+/// Guards against feeds that are sent to other targets when all instances are replaced at once.
+/// The new instances have no record of any flow.
 #[test]
-fn feeds_outlive_all_instances() {
+fn feeds_continue_when_all_instances_are_replaced() {
     let mut site = site(8, 2);
     site.add_callers(Class::Feed, 20);
     wait_for_answers(&site, 60);
@@ -68,28 +68,28 @@
     stop_callers(&site);
 }
 
-/// An instance stands still for seconds and wakes with an old picture: a target
-/// that it would use has left meanwhile.
+/// Guards against an instance that was paused for seconds and serves with an outdated catalog,
+/// after a target has left meanwhile.
 #[test]
-fn an_instance_that_froze_serves_again() {
+fn a_paused_instance_serves_again() {
     let mut site = site(8, 3);
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
-    site.instances[0].signal(Signal::SIGSTOP).expect("it runs");
-    wait_until("it has left rotation", || site.routers.count() == 2);
+    site.instances[0].signal(Signal::SIGSTOP).expect("the instance runs");
+    wait_until("the instance has left rotation", || site.routers.count() == 2);
     site.release(0).expect("a new host");
-    site.instances[0].signal(Signal::SIGCONT).expect("it is there");
-    wait_until("it is back in rotation", || site.routers.count() == 3);
+    site.instances[0].signal(Signal::SIGCONT).expect("the instance exists");
+    wait_until("the instance is back in rotation", || site.routers.count() == 3);
     wait_for_answers(&site, 100);
 
     stop_callers(&site);
 }
 
-/// Whoever collects the logs hangs, and the pipe is full. An instance that
-/// waited for it would stop all flows without a word.
+/// Guards against an instance that blocks when the log collector hangs and the pipe is full. All
+/// flows would stop without a log line.
 #[test]
-fn an_instance_whose_output_is_not_read_goes_on() {
+fn an_instance_whose_output_is_not_read_keeps_serving() {
     let mut site = site(8, 0);
     let mut setup = site.setup();
     setup.unread = true;
--- a/daemon/tests/test_marked_pictures.rs
+++ b/daemon/tests/test_marked_pictures.rs
@@ -1,4 +1,4 @@
-//! Telling whole pictures to other instances.
+//! Tests of pulls of updates between instances.
 
 use medlarspur_daemon::marked::{
     inbox::{self, Event, Inbox},
@@ -12,7 +12,7 @@
     thread,
 };
 
-/// An address that was free a moment ago.
+/// Returns an address that was free a moment ago.
 fn free() -> SocketAddrV4 {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     match listener.local_addr().expect("an address") {
@@ -21,7 +21,7 @@
     }
 }
 
-/// An instance's pictures, at an address of the system's choice.
+/// Starts an update exchange at an address of the system's choice.
 fn start() -> (SocketAddrV4, UpdateExchange, Inbox) {
     for _ in 0..20 {
         let (sender, inbox) = inbox::channel().expect("an inbox");
@@ -35,73 +35,74 @@
 
 fn events(inbox: &Inbox) -> Vec<Event> {
     let mut fds = [PollFd::new(inbox.wake_fd(), PollFlags::POLLIN)];
-    poll(&mut fds, PollTimeout::from(5_000_u16)).expect("it waits");
+    poll(&mut fds, PollTimeout::from(5_000_u16)).expect("polling works");
     inbox.drain().collect()
 }
 
-fn news(revision: u64) -> News {
+fn update(revision: u64) -> News {
     News::new(Revision::new(0, revision), Scope::All, Vec::new())
 }
 
-/// Answers what the main thread is asked, with the picture of that revision.
+/// Answers requests to the main thread with an update of that revision.
 fn answer(inbox: Inbox, revision: u64) {
     thread::spawn(move || {
         loop {
             for event in events(&inbox) {
                 let Event::PullRequested { known, reply } = event else { panic!("{event:?}") };
-                reply.send(Command::Send(known, news(revision)));
+                reply.send(Command::Send(known, update(revision)));
             }
         }
     });
 }
 
-/// Guards against connections that say nothing and keep all others from the picture.
+/// Guards against connections that send no request and lock out all requesters.
 #[test]
-fn three_hundred_that_return_are_told_beside_some_that_say_nothing() {
+fn three_hundred_pulls_succeed_beside_silent_connections() {
     let (address, _pictures, inbox) = start();
     answer(inbox, 7);
-    let stuck: Vec<TcpStream> =
-        (0..MAX_TRANSFERS).map(|_| TcpStream::connect(address).expect("it connects")).collect();
+    let stuck: Vec<TcpStream> = (0..MAX_TRANSFERS)
+        .map(|_| TcpStream::connect(address).expect("the connection opens"))
+        .collect();
 
-    let (_, asking, answers) = start();
-    let (mut told, mut asked) = (0, 0);
-    (0..MAX_TRANSFERS).for_each(|_| asking.pull(address, Revision::new(0, 0)));
-    while told < 300 {
-        for event in events(&answers) {
+    let (_, puller, pulls) = start();
+    let (mut pulled, mut requested) = (0, 0);
+    (0..MAX_TRANSFERS).for_each(|_| puller.pull(address, Revision::new(0, 0)));
+    while pulled < 300 {
+        for event in events(&pulls) {
             match event {
                 Event::Pulled { from, update } => {
                     assert_eq!((from, update.revision), (address, Revision::new(0, 7)));
-                    told += 1;
+                    pulled += 1;
                 }
-                // Too many at once: whoever returns asks again, or another one.
+                // Too many at once: the requester pulls again, or from another instance.
                 Event::PullFailed(from) => assert_eq!(from, address),
                 other => panic!("{other:?}"),
             }
-            asked += 1;
-            asking.pull(address, Revision::new(0, 0));
+            requested += 1;
+            puller.pull(address, Revision::new(0, 0));
         }
-        assert!(asked < 2_000, "{told} of 300 told after {asked} questions");
+        assert!(requested < 2_000, "{pulled} of 300 pulls succeeded after {requested} requests");
     }
     drop(stuck);
 }
 
-/// Guards against waiting for an instance that has no picture itself, or is not there.
+/// Guards against waiting for an instance that has no catalog yet, or doesn't run.
 #[test]
-fn who_knows_nothing_says_so_at_once() {
+fn a_pull_from_an_instance_without_a_catalog_fails_at_once() {
     let (address, _pictures, inbox) = start();
     answer(inbox, 0);
-    let nobody = free();
-    let (_, asking, answers) = start();
+    let unused = free();
+    let (_, puller, pulls) = start();
 
-    asking.pull(address, Revision::new(0, 0));
-    asking.pull(nobody, Revision::new(0, 0));
+    puller.pull(address, Revision::new(0, 0));
+    puller.pull(unused, Revision::new(0, 0));
 
-    let mut silent = BTreeSet::new();
-    while silent.len() < 2 {
-        for event in events(&answers) {
+    let mut failed = BTreeSet::new();
+    while failed.len() < 2 {
+        for event in events(&pulls) {
             let Event::PullFailed(from) = event else { panic!("{event:?}") };
-            silent.insert(from);
+            failed.insert(from);
         }
     }
-    assert_eq!(silent, BTreeSet::from([address, nobody]));
+    assert_eq!(failed, BTreeSet::from([address, unused]));
 }
--- a/daemon/tests/test_marked_soak.rs
+++ b/daemon/tests/test_marked_soak.rs
@@ -1,4 +1,4 @@
-//! A short soak, and seeds that once failed.
+//! Short soaks: a sample, and seeds that once failed.
 
 use medlarspur_lib::time::Millis;
 use medlarspur_standin::soak::{Size, play};
@@ -22,7 +22,7 @@
     soak(7);
 }
 
-/// Guards against a soak that tells an instance something after it has left.
+/// Guards against a soak that signals an instance after it has left.
 #[test]
 fn seed_120_is_sound() {
     soak(120);
@@ -34,31 +34,31 @@
     soak(125);
 }
 
-/// Guards against the same with an instance that froze meanwhile.
+/// Guards against the same with an instance that was paused meanwhile.
 #[test]
 fn seed_165_is_sound() {
     soak(165);
 }
 
-/// Guards against a soak that asks for service while its own evacuations last.
+/// Guards against a soak that expects service while its own evacuations last.
 #[test]
 fn seed_3012_is_sound() {
     soak(3_012);
 }
 
-/// The first seed on which targets start again under their ids and are full.
+/// First seed on which targets start again under their ids and are full.
 #[test]
 fn seed_1000_is_sound() {
     soak(1_000);
 }
 
-/// The first seed on which the store comes back from copies.
+/// First seed on which the store is restored from copies.
 #[test]
 fn seed_9000_is_sound() {
     soak(9_000);
 }
 
-/// Guards against targets that the end of an overlapping evacuation makes slow while in use.
+/// Guards against a slow start of targets in use when one of two overlapping evacuations ends.
 #[test]
 fn seed_6103_is_sound() {
     soak(6_103);
--- a/daemon/tests/test_marked_store.rs
+++ b/daemon/tests/test_marked_store.rs
@@ -1,4 +1,4 @@
-//! A store that is away, turns instances away, forgets, and moves.
+//! Tests of a store that is unreachable, rejects calls, loses data, and moves.
 
 use crate::marked::{
     TIMEOUT, add_mixed_callers, count_unanswered, lines_with, site, stop_callers, wait_for_answers,
@@ -12,20 +12,20 @@
 };
 use nix::sys::signal::Signal;
 
-/// The store is away for a while. What was known goes on to be served.
+/// Guards against refusing callers while the store is unreachable.
 #[test]
-fn the_site_is_served_while_the_store_is_away() {
+fn callers_are_served_while_the_store_is_unreachable() {
     let mut site = site(8, 3);
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 30);
 
     site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
-    wait_until("it is missed", || !lines_with(&site, &["store: lost"]).is_empty());
+    wait_until("the store is reported lost", || !lines_with(&site, &["store: lost"]).is_empty());
     wait_for_answers(&site, 150);
     site.store.set_fault(Fault::default());
     site.publish();
     let revision = format!("revision={}", site.store.revision());
-    wait_until("news is in force again", || {
+    wait_until("the next config is in force", || {
         lines_with(&site, &["config in force", &revision]).len() == 3
     });
 
@@ -43,7 +43,7 @@
             (service(Class::Upload), kind, INGEST.to_owned()),
         ];
         site.store.put_config(1_000, &routes);
-        wait_until("it is in force", || {
+        wait_until("the config is in force", || {
             lines_with(&site, &["config in force version=1000"]).len() == 2
         });
 
@@ -57,7 +57,8 @@
     }
 }
 
-/// An instance starts while the store is away. Others still know all.
+/// Guards against an instance that can't start while the store is unreachable. The other
+/// instances have the whole catalog.
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_others() {
     let mut site = site(8, 2);
@@ -65,12 +66,12 @@
 
     site.add_instance().expect("an instance");
 
-    assert!(site.wait_for_rotation(3, TIMEOUT), "it is ready");
+    assert!(site.wait_for_rotation(3, TIMEOUT), "the new instance is ready");
 }
 
-/// The store drops its history, so changes since can't be told one by one.
+/// Guards against missed changes when the store drops its history and can't list them.
 #[test]
-fn a_store_that_drops_its_history_is_read_anew() {
+fn a_store_that_drops_its_history_is_read_in_full() {
     let mut site = site(8, 2);
     add_mixed_callers(&mut site);
 
@@ -80,14 +81,14 @@
     site.store.compact();
     site.store.set_fault(Fault::default());
     let revision = format!("known={}", site.store.revision());
-    wait_until("all is known", || lines_with(&site, &[&revision]).len() >= 2);
+    wait_until("the last revision is known", || lines_with(&site, &[&revision]).len() >= 2);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
 /// Waits until two instances of each failure domain read the store and the others don't.
 fn wait_for_readers(site: &Site) {
-    wait_until("two of each domain read", || {
+    wait_until("two instances of each domain read the store", || {
         let begun = lines_with(site, &["this instance reads the store"]).len();
         begun - lines_with(site, &["this instance stops reading"]).len() == 2 * DOMAINS.len()
     });
@@ -99,39 +100,41 @@
     site.publish();
     site.publish();
     let revision = format!("revision={}", site.store.revision());
-    wait_until("they are in force", || {
+    wait_until("the configs are in force", || {
         lines_with(site, &["config in force", &revision]).len() == site.instances.len()
     });
     site.store.restore();
 }
 
-/// Guards against dropping a config whose revision was given out before.
+/// Guards against dropping a config whose revision was used before the store was restored.
 #[test]
-fn a_config_is_in_force_after_the_store_came_back_from_a_copy() {
+fn a_config_comes_into_force_after_the_store_was_restored() {
     let mut site = site(8, 2);
     lose_two_configs(&mut site);
 
     site.publish();
 
     let version = format!("config in force version={} ", site.version());
-    wait_until("it is in force", || lines_with(&site, &[&version]).len() == 2);
+    wait_until("the config is in force", || lines_with(&site, &[&version]).len() == 2);
 }
 
-/// Guards against not telling others of an entry whose revision was given out before.
+/// Guards against not propagating an entry whose revision was used before the store was restored.
 #[test]
-fn listeners_hear_that_a_target_leaves_after_the_store_came_back_from_a_copy() {
+fn listeners_learn_that_a_target_leaves_after_the_store_was_restored() {
     let mut site = site(8, 6);
     wait_for_readers(&site);
     lose_two_configs(&mut site);
 
     site.drain(0);
 
-    wait_until("all know it", || lines_with(&site, &["target entry", "state=leaving"]).len() == 6);
+    wait_until("all instances log that the target leaves", || {
+        lines_with(&site, &["target entry", "state=leaving"]).len() == 6
+    });
 }
 
-/// Guards against callers who notice what the store has lost, twice in a row.
+/// Guards against failed requests after the store was restored from a copy, twice in a row.
 #[test]
-fn callers_notice_nothing_when_the_store_comes_back_from_copies() {
+fn all_requests_are_answered_when_the_store_is_restored() {
     let mut site = site(8, 4);
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 30);
@@ -143,7 +146,7 @@
         site.drain(leaving);
         site.publish();
         let known = format!("version={} ", site.version());
-        wait_until("it is in force", || {
+        wait_until("the config is in force", || {
             lines_with(&site, &["config in force", &known]).len() == site.instances.len()
         });
         site.store.restore();
@@ -153,33 +156,35 @@
         site.write_again();
         site.restore(DOMAINS[1]);
         let known = format!("to={}.", leaving + 1);
-        wait_until("it is told", || lines_with(&site, &["platform restored", &known]).len() >= 3);
+        wait_until("the restored store is logged", || {
+            lines_with(&site, &["platform restored", &known]).len() >= 3
+        });
         wait_for_answers(&site, 60);
     }
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
-/// Operators move the store, rewrite the settings and tell the instance. A
-/// restart would not be needed.
+/// Guards against a moved store that is found only by a restart. Operators rewrite the settings
+/// and send SIGHUP.
 #[test]
-fn a_store_that_moved_is_found_by_the_settings() {
+fn a_moved_store_is_found_after_sighup() {
     let mut site = site(8, 1);
     let moved = Store::start().expect("a store");
     let mut setup = site.instances[0].setup.clone();
     setup.store = moved.address();
 
     site.instances[0].rewrite(setup).expect("a file");
-    site.instances[0].signal(Signal::SIGHUP).expect("it runs");
+    site.instances[0].signal(Signal::SIGHUP).expect("the instance runs");
 
-    wait_until("the other store is asked", || moved.calls() > 0);
+    wait_until("the moved store is called", || moved.calls() > 0);
     assert!(site.instances[0].ended().is_none());
 }
 
-/// The settings are rewritten without a signal. When the store is missed, they
-/// are read again.
+/// Guards against a moved store that is found only by a signal. The settings are read again when
+/// the store can't be reached.
 #[test]
-fn a_store_that_moved_is_found_without_a_signal() {
+fn a_moved_store_is_found_without_a_signal() {
     let mut site = site(8, 1);
     let moved = Store::start().expect("a store");
     let mut setup = site.instances[0].setup.clone();
@@ -188,31 +193,33 @@
     site.instances[0].rewrite(setup).expect("a file");
     site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
 
-    wait_until("the other store is asked", || moved.calls() > 0);
+    wait_until("the moved store is called", || moved.calls() > 0);
 }
 
-/// An operator's typing error must not stop an instance that runs.
+/// Guards against an instance that stops because of an error in rewritten settings.
 #[test]
-fn settings_that_do_not_hold_change_nothing() {
+fn invalid_settings_are_rejected_on_reload() {
     let mut site = site(8, 1);
     let mut setup = site.instances[0].setup.clone();
     setup.domain = "no domain!".to_owned();
 
     site.instances[0].rewrite(setup).expect("a file");
-    site.instances[0].signal(Signal::SIGHUP).expect("it runs");
+    site.instances[0].signal(Signal::SIGHUP).expect("the instance runs");
 
-    wait_until("it is told", || {
+    wait_until("the rejected reload is logged", || {
         !lines_with(&site, &["reload", "the settings stay as they are"]).is_empty()
     });
     assert!(site.instances[0].is_ready());
 }
 
-/// Guards against reading a store of an earlier era and taking nothing of it.
+/// Guards against reading a store of an earlier era and ignoring all its updates.
 #[test]
-fn a_store_of_an_earlier_era_is_taken_once_it_has_said_so_often() {
+fn a_store_of_an_earlier_era_is_accepted_after_repeated_answers() {
     let mut site = site(8, 1);
     (0..3).for_each(|_| site.store.restore());
-    wait_until("it is told", || !lines_with(&site, &["platform restored", "to=3."]).is_empty());
+    wait_until("the restored store is logged", || {
+        !lines_with(&site, &["platform restored", "to=3."]).is_empty()
+    });
     let moved = Store::start().expect("a store");
     let routes = [(service(Class::Feed), "idempotent", DESK.to_owned())];
     moved.put_config(1_000, &routes);
@@ -220,9 +227,9 @@
     setup.store = moved.address();
 
     site.instances[0].rewrite(setup).expect("a file");
-    site.instances[0].signal(Signal::SIGHUP).expect("it runs");
+    site.instances[0].signal(Signal::SIGHUP).expect("the instance runs");
 
-    wait_until("it is in force", || {
+    wait_until("the config is in force", || {
         !lines_with(&site, &["config in force version=1000"]).is_empty()
     });
 }
--- a/daemon/tests/test_marked_targets.rs
+++ b/daemon/tests/test_marked_targets.rs
@@ -1,4 +1,4 @@
-//! Targets that leave, crash and are replaced while callers use the site.
+//! Tests of targets that leave, crash and are replaced while callers use the site.
 
 use crate::marked::{
     add_mixed_callers, count_unanswered, lines_with, site, stop_callers, wait_for_answers,
@@ -10,7 +10,7 @@
     target::Room,
 };
 
-/// Guards against flows that are cut while a target is replaced in an orderly way.
+/// Guards against flows that are cut while a target is drained and replaced.
 #[test]
 fn a_released_target_cuts_no_flow() {
     let mut site = site(8, 3);
@@ -31,8 +31,10 @@
     let leaving = site.target(0).expect("a target").incarnation;
 
     site.drain(0);
-    let told = format!("target entry target=i-{leaving:08x}");
-    wait_until("both know", || lines_with(&site, &[&told, "state=leaving"]).len() == 2);
+    let entry = format!("target entry target=i-{leaving:08x}");
+    wait_until("both instances log the entry", || {
+        lines_with(&site, &[&entry, "state=leaving"]).len() == 2
+    });
     wait_for_answers(&site, 5);
     let opened = site.opened(0);
     wait_for_answers(&site, 80);
@@ -41,9 +43,9 @@
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
-/// Guards against callers who go on waiting for a target that has crashed.
+/// Guards against callers that keep waiting for a crashed target.
 #[test]
-fn a_crashed_target_is_left_by_all_its_flows() {
+fn all_flows_of_a_crashed_target_move_to_others() {
     let mut site = site(8, 3);
     site.add_callers(Class::Feed, 30);
     wait_for_answers(&site, 60);
@@ -51,16 +53,16 @@
 
     site.end_target(0, false);
     let lost = format!("target lost target=i-{dead:08x}");
-    wait_until("it is missed", || !lines_with(&site, &[&lost]).is_empty());
+    wait_until("the target is reported lost", || !lines_with(&site, &[&lost]).is_empty());
     wait_for_answers(&site, 150);
 
     let tally = stop_callers(&site);
-    assert_eq!(count_unanswered(&tally), 0, "feeds are asked for again and answered");
+    assert_eq!(count_unanswered(&tally), 0, "reset feeds are requested again and answered");
 }
 
-/// Guards against packets for a dead target that reach the next one at its address.
+/// Guards against packets for a dead target that reach the next target at its address.
 #[test]
-fn a_reused_address_takes_nothing_that_was_not_meant_for_it() {
+fn a_target_at_a_reused_address_gets_no_packets_of_its_predecessor() {
     let mut site = site(8, 3);
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
@@ -74,9 +76,9 @@
     stop_callers(&site);
 }
 
-/// Guards against a target that is left out of use after it has started again.
+/// Guards against a target that stays unused after it has started again.
 #[test]
-fn a_target_that_starts_again_under_its_id_is_used_at_once() {
+fn a_target_that_restarts_under_its_id_is_used_at_once() {
     let mut site = site(4, 2);
     site.add_callers(Class::Feed, 16);
     wait_for_answers(&site, 40);
@@ -84,15 +86,19 @@
 
     site.restart_target(0);
     let replaced = ["target entry", &name, "state=replaced"];
-    wait_until("both know", || lines_with(&site, &replaced).len() == 2);
+    wait_until("both instances log the entry", || lines_with(&site, &replaced).len() == 2);
     site.add_callers(Class::Request, 8);
     wait_for_answers(&site, 150);
 
-    assert!(site.opened(0) > 0, "it takes flows again");
-    assert_eq!(count_unanswered(&stop_callers(&site)), 0, "feeds are asked for again and answered");
+    assert!(site.opened(0) > 0, "the target accepts flows again");
+    assert_eq!(
+        count_unanswered(&stop_callers(&site)),
+        0,
+        "reset feeds are requested again and answered"
+    );
 }
 
-/// Guards against flows of a full target that are reset, and requests that wait for it.
+/// Guards against resetting the flows of a full target, and against requests that wait for it.
 #[test]
 fn a_full_target_keeps_its_flows_and_gets_no_others() {
     let mut site = site(8, 2);
@@ -102,7 +108,9 @@
     let name = format!("target=i-{:08x}", site.target(0).expect("a target").incarnation);
 
     site.set_full(0, true);
-    wait_until("it is noticed", || !lines_with(&site, &["target full", &name]).is_empty());
+    wait_until("the full target is logged", || {
+        !lines_with(&site, &["target full", &name]).is_empty()
+    });
     wait_for_answers(&site, 150);
     site.set_full(0, false);
     wait_for_answers(&site, 150);
@@ -111,9 +119,9 @@
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
-/// Guards against requests that nobody answers because two targets have taken their opening.
+/// Guards against unanswered requests whose opening was accepted by two targets.
 #[test]
-fn a_target_whose_last_place_comes_and_goes_costs_no_request() {
+fn a_target_at_its_capacity_limit_loses_no_request() {
     let mut site = site(8, 2);
     site.add_callers(Class::Feed, 16);
     site.add_callers(Class::Request, 12);
--- a/daemon/tests/test_operators.rs
+++ b/daemon/tests/test_operators.rs
@@ -1,4 +1,4 @@
-//! What operators see of running instances.
+//! Tests of the operators' interface of running instances.
 
 use medlarspur_lib::{
     bundle::{Class, SecretKey},
@@ -17,7 +17,7 @@
     time::{Duration, Instant},
 };
 
-/// Far longer than anything here takes on a busy machine.
+/// Timeout of every wait; far longer than needed on a busy machine.
 const LIMIT: Duration = Duration::from_secs(30);
 const PAUSE: Duration = Duration::from_millis(50);
 
@@ -37,7 +37,7 @@
     answer.body_mut().read_to_string().expect("text")
 }
 
-/// The sum of the series that begin with `start`.
+/// Returns the sum of the series that begin with `start`.
 fn metric(operator: SocketAddrV4, start: &str) -> f64 {
     let text = get(operator, "/metrics");
     let series = text.lines().filter(|line| line.starts_with(start));
@@ -47,7 +47,7 @@
 fn await_that(what: &str, holds: impl Fn() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LIMIT, "in vain: {what}");
+        assert!(start.elapsed() < LIMIT, "timeout: {what}");
         thread::sleep(PAUSE);
     }
 }
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn histograms_fill_for_each_service_and_class() {
+fn histograms_have_samples_for_each_service_and_class() {
     let site = site(1);
     let operator = site.instances[0].operator;
     let streams = vec![
@@ -83,8 +83,8 @@
     callers.stop(Duration::ZERO);
 }
 
-/// Somebody publishes a bundle that is signed by a key of another site. The
-/// instances must go on with the one that they have, and say why.
+/// Guards against accepting a bundle that is signed with the key of another site, and against
+/// refusing it without counting the reason.
 #[test]
 fn a_refused_bundle_is_counted_and_the_one_in_force_stays() {
     let mut site = site(2);
@@ -118,7 +118,7 @@
     assert!(one.target.is_some());
 }
 
-/// An operator meets a reason in the metrics that no page explains.
+/// Guards against series and labels that the documentation doesn't describe.
 #[test]
 fn every_series_of_an_instance_is_described() {
     let site = site(1);
--- a/daemon/tests/test_sink.rs
+++ b/daemon/tests/test_sink.rs
@@ -1,4 +1,4 @@
-//! A place for log lines that nobody empties.
+//! Tests of the log sink when its output blocks.
 
 use medlarspur_daemon::sink::LogSink;
 use std::{
@@ -6,7 +6,7 @@
     thread,
 };
 
-/// A pipe that is full for ever.
+/// A pipe that stays full.
 struct Full;
 
 impl Write for Full {
@@ -21,14 +21,14 @@
     }
 }
 
-/// Whoever reads the lines hangs for good. Each thread that logs goes on, and
-/// what found no room is counted.
+/// Guards against blocking the threads that log when the output isn't read. Lines that find
+/// the queue full are counted as lost.
 #[test]
-fn a_sink_that_nobody_empties_loses_lines_and_holds_nobody_up() {
-    let mut sink = LogSink::start(Full).expect("a thread");
+fn a_sink_whose_output_blocks_loses_lines_without_blocking_threads() {
+    let mut sink = LogSink::start(Full).expect("the log thread starts");
 
     for _ in 0..20_000 {
-        sink.write_all(b"a line\n").expect("it never fails");
+        sink.write_all(b"a line\n").expect("writing never fails");
     }
 
     assert!(sink.lost() > 10_000, "{}", sink.lost());
