--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -5,7 +5,7 @@
     marked::{
         inbox::OperatorQuery,
         meters::{self, Histograms, Stats},
-        shown::StatusSource,
+        status::StatusSource,
     },
     sink::LogSink,
 };
--- a/daemon/src/marked/mod.rs
+++ b/daemon/src/marked/mod.rs
@@ -22,7 +22,7 @@
 mod output;
 mod peers;
 pub mod pictures;
-mod shown;
+mod status;
 mod store;
 
 pub use instance::{RunError, run};
