--- a/daemon/src/marked/asker.rs
+++ b/daemon/src/marked/asker.rs
@@ -20,8 +20,8 @@
 /// Stack size of the thread, in bytes: enough for the head of one answer.
 const STACK_SIZE: usize = 64 << 10;
 
-/// Handle of the probing thread, which is started by the first request. Most instances never
-/// have one.
+/// Handle of the probing thread. The first request starts the thread; in most instances there is
+/// none.
 #[derive(Debug)]
 pub struct Prober {
     sender: Sender,
