--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -234,7 +234,7 @@
         state: MemberState::Live,
         addresses,
         version: Version(0),
-        told: 0,
+        advertised: 0,
     }
 }
 
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -206,7 +206,7 @@
             }
             Action::Members(members) => {
                 if let Some(draft) = &mut self.draft {
-                    draft.members(members.clone(), now);
+                    draft.set_members(members.clone(), now);
                 }
                 changes::log_members(&self.members, &members);
                 self.members = members;
@@ -214,7 +214,7 @@
             Action::Plan(plan) => {
                 self.publish_plan(&plan);
                 if let Some(draft) = &mut self.draft {
-                    draft.plan(plan, now);
+                    draft.apply_plan(plan, now);
                 }
             }
             Action::ReadPlatform(reads) => self.reader.set_watching(reads),
@@ -225,7 +225,7 @@
                 self.send_command(Command::Paused);
             }
             Action::Refreshed => log::info!("refreshed=true"),
-            Action::Pass(message) => self.handle_message(now, message),
+            Action::ToForwarder(message) => self.handle_message(now, message),
             Action::HistoryDiffers(peer) => self.request_history(now, peer),
         }
     }
@@ -241,9 +241,9 @@
             Some(draft) => draft.install(&bundle, now),
             None => {
                 let mut draft = Draft::first(self.name.clone(), &bundle, now);
-                draft.members(self.members.clone(), now);
+                draft.set_members(self.members.clone(), now);
                 for plan in self.controller.plans().iter() {
-                    draft.plan(plan.clone(), now);
+                    draft.apply_plan(plan.clone(), now);
                 }
                 self.draft = Some(draft);
             }
@@ -261,7 +261,7 @@
             }
             Message::History(history) => {
                 if let Some(draft) = &mut self.draft {
-                    draft.history(&history, now);
+                    draft.merge_history(&history, now);
                 }
             }
             _ => {}
@@ -311,7 +311,7 @@
         let specs: Vec<_> = draft.view().services.iter().map(|s| s.spec.clone()).collect();
         let mut targets = Vec::new();
         for spec in specs {
-            let is_author = plan::authors(&self.name, &spec.name, self.members.iter());
+            let is_author = plan::is_author(&self.name, &spec.name, self.members.iter());
             for target in &spec.targets {
                 if let Some(address) = target.probe
                     && (is_author || self.is_probing(&target.name))
@@ -327,7 +327,7 @@
     }
 
     fn is_probing(&self, target: &TargetName) -> bool {
-        let peers = self.members.iter().filter(|m| m.domain == self.domain && m.eligible());
+        let peers = self.members.iter().filter(|m| m.domain == self.domain && m.is_eligible());
         is_prober(&self.name, peers.map(|member| &member.name), target)
     }
 
@@ -342,7 +342,7 @@
             self.verdicts.get(name).is_some_and(|verdict| *verdict != Verdict::Healthy)
         };
         let unhealthy = probed.map(|target| target.name.clone()).filter(is_unhealthy).collect();
-        let Some(moves) = planner::evade(spec, &unhealthy) else { return };
+        let Some(moves) = planner::avoid_targets(spec, &unhealthy) else { return };
         let current = self.controller.plans().get(&spec.name);
         if current.map_or(moves.is_empty(), |plan| plan.moves == moves) {
             return;
@@ -375,7 +375,7 @@
 
     fn publish_view(&mut self, now: Millis) {
         let Some(draft) = &mut self.draft else { return };
-        if !self.controller.ready() {
+        if !self.controller.is_ready() {
             return;
         }
         draft.advance(now);
@@ -385,7 +385,7 @@
         if self.shared.stage() == Stage::Starting {
             self.shared.set_stage(Stage::Serving);
         }
-        self.handle_event(now, Event::SetProgress { told: 0, history });
+        self.handle_event(now, Event::SetProgress { advertised: 0, history });
     }
 }
 
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -17,8 +17,8 @@
 use medlarspur_lib::{
     bundle::{Class, Limits, Service, TargetState},
     collections::Map,
-    control::DISTRUST,
-    flows::{Belief, Flow, FlowMap},
+    control::STALE_TIME,
+    flows::{Certainty, Flow, FlowMap},
     forwarder::{Gate, Opening, Verdict as Opened},
     ids::{FlowId, ServiceIx, TargetIx, TargetName},
     members::MemberState,
@@ -92,9 +92,9 @@
 
     /// Must be called after a pause of the process. Closes all leaving targets.
     pub fn resume(&mut self, now: Millis) {
-        self.distrust_until = now + DISTRUST;
+        self.distrust_until = now + STALE_TIME;
         for owner in self.leaving_owners.drain(..) {
-            self.gate.leave(owner.service, owner.target);
+            self.gate.mark_leaving(owner.service, owner.target);
         }
     }
 
@@ -120,7 +120,7 @@
                 self.recorders.insert((ServiceIx(at as u16), port.class), recorder);
             }
             for (position, target) in spec.targets.iter().enumerate() {
-                if let Some(id) = view.registry.named(&spec.name, &target.name) {
+                if let Some(id) = view.registry.find_by_name(&spec.name, &target.name) {
                     self.positions.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
                     self.names.insert(target.name.clone(), id);
                 }
@@ -132,13 +132,13 @@
     pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.told {
-            Some(told) => load::Signal::Told(load::Told {
+            Some(told) => load::Signal::Report(load::Report {
                 healthy: event.verdict == Verdict::Healthy,
                 draining: told.draining,
-                slots: told.slots,
+                work: told.slots,
                 connections: told.connections,
             }),
-            None => load::Signal::Mute,
+            None => load::Signal::NoReport,
         };
         self.report_signal(now, target, signal);
     }
@@ -155,7 +155,7 @@
             owner.revision = service.revision;
             let owns_bucket = owns_bucket(service, owner.id);
             if !owns_bucket {
-                gate.leave(owner.service, owner.target);
+                gate.mark_leaving(owner.service, owner.target);
             }
             owns_bucket
         });
@@ -197,7 +197,7 @@
 
     fn report_signal(&mut self, now: Millis, target: TargetId, signal: load::Signal) {
         if let Some(&(service, target)) = self.positions.get(&target) {
-            self.gate.seen(now, service, target, signal);
+            self.gate.record_signal(now, service, target, signal);
         }
     }
 }
@@ -217,45 +217,45 @@
     }
 
     fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Opened)>) {
-        self.gate.due(now, &mut self.decided);
+        self.gate.collect_verdicts(now, &mut self.decided);
         for (flow, verdict) in std::mem::take(&mut self.decided) {
             self.record_wait(now, flow, verdict);
             decided.push((flow, convert_verdict(verdict)));
         }
     }
 
-    fn after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
+    fn retry_after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
         let position = target.and_then(|target| self.positions.get(&target));
         let wait = position.and_then(|(service, _)| self.retry_after.get(usize::from(service.0)));
         wait.copied().unwrap_or(DEFAULT_RETRY_AFTER)
     }
 
-    fn followed(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
+    fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
             recorder.handshake(to_duration(after));
         }
-        self.report_signal(now, target, load::Signal::Followed { after: Some(after) });
+        self.report_signal(now, target, load::Signal::Established { after: Some(after) });
     }
 
-    fn aborted(&mut self, now: Millis, target: TargetId) {
+    fn on_abort(&mut self, now: Millis, target: TargetId) {
         self.report_signal(now, target, load::Signal::Reset);
     }
 
-    fn closed(&mut self, now: Millis, id: FlowId, flow: &Flow) {
+    fn on_close(&mut self, now: Millis, id: FlowId, flow: &Flow) {
         // A flow's packets may pass through any instance; only the one that opened the
         // flow knows its duration.
-        if flow.belief == Belief::Opened
+        if flow.certainty == Certainty::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
             recorder.length(to_duration(flow.age(now)));
         }
         if let Some(&(service, target)) = self.positions.get(&flow.target) {
             let closing = load::Closing { flow: id, service, class: flow.class, target };
-            self.gate.closed(now, &closing);
+            self.gate.record_closing(now, &closing);
         }
     }
 
-    fn follow(&mut self, view: &View, now: Millis) {
+    fn set_view(&mut self, view: &View, now: Millis) {
         let live = view.members.iter().filter(|member| member.state == MemberState::Live).count();
         self.gate.set_instances(live.max(1) as u16);
         if self.version != Some(view.bundle.version) {
@@ -278,7 +278,7 @@
             if target.state == TargetState::Active {
                 continue;
             }
-            let id = view.registry.named(&service.spec.name, &target.name);
+            let id = view.registry.find_by_name(&service.spec.name, &target.name);
             if let Some(id) = id.filter(|id| owns_bucket(service, *id)) {
                 owners.push(LeavingOwner {
                     service: ServiceIx(at as u16),
@@ -322,17 +322,17 @@
     }
 }
 
-fn service_load(spec: &Service) -> load::ServiceLoad {
-    let targets = spec.targets.iter().map(|target| load::TargetLoad {
+fn service_load(spec: &Service) -> load::ServiceSpec {
+    let targets = spec.targets.iter().map(|target| load::TargetSpec {
         name: target.name.clone(),
         slots: target.slots,
         connections: target.connections,
         weight: target.weight,
         state: target.state,
     });
-    load::ServiceLoad {
+    load::ServiceSpec {
         name: spec.name.clone(),
-        requests: spec.ports.iter().any(|port| port.class == Class::Request),
+        has_requests: spec.ports.iter().any(|port| port.class == Class::Request),
         balance: spec.balance,
         targets: targets.collect(),
     }
--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -95,7 +95,7 @@
             if elapsed >= MAX_DRAIN_TIME
                 || elapsed >= MIN_DRAIN_TIME
                     && now.since(last_packet) >= IDLE_TIME
-                    && self.shared.keepers_updated.load(Relaxed)
+                    && self.shared.advertised_all.load(Relaxed)
             {
                 break;
             }
--- a/daemon/src/marked/asker.rs
+++ b/daemon/src/marked/asker.rs
@@ -7,7 +7,7 @@
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::poll_until;
 use medlarspur_lib::{collections::Set, ids::TargetName};
-use medlarspur_marked::{Finding, Incarnation, Target};
+use medlarspur_marked::{Incarnation, ProbeResult, Target};
 use medlarspur_platform::site::health::Question;
 use nix::poll::{PollFd, PollFlags};
 use std::{collections::VecDeque, io, net::SocketAddrV4, thread, time::Instant};
@@ -154,7 +154,7 @@
         }
     }
 
-    fn report(&mut self, incarnation: Incarnation, result: Finding) {
+    fn report(&mut self, incarnation: Incarnation, result: ProbeResult) {
         self.pending.remove(&incarnation);
         if self.sender.send(Event::Probed(incarnation, result)) == Delivery::Full {
             log::warn!("ask: probe result of {incarnation} lost, the inbox is full");
--- a/daemon/src/marked/inbox.rs
+++ b/daemon/src/marked/inbox.rs
@@ -2,7 +2,7 @@
 
 use super::pictures::Command;
 use medlarspur_lib::status::{MarkedExplanation, MarkedStatus};
-use medlarspur_marked::{Finding, FlowKey, Incarnation, News, Revision};
+use medlarspur_marked::{FlowKey, Incarnation, ProbeResult, Revision, Update};
 use nix::{
     errno::Errno,
     fcntl::OFlag,
@@ -29,7 +29,7 @@
     /// An update was read from the store, possibly without changes.
     StoreRead {
         /// The update.
-        update: News,
+        update: Update,
         /// Whether the store is in an earlier era than was known.
         fell_back: bool,
     },
@@ -40,7 +40,7 @@
         /// The instance that sent it.
         from: SocketAddrV4,
         /// The update.
-        update: News,
+        update: Update,
     },
     /// Another instance requests the changes since a revision.
     PullRequested {
@@ -52,7 +52,7 @@
     /// A pull from this instance failed.
     PullFailed(SocketAddrV4),
     /// A target's probe has ended with this result.
-    Probed(Incarnation, Finding),
+    Probed(Incarnation, ProbeResult),
     /// An operator's query.
     Operator(OperatorQuery),
 }
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -20,7 +20,7 @@
     settings::MarkedSettings,
     time::Millis,
 };
-use medlarspur_marked::{Fleet, Forwarder, News, Tuning};
+use medlarspur_marked::{Fleet, Forwarder, Tuning, Update};
 use medlarspur_operator::MetersError;
 use medlarspur_platform::site::{packet, ready};
 use report::Metrics;
@@ -340,7 +340,7 @@
                     }
                 }
                 Event::PullRequested { known, reply } => {
-                    let update = self.forwarder.catalog().since(known, now);
+                    let update = self.forwarder.catalog().update_since(known, now);
                     if reply.send(Command::Send(known, update)) != Delivery::Queued {
                         log::debug!("peers: answer to a pull dropped, the queue is full");
                     }
@@ -349,8 +349,8 @@
                     let known = self.forwarder.revision();
                     self.with_fleet(|fleet, _| fleet.pull_failed(from, known, now));
                 }
-                Event::Probed(target, finding) => {
-                    self.forwarder.answer(target, finding, now, &mut self.output);
+                Event::Probed(target, result) => {
+                    self.forwarder.answer(target, result, now, &mut self.output);
                 }
                 Event::Operator(query) => self.answer_operator(query, now),
             }
@@ -362,12 +362,12 @@
     /// the target should be known by then.
     fn catch_up(&mut self) {
         match &mut self.peers {
-            Some(peers) if !peers.fleet.is_reading() => peers.fleet.suspect_lack(),
+            Some(peers) if !peers.fleet.is_reading() => peers.fleet.catch_up(),
             _ => self.store_reader.wake(),
         }
     }
 
-    fn apply_update(&mut self, update: News, now: Millis) {
+    fn apply_update(&mut self, update: Update, now: Millis) {
         self.forwarder.learn(update, now, &mut self.output);
     }
 
@@ -388,13 +388,13 @@
                 self.forwarder.learn(update, now, &mut self.output);
             }
         }
-        self.forwarder.set_near(fleet.near());
+        self.forwarder.set_near(fleet.domain_size());
         self.forwarder.set_cut_off(fleet.is_cut_off(now));
         self.forwarder.set_seat(fleet.seat(now));
         let known = self.forwarder.revision();
         fleet.tick(self.forwarder.catalog(), now);
-        if let Some(from) = fleet.pull(known, now) {
-            exchange.pull(from, self.forwarder.catalog().basis());
+        if let Some(from) = fleet.take_pull(known, now) {
+            exchange.pull(from, self.forwarder.catalog().pull_base());
         }
         match fleet.is_reading() {
             true => self.store_reader.unpause(known),
--- a/daemon/src/marked/lines.rs
+++ b/daemon/src/marked/lines.rs
@@ -1,7 +1,7 @@
 //! Rate-limited log of the forwarder's decisions.
 
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
-use medlarspur_load::lines::{Budget, Verdict};
+use medlarspur_load::lines::{LineBudget, LineVerdict};
 use medlarspur_marked::{Incarnation, Note, NoteKind, Revision};
 use std::fmt;
 
@@ -25,14 +25,14 @@
 /// Log of decisions, with a rate limit for each kind of line.
 #[derive(Debug)]
 pub struct DecisionLog {
-    budgets: [Budget; NoteKind::ALL.len()],
+    budgets: [LineBudget; NoteKind::ALL.len()],
     names: Map<Incarnation, TargetName>,
 }
 
 impl DecisionLog {
     /// Creates a log with full budgets.
     pub fn new(now: Millis) -> DecisionLog {
-        DecisionLog { budgets: [Budget::new(now); NoteKind::ALL.len()], names: Map::default() }
+        DecisionLog { budgets: [LineBudget::new(now); NoteKind::ALL.len()], names: Map::default() }
     }
 
     /// Logs a note, unless the budget of its kind is exhausted.
@@ -41,7 +41,7 @@
             self.remember_name(*target, name);
         }
         let kind = note.kind();
-        let Verdict::Write { left_out } = self.budgets[kind as usize].take(now) else { return };
+        let LineVerdict::Write { left_out } = self.budgets[kind as usize].take(now) else { return };
         if left_out > 0 {
             log::warn!(target: TARGET, kind = kind.name(), count = left_out; "lines left out");
         }
--- a/daemon/src/marked/pictures.rs
+++ b/daemon/src/marked/pictures.rs
@@ -13,7 +13,7 @@
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::{connect, is_decided, poll_until};
 use medlarspur_marked::{
-    News, Revision,
+    Revision, Update,
     message::{self, MessageError},
 };
 use nix::poll::{PollFd, PollFlags};
@@ -68,7 +68,7 @@
     /// Pull the changes since a revision from this instance.
     Pull(SocketAddrV4, Revision),
     /// Send this update to all requesters that wait for the changes since a revision.
-    Send(Revision, News),
+    Send(Revision, Update),
 }
 
 /// Handle of the thread.
@@ -207,10 +207,10 @@
 
     /// Begins to send the update to all requesters that wait for it. An instance that knows nothing
     /// yet closes their connections instead.
-    fn send_update(&mut self, since: Revision, update: &News, now: Instant) {
+    fn send_update(&mut self, since: Revision, update: &Update, now: Instant) {
         self.requested = None;
         let encoded = match update.revision > Revision::default() {
-            true => message::encode_news(update).context(MessageSnafu),
+            true => message::encode_update(update).context(MessageSnafu),
             false => Ok(Vec::new()),
         };
         let bytes: Arc<[u8]> = match encoded {
@@ -367,7 +367,7 @@
     }
 
     /// Makes progress without blocking. Returns the update when it is complete.
-    fn advance(&mut self, now: Instant) -> Result<Option<News>, TransferError> {
+    fn advance(&mut self, now: Instant) -> Result<Option<Update>, TransferError> {
         if let Some(known) = self.known {
             if is_decided(&self.stream) {
                 if let Some(error) = self.stream.take_error().context(ConnectionSnafu)? {
@@ -383,7 +383,7 @@
         if let Response::Snapshot { bytes, filled } = &self.response
             && *filled == bytes.len()
         {
-            return message::decode_news(bytes).context(MessageSnafu).map(Some);
+            return message::decode_update(bytes).context(MessageSnafu).map(Some);
         }
         ensure!(now < self.deadline, StalledSnafu);
         Ok(None)
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -141,7 +141,7 @@
 
     fn resume(&mut self, now: Millis) {
         self.forwarder.wake(now);
-        self.forwarder.gate().resume(now);
+        self.forwarder.gate_mut().resume(now);
     }
 
     fn install_view(&mut self, now: Millis) {
@@ -161,9 +161,9 @@
     fn handle_commands(&mut self, now: Millis) {
         while let Ok(command) = self.commands.pop() {
             match command {
-                Command::Advert(advert) => self.forwarder.advert(now, &advert),
+                Command::Advert(advert) => self.forwarder.handle_advert(now, &advert),
                 Command::Paused => self.resume(now),
-                Command::Probed(event) => self.forwarder.gate().record_probe(now, &event),
+                Command::Probed(event) => self.forwarder.gate_mut().record_probe(now, &event),
             }
         }
         while let Ok(query) = self.queries.try_recv() {
@@ -207,9 +207,9 @@
         for received in batch.iter() {
             match Datagram::decode(received.bytes, &self.secret) {
                 Ok(datagram) => {
-                    self.forwarder.datagram(now, received.from, datagram, &mut self.outbox);
+                    self.forwarder.handle_datagram(now, received.from, datagram, &mut self.outbox);
                 }
-                Err(error) => self.forwarder.refuse_datagram(error),
+                Err(error) => self.forwarder.count_refused_datagram(error),
             }
         }
         Ok(())
@@ -221,7 +221,7 @@
             self.sampler.begin(now, first.bytes, self.forwarder.view());
         }
         for received in batch.iter() {
-            self.forwarder.packet(now, received.bytes, &mut self.outbox);
+            self.forwarder.handle_packet(now, received.bytes, &mut self.outbox);
         }
         Ok(received)
     }
@@ -231,7 +231,7 @@
             return;
         }
         self.last_published = now;
-        shared.keepers_updated.store(self.forwarder.has_told(), Relaxed);
+        shared.advertised_all.store(self.forwarder.has_advertised_all(), Relaxed);
         shared.counters.store(Arc::new(self.forwarder.counters().clone()));
         shared.fabric.store(Arc::new(self.fabric.counts()));
         shared.questions.store(Arc::new(self.questions.counts()));
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -110,7 +110,7 @@
     /// The instance's incarnation.
     pub incarnation: AtomicU64,
     /// Whether the keepers have been sent all flows; written by the packet thread.
-    pub keepers_updated: AtomicBool,
+    pub advertised_all: AtomicBool,
     /// Number of known flows; written by the packet thread.
     pub flows: AtomicU64,
     /// Time of the last packet, in milliseconds; written by the packet thread.
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -43,14 +43,14 @@
 fn follow(draft: &mut Draft, gate: &mut LoadGate, now: Millis) -> Arc<View> {
     draft.advance(now);
     let view = draft.commit().expect("the view has changed");
-    gate.follow(&view, now);
+    gate.set_view(&view, now);
     view
 }
 
 /// Returns the verdict on an opening of the flow numbered `flow` at the second target.
 fn open(gate: &mut LoadGate, view: &View, now: Millis, flow: u64) -> Verdict {
     let service = &view.services[0].spec;
-    let target = view.registry.named(&service.name, &TargetName::new("alert-2"));
+    let target = view.registry.find_by_name(&service.name, &TargetName::new("alert-2"));
     let target = target.expect("a target of the bundle");
     let caller = Ipv4Addr::new(10, 64, 0, 1);
     let opening = Opening { flow: FlowId(flow), caller, class: Class::Request, target };
@@ -64,7 +64,7 @@
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("the view has changed");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
 
     let before = open(&mut gate, &pending, START, 1);
     let carried = START + PENDING_LIMIT;
@@ -97,7 +97,7 @@
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("the view has changed");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
 
     draft.install(&bundle(3, "active"), START);
     let view = follow(&mut draft, &mut gate, START + PENDING_LIMIT);
@@ -114,7 +114,7 @@
     gate.resume(START);
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("the view has changed");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
 
     let verdict = open(&mut gate, &pending, START, 1);
 
@@ -129,7 +129,7 @@
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("the view has changed");
-    gate.follow(&pending, START);
+    gate.set_view(&pending, START);
     let awake = START + Millis::secs(8);
 
     gate.resume(awake);
--- a/daemon/tests/test_marked_asker.rs
+++ b/daemon/tests/test_marked_asker.rs
@@ -8,7 +8,7 @@
     ids::{DomainName, ServiceName, TargetName},
     time::Millis,
 };
-use medlarspur_marked::{Finding, Incarnation, Start, Target};
+use medlarspur_marked::{Incarnation, ProbeResult, Start, Target};
 use nix::{
     poll::{PollFd, PollFlags, PollTimeout, poll},
     sys::socket::{
@@ -92,8 +92,8 @@
                 let mut fds = [PollFd::new(inbox.wake_fd(), PollFlags::POLLIN)];
                 poll(&mut fds, PollTimeout::from(2_000_u16)).expect("polling works");
                 for event in inbox.drain() {
-                    let Event::Probed(incarnation, finding) = event else { panic!("{event:?}") };
-                    assert_eq!(finding, Finding::Silent);
+                    let Event::Probed(incarnation, result) = event else { panic!("{event:?}") };
+                    assert_eq!(result, ProbeResult::Silent);
                     found.insert(incarnation);
                 }
                 most_threads = most_threads.max(threads());
--- a/daemon/tests/test_marked_pictures.rs
+++ b/daemon/tests/test_marked_pictures.rs
@@ -4,7 +4,7 @@
     inbox::{self, Event, Inbox},
     pictures::{Command, MAX_TRANSFERS, UpdateExchange},
 };
-use medlarspur_marked::{News, Revision, Scope};
+use medlarspur_marked::{Revision, Scope, Update};
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use std::{
     collections::BTreeSet,
@@ -39,8 +39,8 @@
     inbox.drain().collect()
 }
 
-fn update(revision: u64) -> News {
-    News::new(Revision::new(0, revision), Scope::All, Vec::new())
+fn update(revision: u64) -> Update {
+    Update::new(Revision::new(0, revision), Scope::Snapshot, Vec::new())
 }
 
 /// Answers requests to the main thread with an update of that revision.
--- a/load/examples/measure/cost.rs
+++ b/load/examples/measure/cost.rs
@@ -1,4 +1,4 @@
-//! How long a decision takes and what state it costs, on this machine.
+//! Measures the time of a decision and the cost of its state, on this machine.
 
 use crate::model::site;
 use medlarspur_lib::{
@@ -6,13 +6,13 @@
     ids::{FlowId, ServiceIx, ServiceName, TargetIx},
     time::Millis,
 };
-use medlarspur_load::{Closing, Gate, Opening, ServiceLoad, Settings, random::Random};
+use medlarspur_load::{Closing, Gate, Opening, ServiceSpec, Settings, random::Random};
 use std::{hint::black_box, net::Ipv4Addr, time::Instant};
 
 /// Openings of one measurement: 100 s of 10,000 a second.
 const OPENINGS: u64 = 1_000_000;
 
-/// Prints nanoseconds for an opening, for its repetition and for an end.
+/// Prints nanoseconds for an opening, its repetition and an end.
 pub fn print() {
     let mut gate = Gate::new(Settings::default(), 1);
     gate.set_instances(8);
@@ -28,12 +28,12 @@
         black_box(gate.open(Millis(OPENINGS / 10), opening));
     });
     let due = time(&openings, |now, _| {
-        gate.due(now + Millis(OPENINGS / 10), &mut out);
+        gate.collect_verdicts(now + Millis(OPENINGS / 10), &mut out);
         out.clear();
     });
     let end = time(last, |now, opening| {
         let Opening { flow, service, class, target, .. } = *opening;
-        gate.closed(now, &Closing { flow, service, class, target });
+        gate.record_closing(now, &Closing { flow, service, class, target });
     });
     let (install, tick) = fleet();
     println!("\n| step | ns |\n|---|---|");
@@ -45,8 +45,8 @@
     println!("| renew the weights of 3,400 services, once a second | {tick:.0} |");
 }
 
-/// Time to take over a bundle and to renew all weights at the target size:
-/// 3,400 services with 5,600 targets.
+/// Returns the time to install a bundle and to update all weights at the target size: 3,400
+/// services with 5,600 targets.
 fn fleet() -> (f64, f64) {
     let mut gate = Gate::new(Settings::default(), 1);
     let services = || (0..3_400).map(fleet_service).collect();
@@ -56,14 +56,14 @@
     gate.set_services(Millis(1), next);
     let install = start.elapsed().as_nanos() as f64;
     let start = Instant::now();
-    gate.due(Millis(1), &mut Vec::new());
+    gate.collect_verdicts(Millis(1), &mut Vec::new());
     (install, start.elapsed().as_nanos() as f64)
 }
 
-fn fleet_service(number: usize) -> ServiceLoad {
+fn fleet_service(number: usize) -> ServiceSpec {
     let hosts = if number.is_multiple_of(3) { 1 } else { 2 };
     let service = site::Site { hosts, ..site::ingest() }.service(true);
-    ServiceLoad { name: ServiceName::new(&format!("service-{number}")), ..service }
+    ServiceSpec { name: ServiceName::new(&format!("service-{number}")), ..service }
 }
 
 fn opening(random: &mut Random) -> Opening {
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -5,16 +5,16 @@
     time::Millis,
 };
 use medlarspur_load::{
-    Closing, Gate, Opening, ServiceLoad, Settings, Signal, TargetLoad, Told, Verdict, placement,
-    retry::{Decision, Memory},
+    Closing, Gate, Opening, Report, ServiceSpec, Settings, Signal, TargetSpec, Verdict, placement,
+    retry::{Decision, DecisionCache},
 };
 use proptest::prelude::*;
 use std::net::Ipv4Addr;
 
 const TARGETS: u16 = 4;
 
-fn service(leaving: Option<u16>) -> ServiceLoad {
-    let target = |n| TargetLoad {
+fn service(leaving: Option<u16>) -> ServiceSpec {
+    let target = |n| TargetSpec {
         name: TargetName::new(&format!("t{n}")),
         slots: 2,
         connections: 20,
@@ -22,7 +22,7 @@
         state: if leaving == Some(n) { TargetState::Leaving } else { TargetState::Active },
     };
     let targets = (0..TARGETS).map(target).collect();
-    ServiceLoad { name: ServiceName::new("s"), requests: true, balance: 50, targets }
+    ServiceSpec { name: ServiceName::new("s"), has_requests: true, balance: 50, targets }
 }
 
 fn class() -> impl Strategy<Value = Class> {
@@ -37,7 +37,7 @@
 enum Step {
     Open(u64, Class, u16),
     Close(u64, Class, u16),
-    Told(u16, u32, u32, bool),
+    Report(u16, u32, u32, bool),
     Leave(Option<u16>),
     Pass(u64),
 }
@@ -48,7 +48,7 @@
         8 => (0..200u64, class(), target()).prop_map(|(f, c, t)| Step::Open(f, c, t)),
         3 => (0..200u64, class(), target()).prop_map(|(f, c, t)| Step::Close(f, c, t)),
         1 => (target(), 0..100u32, 0..100u32, any::<bool>())
-            .prop_map(|(t, s, c, d)| Step::Told(t, s, c, d)),
+            .prop_map(|(t, s, c, d)| Step::Report(t, s, c, d)),
         1 => proptest::option::of(target()).prop_map(Step::Leave),
         4 => (0..2_000u64).prop_map(Step::Pass),
     ]
@@ -57,17 +57,16 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Instances forget nothing that a caller was told: while a decision is
-    /// remembered, a repeated opening gets the same one, whoever waits gets one
-    /// final verdict by the promised time, and a leaving target gets nothing
-    /// new. Otherwise a caller hears *not run* of work that runs, or nothing.
+    /// While a decision is stored, a repeated opening gets the same one; a waiting opening
+    /// gets one final verdict by the promised time; and a leaving target gets nothing new.
+    /// Otherwise a caller is told *not run* about work that runs, or gets no answer.
     #[test]
-    fn every_opening_gets_one_lasting_answer(steps in proptest::collection::vec(step(), 1..300)) {
+    fn every_opening_gets_one_lasting_verdict(steps in proptest::collection::vec(step(), 1..300)) {
         let mut gate = Gate::new(Settings::default(), 1);
         let mut now = Millis(0);
         let mut waiting: Map<FlowId, Millis> = Map::default();
         let mut refused: Map<FlowId, Millis> = Map::default();
-        let mut left = None;
+        let mut leaving = None;
         gate.set_instances(2);
         gate.set_services(now, vec![service(None)]);
         for step in steps {
@@ -87,7 +86,7 @@
                     if refused.get(&flow).is_some_and(|&until| now < until) {
                         prop_assert!(is_refusal(verdict));
                     }
-                    if left == Some(target) && !again {
+                    if leaving == Some(target) && !again {
                         prop_assert!(is_refusal(verdict));
                     }
                     match verdict {
@@ -104,16 +103,16 @@
                 Step::Close(flow, class, target) => {
                     let flow = FlowId(flow);
                     let closing = Closing { flow, service: ServiceIx(0), class, target: TargetIx(target) };
-                    gate.closed(now, &closing);
+                    gate.record_closing(now, &closing);
                     waiting.remove(&flow);
                     refused.remove(&flow);
                 }
-                Step::Told(target, slots, connections, draining) => {
-                    let told = Told { healthy: true, draining, slots, connections };
-                    gate.seen(now, ServiceIx(0), TargetIx(target), Signal::Told(told));
+                Step::Report(target, work, connections, draining) => {
+                    let report = Report { healthy: true, draining, work, connections };
+                    gate.record_signal(now, ServiceIx(0), TargetIx(target), Signal::Report(report));
                 }
                 Step::Leave(target) => {
-                    left = target;
+                    leaving = target;
                     gate.set_services(now, vec![service(target)]);
                 }
                 Step::Pass(span) => {
@@ -121,7 +120,7 @@
                     while now < end {
                         now = now + Millis(1);
                         let mut out = Vec::new();
-                        gate.due(now, &mut out);
+                        gate.collect_verdicts(now, &mut out);
                         for (flow, verdict) in out {
                             prop_assert!(waiting.remove(&flow).is_some(), "one final verdict");
                             if let Verdict::Refuse { after } = verdict {
@@ -131,8 +130,8 @@
                     }
                     prop_assert!(waiting.values().all(|&until| until > now), "in time");
                     let weights = gate.weights(ServiceIx(0));
-                    prop_assert!(weights.iter().all(|&w| w <= placement::FULL));
-                    if let Some(target) = left {
+                    prop_assert!(weights.iter().all(|&w| w <= placement::FULL_WEIGHT));
+                    if let Some(target) = leaving {
                         prop_assert!(span < 1_001 || weights[usize::from(target)] == 0);
                     }
                 }
@@ -140,14 +139,14 @@
         }
     }
 
-    /// The memory stays bounded whatever comes, or a flood of openings takes
-    /// the instance down.
+    /// The cache stays bounded for any input. Otherwise a flood of openings would take the
+    /// instance down.
     #[test]
-    fn memory_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
-        let mut memory = Memory::default();
+    fn decision_cache_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
+        let mut cache = DecisionCache::default();
         for (at, &flow) in flows.iter().enumerate() {
-            memory.keep(Millis(at as u64 * 200), FlowId(flow), Decision::Admitted(Millis(0)));
+            cache.insert(Millis(at as u64 * 200), FlowId(flow), Decision::Admitted(Millis(0)));
         }
-        prop_assert!(memory.len() <= 2 * 64_000 / 200 + 2);
+        prop_assert!(cache.len() <= 2 * 64_000 / 200 + 2);
     }
 }
--- a/marked/src/forwarder/full.rs
+++ b/marked/src/forwarder/full.rs
@@ -11,7 +11,7 @@
 //! were weighed are in `docs/design/full.md`.
 
 use super::{Forwarder, Output, State};
-use crate::{Entry, Finding, Incarnation, Note};
+use crate::{Entry, Incarnation, Note, ProbeResult};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
@@ -53,10 +53,10 @@
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        state.health.see_taken(now);
+        state.health.record_accepted(now);
         state.refused = 0;
         state.unsure = false;
-        if state.vacancy.take(class) {
+        if state.vacancy.record_accepted(class) {
             self.free(target, out);
         }
     }
@@ -64,7 +64,7 @@
     /// A flow has ended there.
     pub(super) fn see_end(&mut self, target: Incarnation, class: Class) {
         if let Some(state) = self.states.get_mut(&target) {
-            state.vacancy.leave(class);
+            state.vacancy.record_flow_end(class);
         }
     }
 
@@ -73,7 +73,7 @@
         self.see_life(target, now, out);
         let Some(state) = self.states.get_mut(&target) else { return };
         state.check = None;
-        state.vacancy.answer();
+        state.vacancy.record_probe_answer();
         if state.vacancy.is_full() && !state.declined {
             // Nothing but silence spoke of it: it was cut off or late, and is there again.
             state.vacancy = Vacancy::default();
@@ -104,10 +104,10 @@
     ) -> bool {
         let Some(state) = self.states.get(&target) else { return false };
         let health = &state.health;
-        let is_passed = self.heard.answered_since(since) && health.taken() < since;
+        let is_passed = self.heard.answered_since(since) && health.last_accepted() < since;
         let is_full = match state.vacancy.is_full() {
             true => is_passed || now.since(since) >= FULL_PATIENCE,
-            false => is_passed && state.refused >= UNANSWERED && health.life() > since,
+            false => is_passed && state.refused >= UNANSWERED && health.last_alive() > since,
         };
         if is_full {
             if let Some(state) = self.states.get_mut(&target) {
@@ -139,11 +139,11 @@
         let Some(entry) = self.catalog.entry(target) else { return };
         let Some(state) = self.states.get(&target) else { return };
         let health = state.health;
-        let is_heard = health.asked().is_some_and(|asked| health.life() > asked);
-        let is_taken = health.asked().is_some_and(|asked| health.taken() > asked);
+        let is_heard = health.last_probe().is_some_and(|asked| health.last_alive() > asked);
+        let is_taken = health.last_probe().is_some_and(|asked| health.last_accepted() > asked);
         if health.is_lost() || !is_heard && !entry.is_listed() {
             // Its entry went too, which no full target's does.
-            return self.find_lost(target, Finding::Silent, now, out);
+            return self.find_lost(target, ProbeResult::Silent, now, out);
         }
         if is_taken || is_heard && !state.is_declining() {
             return;
@@ -158,13 +158,14 @@
     /// Has new flows leave a target.
     fn fill(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let Some(state) = self.states.get_mut(&target) else { return };
-        let is_new = state.vacancy.refuse(now);
+        let is_new = state.vacancy.record_unanswered(now);
         let health = state.health;
         if is_new && !self.full.contains(&target) {
             self.full.push(target);
             self.counts.filled += 1;
             let flows = self.flows.values().filter(|flow| flow.target == target).count();
-            let (taken, silent) = (now.since(health.taken()), now.since(health.life()));
+            let (taken, silent) =
+                (now.since(health.last_accepted()), now.since(health.last_alive()));
             out.note(Note::Full { target, taken, silent, flows });
         }
         self.move_all_openings(target, now, out);
@@ -175,7 +176,7 @@
     pub(super) fn watch(&mut self, target: Incarnation, sent: Millis, now: Millis) {
         let Some(limit) = self.silence(target) else { return };
         let Some(state) = self.states.get_mut(&target).filter(|state| state.silent) else { return };
-        let due = now.max(sent.max(state.health.life()) + limit);
+        let due = now.max(sent.max(state.health.last_alive()) + limit);
         state.check = Some(state.check.map_or(due, |check| check.min(due)));
     }
 
@@ -198,12 +199,12 @@
             return;
         }
         let flows = self.flows.values().filter(|flow| flow.target == target);
-        let life = state.health.life();
+        let life = state.health.last_alive();
         let Some(since) = flows.filter_map(|flow| Some(flow.unanswered()?.max(life))).min() else {
             return;
         };
         if now.since(since) >= limit {
-            return self.find_lost(target, Finding::Silent, now, out);
+            return self.find_lost(target, ProbeResult::Silent, now, out);
         }
         state.check = Some(since + limit);
     }
@@ -223,13 +224,14 @@
         let instances = self.instances();
         let states = &self.states;
         self.full.retain(|it| states.contains_key(it));
-        let is_due = |it: &&Incarnation| states[*it].vacancy.retry().is_some_and(|at| at <= now);
+        let is_due =
+            |it: &&Incarnation| states[*it].vacancy.next_probe().is_some_and(|at| at <= now);
         let due: Vec<Incarnation> = self.full.iter().filter(is_due).copied().collect();
         for target in due {
             if self.may_have_room(target) {
                 self.ask(target, now, out);
             } else if let Some(state) = self.states.get_mut(&target) {
-                state.vacancy.ask(now, instances);
+                state.vacancy.record_probe(now, instances);
             }
         }
     }
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -116,7 +116,7 @@
 
     let service = site.bundle().services[0].clone();
     let bad = [TargetName::new("alertdesk-5")].into_iter().collect();
-    let moves = planner::evade(&service, &bad).expect("one target is not most");
+    let moves = planner::avoid_targets(&service, &bad).expect("one target is not most");
     fleet.plan(&ServicePlan {
         service: service.name.clone(),
         sequence: 1,
@@ -285,7 +285,7 @@
     fleet.advance(Millis::secs(1));
 
     assert!(fleet.packets.is_empty());
-    assert_eq!(fleet.nodes[0].forwarder.counters().loaded, 1);
+    assert_eq!(fleet.nodes[0].forwarder.counters().syn_with_data, 1);
 }
 
 /// A target left some minutes ago and nothing has changed since. The feeds that
