--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -222,7 +222,7 @@
             Action::Ready => log::info!("ready=true"),
             Action::Slept { gap } => {
                 log::warn!("slept_ms={gap}");
-                self.send_command(Command::Paused);
+                self.send_command(Command::Slept);
             }
             Action::Refreshed => log::info!("refreshed=true"),
             Action::ToForwarder(message) => self.handle_message(now, message),
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -8,10 +8,10 @@
 //! it leaves, callers would be turned away during every planned change although other
 //! targets have capacity.
 //!
-//! An instance whose process was paused may learn of a bundle long after the others.
-//! It has still to wait before it carries out the moves, but the others already have, and
-//! the leaving target may stop at any moment and cut the flows placed there. So until its
-//! view is up to date again, it refuses new flows at each target that the bundle marks as
+//! An instance whose process slept may learn of a bundle long after the others. It would
+//! still wait before it carries out the moves. But the others have already done so, and the
+//! leaving target may stop at any moment and cut the flows placed there. So while the view
+//! may be stale, the instance refuses new flows at each target that the bundle marks as
 //! leaving.
 
 use medlarspur_lib::{
@@ -66,9 +66,8 @@
     retry_after: Vec<Millis>,
     decided: Vec<(FlowId, load::Verdict)>,
     version: Option<medlarspur_lib::ids::Version>,
-    /// Time until which this instance, after a pause of its process, may lag behind the
-    /// others.
-    distrust_until: Millis,
+    /// Time until which the view may be stale after a sleep of the process.
+    stale_until: Millis,
 }
 
 impl LoadGate {
@@ -86,13 +85,13 @@
             retry_after: Vec::new(),
             decided: Vec::new(),
             version: None,
-            distrust_until: Millis(0),
+            stale_until: Millis(0),
         }
     }
 
-    /// Must be called after a pause of the process. Closes all leaving targets.
-    pub fn resume(&mut self, now: Millis) {
-        self.distrust_until = now + STALE_TIME;
+    /// Closes all leaving targets after a sleep of the process.
+    pub fn wake(&mut self, now: Millis) {
+        self.stale_until = now + STALE_TIME;
         for owner in self.leaving_owners.drain(..) {
             self.gate.mark_leaving(owner.service, owner.target);
         }
@@ -101,9 +100,9 @@
     fn install_bundle(&mut self, view: &View, now: Millis) {
         self.gate.set_settings(load_settings(&view.bundle.limits));
         let mut services: Vec<_> =
-            view.bundle.services.iter().map(|spec| service_load(spec)).collect();
+            view.bundle.services.iter().map(|spec| service_spec(spec)).collect();
         self.leaving_owners =
-            if now < self.distrust_until { Vec::new() } else { find_leaving_owners(view) };
+            if now < self.stale_until { Vec::new() } else { find_leaving_owners(view) };
         for LeavingOwner { service, target, .. } in &self.leaving_owners {
             let service = &mut services[usize::from(service.0)];
             service.targets[usize::from(target.0)].state = TargetState::Active;
@@ -132,11 +131,11 @@
     pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.told {
-            Some(told) => load::Signal::Report(load::Report {
+            Some(report) => load::Signal::Report(load::Report {
                 healthy: event.verdict == Verdict::Healthy,
-                draining: told.draining,
-                work: told.slots,
-                connections: told.connections,
+                draining: report.draining,
+                work: report.slots,
+                connections: report.connections,
             }),
             None => load::Signal::NoReport,
         };
@@ -322,7 +321,7 @@
     }
 }
 
-fn service_load(spec: &Service) -> load::ServiceSpec {
+fn service_spec(spec: &Service) -> load::ServiceSpec {
     let targets = spec.targets.iter().map(|target| load::TargetSpec {
         name: target.name.clone(),
         slots: target.slots,
--- a/daemon/src/life.rs
+++ b/daemon/src/life.rs
@@ -25,8 +25,8 @@
 /// with a delay that an instance leaves, and keeps sending to it until then.
 const IDLE_TIME: Millis = Millis(2_000);
 
-/// Minimum duration of leaving. Peers must learn of it, and keepers must receive the
-/// flows that only this instance knows, before those are lost.
+/// Minimum duration of leaving. Peers must learn of it, and the flows that only this
+/// instance knows must be advertised to their keepers, before they are lost.
 const MIN_DRAIN_TIME: Millis = Millis(3_000);
 
 /// Maximum duration of leaving, even if packets still arrive.
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Serving;
 
-/// Forwards the packets that still arrive and sends its flows to their keepers.
+/// Forwards the packets that still arrive and advertises its exceptions to keepers.
 #[derive(Debug)]
 pub struct Leaving;
 
@@ -84,8 +84,8 @@
 }
 
 impl Lifecycle<Leaving> {
-    /// Waits until packets have stopped arriving and the keepers have received all
-    /// flows, then stops the threads.
+    /// Waits until packets have stopped arriving and all exceptions have been advertised
+    /// to keepers, then stops the threads.
     pub fn drain(self) {
         let started = self.clock.now();
         loop {
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -68,7 +68,7 @@
             full: self.forwarder.count_full(),
             evacuated: self.forwarder.catalog().evacuated().count(),
             omitted: config.map_or(0, |config| config.omitted),
-            clashes: self.forwarder.catalog().collisions(),
+            collisions: self.forwarder.catalog().collisions(),
             ..self.stats
         });
         if metrics.server.is_none() && metrics.due <= now {
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -49,7 +49,7 @@
     /// Number of routes of the config in force that can't be served.
     pub omitted: u32,
     /// Number of targets that were rejected because another one has the same number.
-    pub clashes: u64,
+    pub collisions: u64,
 }
 
 /// The published copy, read by scrapes.
@@ -95,7 +95,7 @@
     (Family::Flows, "reset-target-lost", |it| it.counts.lost),
     (Family::Drops, "unmarked", |it| it.counts.unmarked),
     (Family::Drops, "unknown-mark", |it| it.counts.unknown),
-    (Family::Drops, "record-clash", |it| it.clashes),
+    (Family::Drops, "record-clash", |it| it.collisions),
     (Family::Drops, "oversize", |it| it.wire.oversize),
     (Family::Drops, "empty", |it| it.wire.empty),
     (Family::Drops, "send-full", |it| it.wire.full),
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -28,9 +28,9 @@
 /// Interval at which counters are published.
 const PUBLISH_INTERVAL: Millis = Millis(250);
 
-/// Gap between two rounds from which the process is considered to have been paused. A
-/// busy machine delays a round by tens of milliseconds only.
-const PAUSE_THRESHOLD: Millis = Millis(500);
+/// Gap between two rounds from which on the process counts as having slept. A busy machine
+/// delays a round by tens of milliseconds only.
+const SLEEP_GAP: Millis = Millis(500);
 
 /// Number of flows for which the flow table has capacity from the start.
 const INITIAL_FLOWS: usize = 65_536;
@@ -99,7 +99,7 @@
     while !shared.should_stop() {
         wait([thread.fabric.as_fd(), thread.questions.as_fd()], Some(MAX_WAIT))?;
         let now = clock.now();
-        thread.detect_pause(now);
+        thread.detect_sleep(now);
         thread.install_view(now);
         thread.handle_commands(now);
         thread.answer_peers(now, &mut batch)?;
@@ -131,17 +131,17 @@
 }
 
 impl PacketThread<'_> {
-    fn detect_pause(&mut self, now: Millis) {
-        if now.since(self.last_round) > PAUSE_THRESHOLD {
-            self.resume(now);
+    fn detect_sleep(&mut self, now: Millis) {
+        if now.since(self.last_round) > SLEEP_GAP {
+            self.wake(now);
             log::warn!("slept_ms={}", now.since(self.last_round));
         }
         self.last_round = now;
     }
 
-    fn resume(&mut self, now: Millis) {
+    fn wake(&mut self, now: Millis) {
         self.forwarder.wake(now);
-        self.forwarder.gate_mut().resume(now);
+        self.forwarder.gate_mut().wake(now);
     }
 
     fn install_view(&mut self, now: Millis) {
@@ -162,7 +162,7 @@
         while let Ok(command) = self.commands.pop() {
             match command {
                 Command::Advert(advert) => self.forwarder.handle_advert(now, &advert),
-                Command::Paused => self.resume(now),
+                Command::Slept => self.wake(now),
                 Command::Probed(event) => self.forwarder.gate_mut().record_probe(now, &event),
             }
         }
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -29,8 +29,8 @@
 pub enum Command {
     /// Stores the flows of a peer's advert, for which this instance is a keeper.
     Advert(Advert),
-    /// Reports that the process was paused.
-    Paused,
+    /// Reports that the process slept.
+    Slept,
     /// Reports the result of a target's probe.
     Probed(medlarspur_target::Event),
 }
@@ -76,7 +76,7 @@
     Starting,
     /// Forwards packets.
     Serving,
-    /// Forwards the packets that still arrive and sends its flows to their keepers.
+    /// Forwards the packets that still arrive and advertises its exceptions to keepers.
     Leaving,
     /// Forwards nothing.
     Stopped,
@@ -109,7 +109,8 @@
     pub conflict: AtomicBool,
     /// The instance's incarnation.
     pub incarnation: AtomicU64,
-    /// Whether the keepers have been sent all flows; written by the packet thread.
+    /// Whether all exceptions, which are flows at other targets than the owner of their
+    /// bucket, have been advertised to their keepers; written by the packet thread.
     pub advertised_all: AtomicBool,
     /// Number of known flows; written by the packet thread.
     pub flows: AtomicU64,
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -106,12 +106,12 @@
     assert_eq!(verdict, Verdict::Admit);
 }
 
-/// Guards against opening flows at a leaving target after a pause of the process. The other
+/// Guards against opening flows at a leaving target after a sleep of the process. The other
 /// instances have moved the buckets already, so the target may stop and cut the flows.
 #[test]
-fn after_a_pause_no_flow_is_opened_at_a_leaving_target() {
+fn after_a_sleep_no_flow_is_opened_at_a_leaving_target() {
     let (mut draft, mut gate) = started("active");
-    gate.resume(START);
+    gate.wake(START);
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("the view has changed");
     gate.set_view(&pending, START);
@@ -122,17 +122,17 @@
     assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
 }
 
-/// Guards against the same if the process is paused after it has learned that the target leaves
-/// and before it has carried out the moves.
+/// Guards against the same if the process sleeps after it has learned that the target leaves and
+/// before it has carried out the moves.
 #[test]
-fn after_a_pause_during_a_move_no_flow_is_opened_at_the_old_owner() {
+fn after_a_sleep_during_a_move_no_flow_is_opened_at_the_old_owner() {
     let (mut draft, mut gate) = started("active");
     draft.install(&bundle(2, "leaving"), START);
     let pending = draft.commit().expect("the view has changed");
     gate.set_view(&pending, START);
     let awake = START + Millis::secs(8);
 
-    gate.resume(awake);
+    gate.wake(awake);
     let verdict = open(&mut gate, &pending, awake, 1);
 
     assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
