--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -100,8 +100,8 @@
     }
 }
 
-/// Joins the lines of a text into one. An error report has one line for each cause;
-/// joined, a search of the log finds the causes with the error.
+/// Joins the lines of a text into one. An error report has one line for each cause. On one
+/// line, a search of the log finds the error together with its causes.
 pub fn one_line(text: &str) -> String {
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     lines.collect::<Vec<_>>().join(" ")
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -185,7 +185,7 @@
     /// meanwhile: a caller retransmits a dropped packet only after 200 ms, and the store's
     /// first answer takes some 10 ms.
     fn wait_until_usable(&mut self) -> Result<(), RunError> {
-        let mut dropped = self.clock.now();
+        let mut last_drop = self.clock.now();
         self.handle_messages();
         while !self.forwarder.catalog().is_usable() && !self.should_stop() {
             let now = self.clock.now();
@@ -200,8 +200,8 @@
             self.handle_events();
             self.handle_messages();
             let now = self.clock.now();
-            if now.since(dropped) >= DROP_INTERVAL && !self.forwarder.catalog().is_usable() {
-                dropped = now;
+            if now.since(last_drop) >= DROP_INTERVAL && !self.forwarder.catalog().is_usable() {
+                last_drop = now;
                 while self.receive()? > 0 {}
             }
         }
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -41,7 +41,7 @@
     ) -> Result<(), RunError> {
         let meters = Meters::new().context(MetricsSnafu)?;
         meters::register(&meters, &self.published, &self.store_reader.calls(), sink, self.clock);
-        self.output.record_times(Histograms::new(meters.clone()));
+        self.output.set_histograms(Histograms::new(meters.clone()));
         let due = self.clock.now() + METRICS_DELAY;
         self.metrics = Some(Metrics { address, meters, due, server: None });
         Ok(())
@@ -64,7 +64,7 @@
             confirmed,
             revision: self.forwarder.revision(),
             version: config.map_or(0, |config| config.version.0),
-            reach: self.forwarder.reach(),
+            live_and_lost: self.forwarder.reach(),
             full: self.forwarder.count_full(),
             evacuated: self.forwarder.catalog().evacuated().count(),
             omitted: config.map_or(0, |config| config.omitted),
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -41,7 +41,7 @@
     /// Version of the config in force.
     pub version: u64,
     /// Numbers of listed targets that answer and that don't.
-    pub reach: (usize, usize),
+    pub live_and_lost: (usize, usize),
     /// Number of targets that accept no openings.
     pub full: usize,
     /// Number of evacuated failure domains.
@@ -121,8 +121,8 @@
     (Gauge::Reading, |it| u64::from(it.reading)),
     (Gauge::PictureRevision, |it| it.revision.count),
     (Gauge::PictureEra, |it| it.revision.era.into()),
-    (Gauge::TargetsLive, |it| it.reach.0 as u64),
-    (Gauge::TargetsLost, |it| it.reach.1 as u64),
+    (Gauge::TargetsLive, |it| it.live_and_lost.0 as u64),
+    (Gauge::TargetsLost, |it| it.live_and_lost.1 as u64),
     (Gauge::TargetsFull, |it| it.full as u64),
     (Gauge::DomainsEvacuated, |it| it.evacuated as u64),
     (Gauge::RoutesOmitted, |it| u64::from(it.omitted)),
--- a/daemon/src/marked/output.rs
+++ b/daemon/src/marked/output.rs
@@ -39,7 +39,7 @@
     }
 
     /// Sets the histograms in which measured times are recorded.
-    pub fn record_times(&mut self, histograms: Histograms) {
+    pub fn set_histograms(&mut self, histograms: Histograms) {
         self.histograms = Some(histograms);
     }
 
--- a/daemon/src/marked/peers.rs
+++ b/daemon/src/marked/peers.rs
@@ -32,7 +32,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn join(
         control: SocketAddrV4,
         settings: &MarkedSettings,
--- a/daemon/src/marked/pictures.rs
+++ b/daemon/src/marked/pictures.rs
@@ -58,7 +58,7 @@
     Stalled,
     #[snafu(display("the update has {size} bytes, at most {MAX_UPDATE_SIZE} are allowed"))]
     Oversize { size: u32 },
-    #[snafu(display("the update is invalid"))]
+    #[snafu(display("the update can't be encoded or decoded"))]
     Message { source: MessageError },
 }
 
@@ -82,7 +82,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn start(address: SocketAddrV4, sender: Sender) -> io::Result<UpdateExchange> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
@@ -171,11 +171,11 @@
                 }
             };
             if self.transfers.len() >= MAX_TRANSFERS {
-                let silent = |it: &Transfer| {
+                let is_silent = |it: &Transfer| {
                     matches!(it.stage, TransferStage::Request { .. })
                         && it.deadline <= now + (STALL_TIMEOUT - REQUEST_TIMEOUT)
                 };
-                match self.transfers.iter().position(silent) {
+                match self.transfers.iter().position(is_silent) {
                     Some(position) => drop(self.transfers.remove(position)),
                     None => continue,
                 }
@@ -343,7 +343,7 @@
     from: SocketAddrV4,
     stream: TcpStream,
     /// The request, until it is sent.
-    known: Option<[u8; REQUEST_SIZE]>,
+    request: Option<[u8; REQUEST_SIZE]>,
     response: Response,
     deadline: Instant,
 }
@@ -351,36 +351,36 @@
 /// The part of a response that is being received.
 enum Response {
     Size { bytes: [u8; 4], filled: usize },
-    Snapshot { bytes: Vec<u8>, filled: usize },
+    Body { bytes: Vec<u8>, filled: usize },
 }
 
 impl Pull {
     fn begin(from: SocketAddrV4, known: Revision, now: Instant) -> io::Result<Pull> {
-        let known = Some(encode_known(known));
+        let request = Some(encode_known(known));
         let stream = connect(from)?;
         let response = Response::Size { bytes: [0; 4], filled: 0 };
-        Ok(Pull { from, stream, known, response, deadline: now + CONNECT_TIMEOUT })
+        Ok(Pull { from, stream, request, response, deadline: now + CONNECT_TIMEOUT })
     }
 
     fn poll_flags(&self) -> PollFlags {
-        if self.known.is_some() { PollFlags::POLLOUT } else { PollFlags::POLLIN }
+        if self.request.is_some() { PollFlags::POLLOUT } else { PollFlags::POLLIN }
     }
 
     /// Makes progress without blocking. Returns the update when it is complete.
     fn advance(&mut self, now: Instant) -> Result<Option<Update>, TransferError> {
-        if let Some(known) = self.known {
+        if let Some(request) = self.request {
             if is_decided(&self.stream) {
                 if let Some(error) = self.stream.take_error().context(ConnectionSnafu)? {
                     return Err(error).context(ConnectionSnafu);
                 }
-                self.stream.write_all(&known).context(ConnectionSnafu)?;
-                self.known = None;
+                self.stream.write_all(&request).context(ConnectionSnafu)?;
+                self.request = None;
                 self.deadline = now + STALL_TIMEOUT;
             }
         } else if self.receive()? > 0 {
             self.deadline = now + STALL_TIMEOUT;
         }
-        if let Response::Snapshot { bytes, filled } = &self.response
+        if let Response::Body { bytes, filled } = &self.response
             && *filled == bytes.len()
         {
             return message::decode_update(bytes).context(MessageSnafu).map(Some);
@@ -398,11 +398,11 @@
                 if *filled == bytes.len() {
                     let size = u32::from_be_bytes(*bytes);
                     ensure!(size <= MAX_UPDATE_SIZE, OversizeSnafu { size });
-                    self.response = Response::Snapshot { bytes: vec![0; size as usize], filled: 0 };
+                    self.response = Response::Body { bytes: vec![0; size as usize], filled: 0 };
                 }
                 Ok(count)
             }
-            Response::Snapshot { bytes, filled } => {
+            Response::Body { bytes, filled } => {
                 let count = moved_bytes(self.stream.read(&mut bytes[*filled..]))?;
                 *filled += count;
                 Ok(count)
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -146,7 +146,8 @@
         }
     }
 
-    /// Enters a stage. Called for serving by the control thread, else by the life cycle.
+    /// Enters a stage. The control thread enters [`Stage::Serving`], the life cycle all
+    /// later stages.
     pub(crate) fn set_stage(&self, stage: Stage) {
         self.stage.store(stage as u8, Relaxed);
         log::info!("stage={}", stage.label());
