--- a/daemon/examples/bench/main.rs
+++ b/daemon/examples/bench/main.rs
@@ -13,7 +13,7 @@
 mod site;
 mod slopes;
 
-use relay::Rate;
+use relay::RelayResult;
 
 /// Number of flows that one instance must hold.
 const FLOWS: usize = 300_000;
@@ -57,7 +57,7 @@
     for size in PACKET_SIZES {
         for rate in relay::run(FLOWS, size) {
             let name = format!("{size} bytes, {}", rate.name);
-            let Rate { rate, nanos, ratio, cpu_ratio, .. } = rate;
+            let RelayResult { rate, nanos, ratio, cpu_ratio, .. } = rate;
             println!("{name:<42} {rate:>12.0} {nanos:>10.0} {ratio:>8.3} {cpu_ratio:>8.3}");
         }
     }
--- a/daemon/examples/bench/relay.rs
+++ b/daemon/examples/bench/relay.rs
@@ -42,7 +42,7 @@
 const THREAD_NAMES: [&str; 2] = ["bare relay", "packets"];
 
 /// Results of one kind of relay: medians of its rounds.
-pub struct Rate {
+pub struct RelayResult {
     pub name: &'static str,
     /// Packets per second of one thread.
     pub rate: f64,
@@ -56,7 +56,7 @@
 }
 
 /// Measures each kind of relay in turn with packets of `size` bytes.
-pub fn run(flows: usize, size: usize) -> [Rate; 2] {
+pub fn run(flows: usize, size: usize) -> [RelayResult; 2] {
     let bench = Bench::start(flows, size);
     let mut rounds = [const { Vec::new() }; 2];
     for _ in 0..ROUNDS {
@@ -65,15 +65,15 @@
         }
     }
     bench.stop();
-    array::from_fn(|kind| rate_of(kind, &rounds))
+    array::from_fn(|kind| summarize(kind, &rounds))
 }
 
 /// Packets per second and nanoseconds per packet of one round.
 type Round = (f64, f64);
 
-fn rate_of(kind: usize, rounds: &[Vec<Round>; 2]) -> Rate {
+fn summarize(kind: usize, rounds: &[Vec<Round>; 2]) -> RelayResult {
     let pairs = || rounds[kind].iter().zip(&rounds[0]);
-    Rate {
+    RelayResult {
         name: THREAD_NAMES[kind],
         rate: median(rounds[kind].iter().map(|it| it.0)),
         nanos: median(rounds[kind].iter().map(|it| it.1)),
