--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -20,7 +20,7 @@
     settings::MarkedSettings,
     time::Millis,
 };
-use medlarspur_marked::{Fleet, Forwarder, Tuning, Update};
+use medlarspur_marked::{Fleet, Forwarder, ForwarderOptions, Update};
 use medlarspur_operator::MetersError;
 use medlarspur_platform::site::{packet, ready};
 use report::Metrics;
@@ -112,11 +112,12 @@
     );
     let regions = settings.regions.iter().map(|it| (it.domain.clone(), it.region.clone()));
     let regions = regions.collect();
-    let tuning = Tuning { domain: settings.domain.clone(), regions, seed: rand::random() };
+    let options =
+        ForwarderOptions { domain: settings.domain.clone(), regions, seed: rand::random() };
     let mut instance = Instance {
         name: settings.name.clone(),
         domain: settings.domain.clone(),
-        forwarder: Forwarder::new(tuning),
+        forwarder: Forwarder::new(options),
         output: RoundOutput::new(Prober::new(sender.clone()), settings.callers, clock.now()),
         peers,
         store_reader,
@@ -255,9 +256,9 @@
             }
         }
         self.begin_round();
-        let unknown = self.forwarder.counts().unknown;
+        let unknown = self.forwarder.counts().unknown_mark;
         self.handle_packets()?;
-        if self.forwarder.counts().unknown > unknown {
+        if self.forwarder.counts().unknown_mark > unknown {
             self.catch_up();
         }
         self.handle_events();
@@ -287,7 +288,12 @@
             for received in self.batch.iter() {
                 match packet::parse(received.bytes) {
                     Ok(segment) => {
-                        self.forwarder.packet(&segment, received.bytes, now, &mut self.output);
+                        self.forwarder.handle_packet(
+                            &segment,
+                            received.bytes,
+                            now,
+                            &mut self.output,
+                        );
                     }
                     Err(error) => {
                         self.stats.malformed[error as usize] += 1;
@@ -350,7 +356,7 @@
                     self.with_fleet(|fleet, _| fleet.pull_failed(from, known, now));
                 }
                 Event::Probed(target, result) => {
-                    self.forwarder.answer(target, result, now, &mut self.output);
+                    self.forwarder.handle_probe_result(target, result, now, &mut self.output);
                 }
                 Event::Operator(query) => self.answer_operator(query, now),
             }
@@ -368,7 +374,7 @@
     }
 
     fn apply_update(&mut self, update: Update, now: Millis) {
-        self.forwarder.learn(update, now, &mut self.output);
+        self.forwarder.apply_update(update, now, &mut self.output);
     }
 
     fn with_fleet(&mut self, act: impl FnOnce(&mut Fleet, &Forwarder)) {
@@ -385,10 +391,10 @@
         while let Some((from, message)) = socket.receive() {
             // Updates are merged one by one: each may build on the one before.
             if let Some(update) = fleet.receive(from, message, self.forwarder.catalog(), now) {
-                self.forwarder.learn(update, now, &mut self.output);
+                self.forwarder.apply_update(update, now, &mut self.output);
             }
         }
-        self.forwarder.set_near(fleet.domain_size());
+        self.forwarder.set_domain_size(fleet.domain_size());
         self.forwarder.set_cut_off(fleet.is_cut_off(now));
         self.forwarder.set_seat(fleet.seat(now));
         let known = self.forwarder.revision();
--- a/marked/src/forwarder/leaving.rs
+++ b/marked/src/forwarder/failover.rs
@@ -1,34 +1,35 @@
-//! Taking flows away from targets that don't answer.
+//! Failover of flows whose target does not answer.
 
-use super::{Forwarder, Output, Refusal, placing::OVERDUE, waiting::NewFlow};
+use super::{Forwarder, Output, Refusal, placing::OVERDUE_WAIT, waiting::NewFlow};
 use crate::{Flow, FlowKey, Incarnation, Note, Phase, ProbeResult};
 use medlarspur_lib::time::Millis;
 use medlarspur_load::vacancy::Vacancy;
 
 impl Forwarder {
-    pub(super) fn find_lost(
+    /// Marks a target as lost after an unanswered probe and removes its flows.
+    pub(super) fn mark_lost(
         &mut self,
         target: Incarnation,
-        finding: ProbeResult,
+        result: ProbeResult,
         now: Millis,
         out: &mut impl Output,
     ) {
         let Some(state) = self.states.get_mut(&target) else { return };
         let silent = now.since(state.health.last_alive());
-        if !state.health.record_probe_result(finding, now) {
+        if !state.health.record_probe_result(result, now) {
             return;
         }
         state.vacancy = Vacancy::default();
-        state.check = None;
+        state.check_at = None;
         let flows = self.flows.values().filter(|flow| flow.target == target).count();
-        out.note(Note::Lost { target, finding, silent, flows });
+        out.note(Note::Lost { target, result, silent, flows });
         self.lost.push(target);
         self.full.retain(|it| *it != target);
-        self.leave(target, now, out);
+        self.remove_flows(target, now, out);
     }
 
-    /// Has what is being opened at a target go elsewhere. Nothing runs before a flow is
-    /// open, so at worst the caller opens it anew.
+    /// Moves all flows whose handshake has not ended from a target to others. No request runs
+    /// before the handshake ends, so at worst the caller opens the flow again.
     pub(super) fn move_all_openings(
         &mut self,
         target: Incarnation,
@@ -43,6 +44,7 @@
         }
     }
 
+    /// Moves one flow whose handshake has not ended from a target to another one.
     pub(super) fn move_opening(
         &mut self,
         key: FlowKey,
@@ -55,7 +57,7 @@
             return self.drop_flow(&key);
         }
         let Phase::Opening { packet } = flow.phase.clone() else { return };
-        let waited = if flow.overdue { OVERDUE } else { Millis(0) };
+        let waited = if flow.overdue { OVERDUE_WAIT } else { Millis(0) };
         let Some(route) = self.catalog.route(key.service) else {
             self.drop_flow(&key);
             return self.refuse(&key, Refusal::NoRoute, out);
@@ -66,8 +68,8 @@
         self.place(NewFlow { key, seq: 0, class: route.class, service, packet, waited }, now, out);
     }
 
-    /// Takes all flows away from a target that was found lost.
-    fn leave(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
+    /// Removes all flows from a target that was found lost.
+    fn remove_flows(&mut self, target: Incarnation, now: Millis, out: &mut impl Output) {
         let flows = self.flows.iter().filter(|(_, flow)| flow.target == target);
         let keys: Vec<FlowKey> = flows.map(|(key, _)| *key).collect();
         for key in keys {
@@ -75,7 +77,7 @@
             let seq = flow.acked;
             match flow.is_opening() {
                 true => self.move_opening(key, target, now, out),
-                false => self.reset(&key, seq, target, now, out),
+                false => self.reset_lost_flow(&key, seq, target, now, out),
             }
         }
     }
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -1,103 +1,107 @@
-//! What a forwarder knows of a target besides its entry.
+//! State of a target, in addition to its entry.
 
 use crate::{Flow, Health};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_load::vacancy::Vacancy;
 
-/// Within which time openings must be unanswered to speak together against a target. Where
-/// instances come and go, the ends of some handshakes go by others; at a large site, where
-/// an instance opens a flow at a target every few seconds, such openings would add up, and
+/// Maximum time between unanswered openings that count together against a target. Where
+/// instances come and go, some handshakes end at other instances; at a large site, where an
+/// instance opens a flow at a target every few seconds, such openings would add up and make
 /// targets look full that are not.
-const TOGETHER: Millis = Millis::secs(2);
+const UNANSWERED_WINDOW: Millis = Millis::secs(2);
 
-/// What is known of a target besides its entry.
+/// State of a target, in addition to its entry.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct State {
+pub(super) struct TargetState {
     pub(super) health: Health,
-    pub(super) doubted: Option<Millis>,
-    /// Whether it has room for new flows.
+    /// Time at which the target was last suspected, if it was not known to be alive since.
+    pub(super) suspected_at: Option<Millis>,
+    /// Whether the target has capacity for new flows.
     pub(super) vacancy: Vacancy,
-    /// How many openings there are unanswered since the last one that was taken, and when
-    /// the latest of them was found to be.
-    pub(super) refused: u32,
-    pub(super) refused_at: Millis,
-    /// Whether an opening there is unanswered whose caller may have gone.
-    pub(super) unsure: bool,
-    /// Whether it has declined openings, and not only been silent, since it was found full.
+    /// Number of unanswered openings since the last accepted one, and the time of the latest.
+    pub(super) unanswered: u32,
+    pub(super) unanswered_at: Millis,
+    /// Whether an opening is unanswered whose caller may have gone.
+    pub(super) late_unanswered: bool,
+    /// Whether the target has declined openings, rather than only been silent, since it was
+    /// found full.
     pub(super) declined: bool,
-    /// Whether the last question there stayed without an answer.
+    /// Whether the last probe was left unanswered.
     pub(super) silent: bool,
-    /// When to look whether its open flows are still unanswered.
-    pub(super) check: Option<Millis>,
-    /// When this instance opened a flow there last while it was slow.
-    pub(super) warmed: Option<Millis>,
-    pub(super) working: u32,
+    /// Time of the next check whether open flows are still unanswered.
+    pub(super) check_at: Option<Millis>,
+    /// Time of the last flow that this instance opened there during slow start.
+    pub(super) warmed_at: Option<Millis>,
+    /// Number of requests in flight.
+    pub(super) in_flight: u32,
+    /// Number of unanswered openings.
     pub(super) opening: u32,
-    pub(super) feeds: u32,
-    /// Of `working` and `opening`, flows of requests.
+    /// Number of open feeds without a request in flight.
+    pub(super) idle_feeds: u32,
+    /// The part of `in_flight` and `opening` that belongs to requests.
     pub(super) requests: u32,
-    /// All flows there.
+    /// Number of all flows there.
     pub(super) flows: u32,
-    /// Whether its entry went and it was not asked since.
-    pub(super) unasked: bool,
+    /// Whether the entry was removed and the target has not been probed since.
+    pub(super) unprobed: bool,
 }
 
-impl State {
-    pub(super) fn new(now: Millis) -> State {
-        State {
+impl TargetState {
+    pub(super) fn new(now: Millis) -> TargetState {
+        TargetState {
             health: Health::new(now),
-            doubted: None,
+            suspected_at: None,
             vacancy: Vacancy::default(),
-            refused: 0,
-            refused_at: now,
-            unsure: false,
+            unanswered: 0,
+            unanswered_at: now,
+            late_unanswered: false,
             declined: false,
             silent: false,
-            check: None,
-            warmed: None,
-            working: 0,
+            check_at: None,
+            warmed_at: None,
+            in_flight: 0,
             opening: 0,
-            feeds: 0,
+            idle_feeds: 0,
             requests: 0,
             flows: 0,
-            unasked: false,
+            unprobed: false,
         }
     }
 
-    /// Whether any opening there is unanswered, be it one whose caller may have gone. That
-    /// speaks against a target only together with what asking it brings: where everybody
-    /// waits here, there are no other openings, and a full target that is silent would
-    /// swallow all that is opened late.
-    pub(super) fn is_declining(&self) -> bool {
-        self.refused > 0 || self.unsure
+    /// Whether any opening is unanswered, including those whose caller may have gone. This
+    /// counts against a target only together with a probe's result: if all openings are held,
+    /// there are no others, and a full target that is silent would swallow everything that is
+    /// opened late.
+    pub(super) fn has_unanswered(&self) -> bool {
+        self.unanswered > 0 || self.late_unanswered
     }
 
-    /// Notes that an opening which came at `sent` is unanswered.
-    pub(super) fn refuse(&mut self, sent: Millis, now: Millis) {
+    /// Counts an opening that arrived at `sent` as unanswered.
+    pub(super) fn count_unanswered(&mut self, sent: Millis, now: Millis) {
         if self.health.last_accepted() > sent {
             return;
         }
-        let is_together = now.since(self.refused_at) < TOGETHER;
-        self.refused = if is_together { self.refused + 1 } else { 1 };
-        self.refused_at = now;
+        let is_recent = now.since(self.unanswered_at) < UNANSWERED_WINDOW;
+        self.unanswered = if is_recent { self.unanswered + 1 } else { 1 };
+        self.unanswered_at = now;
     }
 
-    /// Adds or takes away what a flow means for its target.
+    /// Adds a flow to the counts, or subtracts it if `sign` is -1.
     pub(super) fn account(&mut self, flow: &Flow, sign: i32) {
         if flow.abandoned {
             return;
         }
         self.flows = self.flows.saturating_add_signed(sign);
-        let is_work = flow.is_opening() || flow.is_waiting();
+        let is_work = flow.is_opening() || flow.has_pending_request();
         if is_work && flow.class == Class::Request {
             self.requests = self.requests.saturating_add_signed(sign);
         }
         let field = if flow.is_opening() {
             &mut self.opening
-        } else if flow.is_waiting() {
-            &mut self.working
+        } else if flow.has_pending_request() {
+            &mut self.in_flight
         } else if flow.class == Class::Feed {
-            &mut self.feeds
+            &mut self.idle_feeds
         } else {
             return;
         };
--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -109,7 +109,7 @@
                     let findings = [ProbeResult::Answers, ProbeResult::Gone, ProbeResult::Silent];
                     let (at, finding) = (of(target).incarnation, findings[usize::from(finding)]);
                     let time = super::fixtures::millis(now);
-                    instance.forwarder.answer(at, finding, time, &mut instance.out);
+                    instance.forwarder.handle_probe_result(at, finding, time, &mut instance.out);
                 }
                 Step::Wait { millis } => {
                     now += millis;
