--- a/marked/src/fleet/heartbeats.rs
+++ b/marked/src/fleet/heartbeats.rs
@@ -178,7 +178,7 @@
         if others.len() > max {
             let start = (self.random.draw() % others.len() as u64) as usize;
             others.rotate_left(start);
-            // Readers know all other instances.
+            // Readers come first because they know all other instances.
             others.sort_by_key(|(is_listener, _)| *is_listener);
             others.truncate(max);
         }
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -38,8 +38,8 @@
 
 /// How often a listener sends its readers a heartbeat.
 const HEARTBEAT_INTERVAL: Millis = Millis::secs(4);
-/// Time after the last message at which an instance is taken for gone: two heartbeat intervals and
-/// a margin.
+/// Time after its last message at which an instance is considered gone: two heartbeat intervals
+/// and a margin.
 const PEER_TIMEOUT: Millis = Millis::secs(10);
 /// Time after which an instance is forgotten that is known only as a contact in heartbeats of
 /// others. Only readers receive heartbeats of listeners; when the readers are gone, their
--- a/marked/src/fleet/seats.rs
+++ b/marked/src/fleet/seats.rs
@@ -11,7 +11,7 @@
 use std::net::SocketAddrV4;
 
 /// Minimum uptime of an instance that assigns seats. Shortly after its start an instance knows only
-/// some of the others, and would take itself for the owner of all targets in slow start.
+/// some of the others, and would consider itself the owner of all targets in slow start.
 const MIN_UPTIME: Millis = Millis::secs(6);
 /// Minimum time that an instance that assigns seats has read the store. When the readers of a
 /// domain fail, many instances begin to read, each of which knows only some of the others, until
@@ -70,7 +70,7 @@
 
     /// Whether no active reader with a smaller address is known, including this instance.
     fn is_first_reader(&self, at: SocketAddrV4, now: Millis) -> bool {
-        let reads_before = self.is_reading() && self.last_answer.is_some() && self.address < at;
-        !reads_before && self.readers(now).all(|it| it >= at)
+        let precedes = self.is_reading() && self.last_answer.is_some() && self.address < at;
+        !precedes && self.readers(now).all(|it| it >= at)
     }
 }
--- a/marked/src/health.rs
+++ b/marked/src/health.rs
@@ -39,6 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
     last_alive: Millis,
+    /// When the target last accepted an opening.
     last_accepted: Millis,
     last_probe: Option<Millis>,
     lost: Option<Lost>,
--- a/marked/src/message.rs
+++ b/marked/src/message.rs
@@ -22,7 +22,7 @@
     Listener,
 }
 
-/// Hash of a failure domain's name, which stands for the name in messages.
+/// 32-bit hash of a failure domain's name, which stands for the name in messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct DomainId(pub u32);
 
