--- a/marked/tests/test_convergence.rs
+++ b/marked/tests/test_convergence.rs
@@ -30,7 +30,7 @@
 
 /// A store, with what its writers want it to contain.
 #[derive(Debug, Default)]
-struct Source {
+struct Store {
     items: Items,
     wanted: Items,
     saved: Items,
@@ -41,7 +41,7 @@
 
 const DOMAINS: [&str; 2] = ["north", "south"];
 
-impl Source {
+impl Store {
     fn push(&mut self, content: Content) -> u64 {
         self.items.count += 1;
         self.history.push(at(self.era, self.items.count, content));
@@ -200,22 +200,22 @@
     /// Guards against instances that keep different catalogs after restores.
     #[test]
     fn all_catalogs_converge_on_the_content_of_the_store(steps in steps()) {
-        let mut source = Source::default();
+        let mut store = Store::default();
         let mut instances: [(Catalog, Revision); 4] = Default::default();
         let (mut now, mut version) = (millis(1), 1);
-        source.publish(version);
+        store.publish(version);
         for step in steps {
             match step {
-                Step::Write { number, leaving } => source.write(number, leaving),
-                Step::Remove { number } => source.remove(number),
-                Step::Lapse { number } => source.lapse(number),
-                Step::Evacuate { domain, holds } => source.evacuate(DOMAINS[domain], holds),
-                Step::Publish => { version += 1; source.publish(version) }
-                Step::Save => source.saved = source.items.clone(),
-                Step::Restore => source.restore(),
+                Step::Write { number, leaving } => store.write(number, leaving),
+                Step::Remove { number } => store.remove(number),
+                Step::Lapse { number } => store.lapse(number),
+                Step::Evacuate { domain, holds } => store.evacuate(DOMAINS[domain], holds),
+                Step::Publish => { version += 1; store.publish(version) }
+                Step::Save => store.saved = store.items.clone(),
+                Step::Restore => store.restore(),
                 Step::Read { by } => {
                     let (catalog, known) = &mut instances[by];
-                    let update = source.read(*known);
+                    let update = store.read(*known);
                     *known = update.revision;
                     let before = catalog.config().map_or(0, |it| it.version.0);
                     catalog.merge(update, now);
@@ -237,8 +237,8 @@
             }
         }
 
-        source.rewrite();
-        let update = source.read(instances[0].1);
+        store.rewrite();
+        let update = store.read(instances[0].1);
         instances[0].0.merge(update, now);
         for nth in 1..4 {
             for _ in 0..2 {
@@ -249,13 +249,13 @@
         now = now + REWRITE_TIME;
         let wanted = view(&{
             let mut fresh = Catalog::default();
-            fresh.merge(source.snapshot(), now);
+            fresh.merge(store.snapshot(), now);
             fresh
         });
         for (nth, (catalog, _)) in instances.iter_mut().enumerate() {
             catalog.confirm(now);
             prop_assert_eq!(&view(catalog), &wanted, "instance {}", nth);
-            prop_assert_eq!(catalog.revision(), Revision::new(source.era, source.items.count));
+            prop_assert_eq!(catalog.revision(), Revision::new(store.era, store.items.count));
         }
     }
 }
--- a/marked/tests/test_seats.rs
+++ b/marked/tests/test_seats.rs
@@ -30,7 +30,8 @@
 #[derive(Default)]
 struct Owners {
     last: BTreeMap<(u8, u64), BTreeMap<SocketAddrV4, u64>>,
-    most: usize,
+    /// Maximum number of owners that one target had within the window.
+    max: usize,
     /// Current number of owners of all targets together.
     now: usize,
 }
@@ -55,7 +56,7 @@
         }
         for owners in self.last.values_mut() {
             owners.retain(|_, last| net.now - *last < WINDOW);
-            self.most = self.most.max(owners.len());
+            self.max = self.max.max(owners.len());
         }
     }
 }
@@ -68,7 +69,7 @@
     owners.watch(&mut net, 12_000);
 
     assert_eq!(owners.now, 4 * TARGETS as usize);
-    assert!(owners.most <= MAX_OWNERS as usize, "{} owners of one target", owners.most);
+    assert!(owners.max <= MAX_OWNERS as usize, "{} owners of one target", owners.max);
 }
 
 /// Guards against losing seats while updates keep coming, as when a whole service is replaced,
@@ -155,6 +156,6 @@
             owners.watch(&mut net, pause * 100);
         }
 
-        prop_assert!(owners.most <= MAX_OWNERS as usize, "{} owners of one target", owners.most);
+        prop_assert!(owners.max <= MAX_OWNERS as usize, "{} owners of one target", owners.max);
     }
 }
