--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -7,7 +7,7 @@
 
 /// Maximum distance between the sequence numbers of two packets of a flow: each end has up to
 /// sixteen packets of 1,200 bytes in flight.
-const REACH: u32 = 2 * 16 * 1_200;
+const MAX_DISTANCE: u32 = 2 * 16 * 1_200;
 
 /// An event.
 #[derive(Debug, Clone)]
@@ -16,7 +16,7 @@
     Marked { caller: u16, port: u8, target: u64, seq: u32, len: u16 },
     Listed { target: u64, leaving: bool },
     Removed { target: u64 },
-    Found { target: u64, finding: u8 },
+    Probed { target: u64, result: u8 },
     Wait { millis: u64 },
 }
 
@@ -42,7 +42,7 @@
         4 => marked,
         1 => listed,
         1 => (1..9u64).prop_map(|target| Step::Removed { target }),
-        1 => (1..9u64, 0..3u8).prop_map(|(target, finding)| Step::Found { target, finding }),
+        1 => (1..9u64, 0..3u8).prop_map(|(target, result)| Step::Probed { target, result }),
         2 => (0..500u64).prop_map(|millis| Step::Wait { millis }),
     ];
     vec(step, 1..120)
@@ -53,7 +53,7 @@
 }
 
 /// Target `number`. Targets up to 4 serve `desk`, the others `ingest`.
-fn of(number: u64) -> medlarspur_marked::Target {
+fn numbered(number: u64) -> medlarspur_marked::Target {
     target(number, if number <= 4 { "desk" } else { "ingest" })
 }
 
@@ -62,7 +62,7 @@
 
     #[test]
     fn no_opening_reaches_another_service_and_no_step_panics(steps in steps()) {
-        let mut instance = Instance::new(&(1..9).map(of).collect::<Vec<_>>());
+        let mut instance = Instance::new(&(1..9).map(numbered).collect::<Vec<_>>());
         let mut now = 0;
         let mut revision = 1000;
         let mut last = Map::<FlowKey, (Incarnation, u32)>::default();
@@ -76,40 +76,44 @@
                     let mark = Mark::from_wire(echo);
                     instance.packet(Segment { key, kind, seq, ack, len, mark }, now);
                     if kind == Kind::Open {
-                        let wanted = if port == 2 { 5..9 } else { 1..5 };
-                        let mine: Vec<_> = wanted.map(|number| of(number).incarnation).collect();
-                        prop_assert!(instance.out.sent.iter().all(|(to, ..)| mine.contains(to)));
+                        let numbers = if port == 2 { 5..9 } else { 1..5 };
+                        let allowed: Vec<_> = numbers.map(|it| numbered(it).incarnation).collect();
+                        prop_assert!(instance.out.sent.iter().all(|(to, ..)| allowed.contains(to)));
                     }
                 }
                 Step::Marked { caller, port, target, seq, len } => {
                     let key = flow(caller, service(port));
-                    let at = of(target).incarnation;
+                    let at = numbered(target).incarnation;
                     let mark = Some(Mark::new(at, &key));
                     let segment = Segment { key, kind: Kind::Middle, seq, ack: 1, len, mark };
                     instance.packet(segment, now);
                     // A flow whose sequence numbers continue may be known to be open at another
                     // target.
-                    let goes_on = |to| last.get(&key).is_some_and(|(before, end)| {
-                        *before == to && seq.wrapping_sub(*end).cast_signed().unsigned_abs() <= REACH
+                    let continues = |to| last.get(&key).is_some_and(|(before, end)| {
+                        *before == to
+                            && seq.wrapping_sub(*end).cast_signed().unsigned_abs() <= MAX_DISTANCE
                     });
-                    prop_assert!(instance.out.sent.iter().all(|(to, ..)| *to == at || goes_on(*to)));
+                    prop_assert!(
+                        instance.out.sent.iter().all(|(to, ..)| *to == at || continues(*to))
+                    );
                     if let Some((to, ..)) = instance.out.sent.last() {
                         last.insert(key, (*to, segment.end()));
                     }
                 }
                 Step::Listed { target, leaving } => {
-                    let mut entry = of(target);
+                    let mut entry = numbered(target);
                     entry.leaving = leaving;
                     instance.learn(incremental(revision, Content::Target(entry)), now);
                 }
                 Step::Removed { target } => {
-                    instance.learn(incremental(revision, Content::Removed(of(target).name)), now);
+                    instance
+                        .learn(incremental(revision, Content::Removed(numbered(target).name)), now);
                 }
-                Step::Found { target, finding } => {
-                    let findings = [ProbeResult::Answers, ProbeResult::Gone, ProbeResult::Silent];
-                    let (at, finding) = (of(target).incarnation, findings[usize::from(finding)]);
+                Step::Probed { target, result } => {
+                    let results = [ProbeResult::Answers, ProbeResult::Gone, ProbeResult::Silent];
+                    let (at, result) = (numbered(target).incarnation, results[usize::from(result)]);
                     let time = super::fixtures::millis(now);
-                    instance.forwarder.answer(at, finding, time, &mut instance.out);
+                    instance.forwarder.answer(at, result, time, &mut instance.out);
                 }
                 Step::Wait { millis } => {
                     now += millis;
