--- a/marked/src/fleet/readers.rs
+++ b/marked/src/fleet/readers.rs
@@ -87,7 +87,7 @@
         };
         self.promotion = Some((count, due));
         if due <= now {
-            log::info!("readers: this instance starts reading the store, {count} others read it");
+            log::info!("readers: this instance reads the store from now on, like {count} others");
             self.promotion = None;
             // A start without a snapshot counts as having read long enough, so that the instance
             // can stop at once.
