--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -12,7 +12,7 @@
 use medlarspur_fabric::Outbox;
 use medlarspur_lib::{
     bundle::{Bundle, Keys, SecretKey, Signed, sign},
-    forwarder::{Forwarder, OpenGate},
+    forwarder::{AdmitAll, Forwarder},
     ids::{
         DomainName, FlowId, Incarnation, InstanceName, ServiceName, SiteName, TargetName, Version,
     },
@@ -22,7 +22,7 @@
     question::{Datagram, Question},
     settings::Secret,
     time::Millis,
-    view::{Draft, START_TIME, ServiceKey},
+    view::{Draft, PUBLISH_DELAY, ServiceKey},
 };
 use medlarspur_operator::Meters;
 use medlarspur_platform::{Etag, Http, Platform};
@@ -88,14 +88,14 @@
 
 /// What a keeper spends on flows that others tell it: bytes and nanoseconds.
 fn kept(flows: usize) -> (f64, f64) {
-    let mut forwarder = Forwarder::new(OpenGate, 0);
+    let mut forwarder = Forwarder::new(AdmitAll, 0);
     let mut sent = memory::Sent::default();
     forwarder.install(memory::view(), NOW);
     let before = resident();
     let mut time = Duration::ZERO;
     for start in (0..flows).step_by(ADVERT) {
         let advert = advert(start, ADVERT.min(flows - start));
-        time += timed(|| forwarder.advert(NOW, &advert));
+        time += timed(|| forwarder.handle_advert(NOW, &advert));
     }
     sent.outbox = Outbox::new();
     assert_eq!(forwarder.flows().len(), flows, "every flow is kept");
@@ -112,7 +112,7 @@
         sender: InstanceName::new("entry-1"),
         service: ServiceName::new("alertdesk"),
         flows: (start..start + count).map(|ix| (id(ix), target(ix))).collect(),
-        told: None,
+        advertised: None,
     }
 }
 
@@ -167,7 +167,7 @@
 
 fn begin(bundle: &Arc<Bundle>) -> Draft {
     let mut draft = Draft::first(InstanceName::new("entry-0"), bundle, NOW);
-    draft.advance(NOW + START_TIME);
+    draft.advance(NOW + PUBLISH_DELAY);
     draft
 }
 
@@ -221,7 +221,7 @@
         state: MemberState::Live,
         addresses: Addresses { packets: address(1), questions: address(2), control: address(3) },
         version: Version(1),
-        told: 0,
+        advertised: 0,
     }
 }
 
@@ -229,13 +229,13 @@
 fn members_micros(services: usize, members: usize) -> f64 {
     let mut draft = draft(services);
     let mut all: Vec<_> = (0..members).map(member).collect();
-    draft.members(all.clone(), NOW);
+    draft.set_members(all.clone(), NOW);
     let mut next = members;
     median(|| {
         next += 1;
         all[0] = member(next);
         timed(|| {
-            draft.members(all.clone(), NOW);
+            draft.set_members(all.clone(), NOW);
             draft.commit()
         })
     }) / 1e3
@@ -247,7 +247,7 @@
     let services: Vec<_> =
         (0..SERVICES).map(|ix| ServiceName::new(&format!("service-{ix}"))).collect();
     let me = &all[0].name;
-    let count = || services.iter().filter(|it| plan::authors(me, it, all.iter())).count();
+    let count = || services.iter().filter(|it| plan::is_author(me, it, all.iter())).count();
     median(|| timed(count)) / 1e3
 }
 
--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -201,7 +201,7 @@
             }
             Action::Members(members) => {
                 if let Some(draft) = &mut self.draft {
-                    draft.members(members.clone(), now);
+                    draft.set_members(members.clone(), now);
                 }
                 changes::members(&self.members, &members);
                 self.members = members;
@@ -209,7 +209,7 @@
             Action::Plan(plan) => {
                 self.show_plan(&plan);
                 if let Some(draft) = &mut self.draft {
-                    draft.plan(plan, now);
+                    draft.apply_plan(plan, now);
                 }
             }
             Action::ReadPlatform(reads) => self.reader.set_watching(reads),
@@ -220,7 +220,7 @@
                 self.command(Command::Distrust);
             }
             Action::Refreshed => log::info!("refreshed=true"),
-            Action::Pass(message) => self.pass(now, message),
+            Action::ToForwarder(message) => self.pass(now, message),
             Action::HistoryDiffers(peer) => self.ask_history(now, peer),
         }
     }
@@ -236,9 +236,9 @@
             Some(draft) => draft.install(&bundle, now),
             None => {
                 let mut draft = Draft::first(self.name.clone(), &bundle, now);
-                draft.members(self.members.clone(), now);
+                draft.set_members(self.members.clone(), now);
                 for plan in self.controller.plans().iter() {
-                    draft.plan(plan.clone(), now);
+                    draft.apply_plan(plan.clone(), now);
                 }
                 self.draft = Some(draft);
             }
@@ -256,7 +256,7 @@
             }
             Message::History(history) => {
                 if let Some(draft) = &mut self.draft {
-                    draft.history(&history, now);
+                    draft.merge_history(&history, now);
                 }
             }
             _ => {}
@@ -303,7 +303,7 @@
         let specs: Vec<_> = draft.view().services.iter().map(|s| s.spec.clone()).collect();
         let mut probed = Vec::new();
         for spec in specs {
-            let authors = plan::authors(&self.name, &spec.name, self.members.iter());
+            let authors = plan::is_author(&self.name, &spec.name, self.members.iter());
             for target in &spec.targets {
                 if let Some(address) = target.probe
                     && (authors || self.probes(&target.name))
@@ -319,7 +319,7 @@
     }
 
     fn probes(&self, target: &TargetName) -> bool {
-        let domain = self.members.iter().filter(|m| m.domain == self.domain && m.eligible());
+        let domain = self.members.iter().filter(|m| m.domain == self.domain && m.is_eligible());
         is_prober(&self.name, domain.map(|member| &member.name), target)
     }
 
@@ -334,7 +334,7 @@
             self.verdicts.get(name).is_some_and(|verdict| *verdict != Verdict::Healthy)
         };
         let bad = judged.map(|target| target.name.clone()).filter(is_bad).collect();
-        let Some(moves) = planner::evade(spec, &bad) else { return };
+        let Some(moves) = planner::avoid_targets(spec, &bad) else { return };
         let present = self.controller.plans().get(&spec.name);
         if present.map_or(moves.is_empty(), |plan| plan.moves == moves) {
             return;
@@ -367,7 +367,7 @@
 
     fn publish(&mut self, now: Millis) {
         let Some(draft) = &mut self.draft else { return };
-        if !self.controller.ready() {
+        if !self.controller.is_ready() {
             return;
         }
         draft.advance(now);
@@ -377,7 +377,7 @@
         if self.shared.stage() == Stage::Starting {
             self.shared.enter(Stage::Serving);
         }
-        self.event(now, Event::SetProgress { told: 0, history });
+        self.event(now, Event::SetProgress { advertised: 0, history });
     }
 }
 
--- a/marked/src/catalog/mod.rs
+++ b/marked/src/catalog/mod.rs
@@ -153,7 +153,7 @@
 
     /// Whether a failure domain is evacuated, so that its targets get no new flows.
     pub fn is_evacuated(&self, domain: &DomainName) -> bool {
-        self.evacuations.holds(domain)
+        self.evacuations.is_evacuated(domain)
     }
 
     /// The evacuated failure domains.
@@ -213,7 +213,7 @@
     /// target.
     pub fn entry_by_mark(&self, mark: Mark, flow: &FlowKey) -> Option<&Entry> {
         let found = self.indexes.get(&mark.index())?;
-        let incarnation = found.iter().find(|&&it| mark.holds(it, flow))?;
+        let incarnation = found.iter().find(|&&it| mark.matches(it, flow))?;
         self.targets.get(incarnation)
     }
 
@@ -301,7 +301,7 @@
         for incarnation in old.map(|it| it.target.incarnation).collect::<Vec<_>>() {
             self.drop_target(incarnation);
         }
-        if let Some(revision) = self.evacuations.forget(RETENTION, now) {
+        if let Some(revision) = self.evacuations.forget_ended(RETENTION, now) {
             self.purged = revision.max(self.purged);
         }
         let (targets, purged) = (&self.targets, &mut self.purged);
--- a/marked/src/flow.rs
+++ b/marked/src/flow.rs
@@ -1,92 +1,92 @@
-//! One flow as an instance sees it: the caller's half only.
+//! State of one flow, derived from the caller's packets alone.
 //!
-//! Answers go from the target straight to the caller, so the target's part is
-//! worked out from what the caller acknowledges. The record is a help, not a
-//! need: without it a packet finds its target by its mark.
+//! Targets answer callers directly, so a target's progress is inferred from what the caller
+//! acknowledges. The record is an aid and not a requirement: without it a packet still finds
+//! its target by its mark.
 
 use crate::{Incarnation, Segment, segment::is_after};
 use medlarspur_lib::{bundle::Class, time::Millis};
 
-/// How many bytes a caller may have sent that the target did not acknowledge:
-/// sixteen packets of 1,200 bytes. More new data shows that it did.
-const WINDOW: u32 = 16 * 1200;
+/// Maximum number of bytes that a caller sends without an acknowledgement from the target:
+/// sixteen packets of 1,200 bytes. More new data shows that the target has acknowledged some.
+const MAX_UNACKED: u32 = 16 * 1200;
 
-/// How far the numbers of a packet may be from those that were seen last, in bytes, for it to
-/// belong to the same flow. Either end has [`WINDOW`] bytes under way at most.
-const REACH: u32 = 2 * WINDOW;
+/// Maximum distance in bytes between the numbers of a packet and those seen last for the packet
+/// to belong to the same flow. Either end has at most [`MAX_UNACKED`] bytes in flight.
+const MAX_SEQ_DISTANCE: u32 = 2 * MAX_UNACKED;
 
-/// How long after new data a packet with older data counts as repeated. Callers
-/// repeat after 200 ms at the earliest; packets of one burst may overtake each
-/// other by a few milliseconds.
-const REPEAT: Millis = Millis(150);
+/// Minimum time after new data for a packet with older data to count as a retransmission.
+/// Callers retransmit after 200 ms at the earliest; packets of one burst are reordered by a few
+/// milliseconds.
+const MIN_RETRANSMIT_AGE: Millis = Millis(150);
 
-/// How far a flow has come.
+/// Progress of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// Its opening packet was sent on; nothing shows that the target took it.
+    /// The opening packet was forwarded; nothing shows yet that the target accepted it.
     Opening {
-        /// The packet, to be sent again or to another target.
+        /// The packet, kept for sending it again or to another target.
         packet: Box<[u8]>,
     },
-    /// The caller has the target's answer to the opening packet.
+    /// The caller has received the target's answer to the opening packet.
     Open,
 }
 
-/// What an instance remembers of a flow.
+/// The record that an instance keeps of a flow.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Flow {
-    /// Where it goes.
+    /// The target that receives the flow's packets.
     pub target: Incarnation,
-    /// The class of the requests inside.
+    /// Class of the requests in the flow.
     pub class: Class,
-    /// How far it has come.
+    /// Progress of the flow.
     pub phase: Phase,
-    /// Whether its opening packet came here.
-    pub opened: bool,
-    /// Whether its opening packet was sent on more than once.
+    /// Whether this instance received the opening packet.
+    pub opened_here: bool,
+    /// Whether the opening packet was forwarded more than once.
     pub resent: bool,
-    /// How often it was looked at while its opening was unanswered.
-    pub looks: u8,
-    /// When it is looked at next, while its opening is unanswered.
-    pub look: Millis,
-    /// Whether it waited here for so long that its caller may have gone.
+    /// Number of checks while the opening was unanswered.
+    pub checks: u8,
+    /// Time of the next check while the opening is unanswered.
+    pub next_check: Millis,
+    /// Whether the flow was held here for so long that its caller may have gone.
     pub overdue: bool,
-    /// Whether it is overdue and was not opened within the usual time. Then it counts as
-    /// work of its target only once it is opened after all.
+    /// Whether the flow is overdue and its handshake did not end within the usual time. Such a
+    /// flow counts as work of its target only if the handshake ends after all.
     pub abandoned: bool,
-    /// When its opening packet came, or the first packet that was seen here.
-    pub since: Millis,
-    /// When its last packet came.
-    pub touched: Millis,
-    /// Since when a request waits for the first byte of its answer.
-    pub waiting: Option<Millis>,
-    /// What the caller acknowledged last.
+    /// Arrival of the opening packet, or of the first packet seen here.
+    pub first_seen: Millis,
+    /// Arrival of the last packet.
+    pub last_seen: Millis,
+    /// Start of the request whose first answer byte is pending.
+    pub pending_since: Option<Millis>,
+    /// Last acknowledgement number of the caller.
     pub acked: u32,
-    /// Behind the last byte that the caller sent.
-    sent: u32,
-    /// When that byte was seen first.
+    /// Number after the last byte that the caller sent.
+    sent_end: u32,
+    /// Time at which that byte was first seen.
     sent_at: Millis,
-    /// What `sent` was at the last sign of life of the target.
-    base: u32,
-    /// Whether the caller has sent something again since that.
-    repeated: bool,
+    /// Value of `sent_end` when the target last showed that it is alive.
+    answered_end: u32,
+    /// Whether the caller has retransmitted since then.
+    retransmitted: bool,
 }
 
-/// What a packet shows of its flow's target.
+/// What a packet shows about its flow's target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Seen {
-    /// It ends the handshake.
+pub struct Observation {
+    /// Whether the packet ends the handshake.
     pub opened: bool,
-    /// The target has answered something.
-    pub life: bool,
-    /// The caller repeats data, first sent at this time, that nothing answers.
-    pub repeats: Option<Millis>,
-    /// The first answer to the request that has waited since then.
-    pub answered: Option<Millis>,
+    /// Whether the packet shows that the target has answered.
+    pub alive: bool,
+    /// Time at which unanswered data was first sent, if the packet retransmits it.
+    pub unanswered_since: Option<Millis>,
+    /// Start of the pending request whose first answer the packet acknowledges.
+    pub request_since: Option<Millis>,
 }
 
 impl Flow {
-    /// A flow whose opening packet goes to `target`.
+    /// Creates the record of a flow whose opening packet is forwarded to `target`.
     pub fn open(
         target: Incarnation,
         class: Class,
@@ -95,109 +95,116 @@
         now: Millis,
     ) -> Flow {
         let phase = Phase::Opening { packet };
-        Flow { phase, opened: true, ..Flow::new(target, class, 0, seq, now) }
+        Flow { phase, opened_here: true, ..Flow::new(target, class, 0, seq, now) }
     }
 
-    /// A flow that another instance opened, from the first packet seen here.
+    /// Creates the record of a flow that another instance opened, from the first packet seen
+    /// here.
     pub fn resume(target: Incarnation, class: Class, segment: &Segment, now: Millis) -> Flow {
         Flow::new(target, class, segment.ack, segment.seq, now)
     }
 
-    fn new(target: Incarnation, class: Class, acked: u32, sent: u32, now: Millis) -> Flow {
+    fn new(target: Incarnation, class: Class, acked: u32, sent_end: u32, now: Millis) -> Flow {
         Flow {
             target,
             class,
             phase: Phase::Open,
-            opened: false,
+            opened_here: false,
             resent: false,
-            looks: 0,
-            look: Millis(0),
+            checks: 0,
+            next_check: Millis(0),
             overdue: false,
             abandoned: false,
-            since: now,
-            touched: now,
-            waiting: None,
+            first_seen: now,
+            last_seen: now,
+            pending_since: None,
             acked,
-            sent,
+            sent_end,
             sent_at: now,
-            base: sent,
-            repeated: false,
+            answered_end: sent_end,
+            retransmitted: false,
         }
     }
 
-    /// Whether its opening packet is unanswered.
+    /// Whether the opening packet is unanswered.
     pub fn is_opening(&self) -> bool {
         matches!(self.phase, Phase::Opening { .. })
     }
 
-    /// Whether a request waits for its answer.
-    pub fn is_waiting(&self) -> bool {
-        self.waiting.is_some()
+    /// Whether a request is waiting for its answer.
+    pub fn has_pending_request(&self) -> bool {
+        self.pending_since.is_some()
     }
 
-    /// Since when data that the caller has sent more than once is unanswered. Data that
-    /// was sent once says nothing: its answer may go by another instance, while what is
-    /// repeated here is still waited for.
-    pub fn unanswered(&self) -> Option<Millis> {
-        self.repeated.then_some(self.sent_at)
+    /// Time at which retransmitted data that is still unanswered was first sent. Data that was
+    /// sent only once is not reported: its answer may pass through another instance, whereas
+    /// the caller still waits for what it retransmits here.
+    pub fn unanswered_since(&self) -> Option<Millis> {
+        self.retransmitted.then_some(self.sent_at)
     }
 
-    /// Whether a packet goes on with the flow that was opened here, and not with another one of
-    /// the same ports, whose numbers are others.
-    pub fn is_continued(&self, segment: &Segment) -> bool {
-        let is_near = |a: u32, b: u32| a.wrapping_sub(b).cast_signed().unsigned_abs() <= REACH;
-        self.opened
+    /// Whether a packet continues the flow that was opened here. Another flow of the same ports
+    /// has other sequence numbers.
+    pub fn matches(&self, segment: &Segment) -> bool {
+        let is_near =
+            |a: u32, b: u32| a.wrapping_sub(b).cast_signed().unsigned_abs() <= MAX_SEQ_DISTANCE;
+        self.opened_here
             && !self.is_opening()
             && is_near(segment.ack, self.acked)
-            && is_near(segment.seq, self.sent)
+            && is_near(segment.seq, self.sent_end)
     }
 
-    /// Takes in a packet that is no opening one.
-    pub fn see(&mut self, segment: &Segment, now: Millis) -> Seen {
-        self.touched = now;
-        let shaken = self.see_handshake(segment, now);
-        let answered = self.see_ack(segment);
-        let (progress, repeats) = self.see_data(segment, now);
-        let life = shaken || answered.is_some() || progress;
-        if life {
-            self.base = self.sent;
+    /// Updates the record with a packet other than the opening one.
+    pub fn observe(&mut self, segment: &Segment, now: Millis) -> Observation {
+        self.last_seen = now;
+        let opened = self.observe_handshake(segment, now);
+        let request_since = self.observe_ack(segment);
+        let (progress, unanswered_since) = self.observe_data(segment, now);
+        let alive = opened || request_since.is_some() || progress;
+        if alive {
+            self.answered_end = self.sent_end;
+        }
+        self.retransmitted = !alive && (self.retransmitted || unanswered_since.is_some());
+        Observation {
+            opened,
+            alive,
+            unanswered_since: unanswered_since.filter(|_| !alive),
+            request_since,
         }
-        self.repeated = !life && (self.repeated || repeats.is_some());
-        Seen { opened: shaken, life, repeats: repeats.filter(|_| !life), answered }
     }
 
-    /// The caller can only go on once it has the target's answer.
-    fn see_handshake(&mut self, segment: &Segment, now: Millis) -> bool {
+    /// Ends the handshake: the caller sends other packets only once it has the target's answer.
+    fn observe_handshake(&mut self, segment: &Segment, now: Millis) -> bool {
         if !self.is_opening() {
             return false;
         }
         self.phase = Phase::Open;
         self.abandoned = false;
         self.acked = segment.ack;
-        self.sent = segment.seq;
+        self.sent_end = segment.seq;
         self.sent_at = now;
         true
     }
 
-    fn see_ack(&mut self, segment: &Segment) -> Option<Millis> {
+    fn observe_ack(&mut self, segment: &Segment) -> Option<Millis> {
         if !is_after(segment.ack, self.acked) {
             return None;
         }
         self.acked = segment.ack;
-        self.waiting.take()
+        self.pending_since.take()
     }
 
-    fn see_data(&mut self, segment: &Segment, now: Millis) -> (bool, Option<Millis>) {
+    fn observe_data(&mut self, segment: &Segment, now: Millis) -> (bool, Option<Millis>) {
         if segment.len == 0 {
             return (false, None);
         }
-        if !is_after(segment.end(), self.sent) {
-            let is_repeated = now.since(self.sent_at) >= REPEAT;
+        if !is_after(segment.end(), self.sent_end) {
+            let is_repeated = now.since(self.sent_at) >= MIN_RETRANSMIT_AGE;
             return (false, is_repeated.then_some(self.sent_at));
         }
-        self.sent = segment.end();
+        self.sent_end = segment.end();
         self.sent_at = now;
-        self.waiting.get_or_insert(now);
-        (self.sent.wrapping_sub(self.base) > WINDOW, None)
+        self.pending_since.get_or_insert(now);
+        (self.sent_end.wrapping_sub(self.answered_end) > MAX_UNACKED, None)
     }
 }
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -1,46 +1,43 @@
-//! What happens to each packet of a caller.
+//! Forwarding of callers' packets.
 //!
-//! - A packet in mid-flow goes where its mark says, whatever became of that
-//!   target's entry: flows outlive entries. Where it was seen here which target the
-//!   caller has acknowledged, it goes there.
-//! - A packet whose mark means nothing here goes nowhere. Sent to another
-//!   target it would be answered by a reset, and a reset of our own would end a
-//!   flow that may be well; the caller sends it again while this instance
-//!   learns.
-//! - An opening packet gets a target, its repetitions the same one, unless that
-//!   one is known not to answer. Two targets that both answered would leave the
-//!   caller with the numbers of one and the mark of the other.
-//! - A target whose failure domain operators have emptied gets no new flows; those that
-//!   it has go on, and so do their packets.
-//! - A target that takes no openings is full: new flows go elsewhere, and those that
-//!   it has go on.
-//! - When a target is found lost, its open flows are reset at once, and what
-//!   was being opened there goes to another one.
+//! - A packet in mid-flow goes to the target of its mark, whatever became of that target's
+//!   entry: flows outlive entries. If this instance has seen which target the caller
+//!   acknowledged, it goes there instead.
+//! - A packet with an unknown mark is dropped. Another target would answer it with a reset, and
+//!   a reset from here would end a flow that may be healthy. The caller retransmits while this
+//!   instance learns of the target.
+//! - An opening packet (SYN) gets a target. Copies of it go to the same target, unless that is
+//!   known not to answer: if two targets answered, the caller would have the sequence numbers
+//!   of one and the mark of the other.
+//! - A target in an evacuated failure domain gets no new flows; its open flows go on.
+//! - A target that accepts no openings is full: new flows go elsewhere, its open flows go on.
+//! - When a target is found lost, its open flows are reset at once, and flows whose handshake
+//!   has not ended move to another target.
 
-mod closed;
 mod contested;
 mod counts;
-mod dealt;
+mod estimates;
+mod exclusion;
 mod explain;
+mod failover;
 mod full;
-mod heard;
-mod leaving;
-mod news;
 mod output;
 mod placing;
-mod reach;
+mod probing;
 mod state;
 mod stranded;
+mod subset;
+mod update;
 mod waiting;
 
 pub use counts::Counts;
 pub use output::{Output, Refusal, Span, Unroutable};
 
 use crate::{
-    Catalog, Config, Flow, FlowKey, Incarnation, Kind, Mark, Note, Revision, Segment, flow::Seen,
+    Catalog, Config, Flow, FlowKey, Incarnation, Kind, Mark, Note, Revision, Segment,
+    flow::Observation,
 };
-use dealt::Dealt;
-use heard::Heard;
+use estimates::Estimates;
 use medlarspur_lib::{
     collections::{Map, SeededMap},
     ids::{DomainName, RegionName, ServiceName},
@@ -48,106 +45,110 @@
 };
 use medlarspur_load::{random::Random, warmup::Seat};
 use placing::OPENING_LIMIT;
-use reach::Lapses;
-use state::State;
+use probing::LapseProbes;
+use state::TargetState;
 use std::collections::VecDeque;
-use waiting::{NewFlow, Rooms};
+use subset::Subset;
+use waiting::{Admissions, NewFlow};
 
-/// How long a request may wait for its answer and still count as work of its
-/// target. Callers give up after 8 s at most.
-const WORK_LIMIT: Millis = Millis::secs(8);
-/// How often records of flows that ended without a word are dropped.
-const SWEEP_PAUSE: Millis = Millis::secs(1);
+/// Maximum time for which a pending request counts as work of its target. Callers give up after
+/// 8 s at most.
+const MAX_REQUEST_AGE: Millis = Millis::secs(8);
+/// Interval between removals of records of flows that ended without a closing packet.
+const SWEEP_INTERVAL: Millis = Millis::secs(1);
 
-/// What an instance's place in the fleet makes different.
+/// Parameters of a forwarder that depend on the instance's place in the fleet.
 #[derive(Debug, Clone)]
-pub struct Tuning {
-    /// The failure domain of this instance.
+pub struct ForwarderOptions {
+    /// Failure domain of this instance.
     pub domain: DomainName,
-    /// The region of each failure domain, as far as it is known.
+    /// Region of each failure domain, as far as it is known.
     pub regions: Map<DomainName, RegionName>,
-    /// Begins the sequence that decides between equal targets.
+    /// Seed of the random numbers that decide between equal targets.
     pub seed: u64,
 }
 
-/// The flows through one instance.
+/// The flows that pass through one instance.
 #[derive(Debug)]
 pub struct Forwarder {
     catalog: Catalog,
     flows: SeededMap<FlowKey, Flow>,
-    states: Map<Incarnation, State>,
+    /// States of the known targets.
+    states: Map<Incarnation, TargetState>,
+    /// Scheduled checks of unanswered openings.
     openings: VecDeque<(Millis, FlowKey)>,
-    /// Flows that wait to be opened, and the room at their services.
+    /// Flows held before their opening, and the admission state of their services.
     held: SeededMap<FlowKey, NewFlow>,
-    rooms: Rooms,
-    /// How many instances of this failure domain there are, this one included, and how
-    /// many domains have targets.
-    near: usize,
-    domains: usize,
+    admissions: Admissions,
+    /// Number of instances in this failure domain, including this one, and number of domains
+    /// that have targets.
+    domain_size: usize,
+    domain_count: usize,
+    /// Lost targets that are listed.
     lost: Vec<Incarnation>,
-    lapses: Lapses,
-    /// Targets that take no openings.
+    lapse_probes: LapseProbes,
+    /// Targets that accept no openings.
     full: Vec<Incarnation>,
-    /// What was learnt from answers.
-    heard: Heard,
-    /// This instance's seat in its failure domain, while it is known.
+    /// Estimates derived from answers.
+    estimates: Estimates,
+    /// Seat of this instance in its failure domain, while it is known.
     seat: Option<Seat>,
-    /// This instance's part of the targets of its domain, by service.
-    dealt: Map<ServiceName, Dealt>,
-    /// Whether nobody of this failure domain hears from the store.
+    /// This instance's subset of the targets of its domain, by service.
+    subsets: Map<ServiceName, Subset>,
+    /// Whether no instance of this failure domain can reach the store.
     cut_off: bool,
-    /// Whether this domain is evacuated and no target elsewhere can be reached.
+    /// Whether this domain is evacuated and no target in another domain can be reached.
     stranded: bool,
-    /// When any target showed life last.
-    life: Millis,
-    /// When a target was found silent first since.
-    alone: Option<Millis>,
-    swept: Millis,
-    tuning: Tuning,
+    /// Time at which any target was last known to be alive.
+    last_alive: Millis,
+    /// Time of the first unanswered probe since then, if there was one.
+    isolated_since: Option<Millis>,
+    last_sweep: Millis,
+    options: ForwarderOptions,
     random: Random,
     counts: Counts,
 }
 
 impl Forwarder {
-    /// One that knows nothing yet.
-    pub fn new(tuning: Tuning) -> Forwarder {
+    /// Creates a forwarder without targets and routes.
+    pub fn new(options: ForwarderOptions) -> Forwarder {
         Forwarder {
             catalog: Catalog::default(),
             flows: SeededMap::default(),
             states: Map::default(),
             openings: VecDeque::new(),
             held: SeededMap::default(),
-            rooms: Rooms::default(),
-            near: 1,
-            domains: 1,
+            admissions: Admissions::default(),
+            domain_size: 1,
+            domain_count: 1,
             lost: Vec::new(),
-            lapses: Lapses::default(),
+            lapse_probes: LapseProbes::default(),
             full: Vec::new(),
-            heard: Heard::default(),
+            estimates: Estimates::default(),
             seat: None,
-            dealt: Map::default(),
+            subsets: Map::default(),
             cut_off: false,
             stranded: false,
-            life: Millis(0),
-            alone: None,
-            swept: Millis(0),
-            random: Random::new(tuning.seed),
-            tuning,
+            last_alive: Millis(0),
+            isolated_since: None,
+            last_sweep: Millis(0),
+            random: Random::new(options.seed),
+            options,
             counts: Counts::default(),
         }
     }
 
-    /// What is known of targets and routes.
+    /// The known targets and routes.
     pub fn catalog(&self) -> &Catalog {
         &self.catalog
     }
 
-    /// Counts since the start.
+    /// Counters since the start of the process.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How many flows have a record.
+    /// Number of flows that have a record.
     pub fn len(&self) -> usize {
         self.flows.len()
     }
@@ -157,58 +158,71 @@
         self.flows.is_empty()
     }
 
-    /// Up to which revision all changes are known.
+    /// The revision up to which all changes are known.
     pub fn revision(&self) -> Revision {
         self.catalog.revision()
     }
 
-    /// Decides on one packet.
-    pub fn packet(&mut self, segment: &Segment, bytes: &[u8], now: Millis, out: &mut impl Output) {
-        if now.since(self.swept) >= SWEEP_PAUSE {
+    /// Forwards, holds, resets or drops one packet.
+    pub fn handle_packet(
+        &mut self,
+        segment: &Segment,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut impl Output,
+    ) {
+        if now.since(self.last_sweep) >= SWEEP_INTERVAL {
             self.sweep(now);
         }
         match segment.kind {
-            Kind::Open => self.open(segment, bytes, now, out),
-            Kind::Middle => self.middle(segment, bytes, now, out),
-            Kind::Close | Kind::Abort => self.close(segment, bytes, now, out),
+            Kind::Open => self.handle_open(segment, bytes, now, out),
+            Kind::Middle => self.handle_middle(segment, bytes, now, out),
+            Kind::Close | Kind::Abort => self.handle_close(segment, bytes, now, out),
         }
     }
 
-    fn middle(&mut self, segment: &Segment, bytes: &[u8], now: Millis, out: &mut impl Output) {
-        let Some(target) = self.target(segment, out) else { return };
-        // A copy of its opening may wait here. Opened now, the flow would have a second target.
-        self.forget(&segment.key);
+    fn handle_middle(
+        &mut self,
+        segment: &Segment,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut impl Output,
+    ) {
+        let Some(target) = self.resolve_target(segment, out) else { return };
+        // A copy of the opening may be held here. Opened now, the flow would get a second
+        // target.
+        self.cancel_held(&segment.key);
         let is_lost = self.states.get(&target).is_some_and(|state| state.health.is_lost());
         if is_lost {
-            self.reset(&segment.key, segment.ack, target, now, out);
+            self.reset_lost_flow(&segment.key, segment.ack, target, now, out);
             return;
         }
-        self.follow(target, segment, now, out);
-        self.counts.passed += 1;
+        self.track(target, segment, now, out);
+        self.counts.forwarded += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
-    /// Where a packet in mid-flow goes: where its mark says, unless its flow is known to be
-    /// open at another target, and nowhere without a mark that holds.
-    fn target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
+    /// Returns the target of a packet in mid-flow: that of its mark, unless the flow is known
+    /// to be open at another target, and none without a valid mark.
+    fn resolve_target(&mut self, segment: &Segment, out: &mut impl Output) -> Option<Incarnation> {
         let marked = segment.mark.and_then(|mark| self.catalog.entry_by_mark(mark, &segment.key));
         if let Some(entry) = marked {
-            return Some(self.acknowledged(segment).unwrap_or(entry.target.incarnation));
+            return Some(self.acknowledged_target(segment).unwrap_or(entry.target.incarnation));
         }
         let reason = match segment.mark {
             Some(_) => Unroutable::UnknownMark,
             None => Unroutable::Unmarked,
         };
         match reason {
-            Unroutable::UnknownMark => self.counts.unknown += 1,
+            Unroutable::UnknownMark => self.counts.unknown_mark += 1,
             Unroutable::Unmarked => self.counts.unmarked += 1,
         }
         out.note(Note::Dropped { flow: segment.key, reason, mark: segment.mark });
         None
     }
 
-    /// Notes what a packet shows of its target.
-    fn follow(
+    /// Updates records and target states with what a packet shows about its target.
+    fn track(
         &mut self,
         target: Incarnation,
         segment: &Segment,
@@ -218,68 +232,75 @@
         let known = self.take_record(target, &segment.key);
         let is_resumed = known.is_none();
         let route = self.catalog.route(segment.key.service);
-        let (class, goal) = (route.map(|route| route.class), route.and_then(waiting::goal));
+        let (class, objective) =
+            (route.map(|route| route.class), route.and_then(waiting::objective));
         let mut flow = match (known, class) {
             (Some(flow), _) => flow,
             (None, Some(class)) if segment.len > 0 => Flow::resume(target, class, segment, now),
             (None, _) => return,
         };
         let class = flow.class;
-        let seen = flow.see(segment, now);
+        let seen = flow.observe(segment, now);
         self.account(&flow, 1);
-        self.measure(&flow, seen, now, out);
+        self.record_times(&flow, seen, now, out);
         self.flows.insert(segment.key, flow);
         if is_resumed {
-            self.ask_unasked(target, now, out);
+            self.probe_unprobed(target, now, out);
         }
         if seen.opened {
-            self.see_taken(target, class, now, out);
+            self.record_accepted(target, class, now, out);
         }
-        if let (Some(since), Some(goal)) = (seen.answered, goal) {
-            self.hear_answer(target, goal, now.since(since), now);
+        if let (Some(since), Some(objective)) = (seen.request_since, objective) {
+            self.record_answer(target, objective, now.since(since), now);
         }
-        if seen.life {
-            self.see_life(target, now, out);
+        if seen.alive {
+            self.record_alive(target, now, out);
         }
-        if let Some(sent) = seen.repeats {
+        if let Some(sent) = seen.unanswered_since {
             self.counts.repeated += 1;
-            self.doubt(target, segment.key, sent, now, out);
-            self.watch(target, sent, now);
+            self.suspect(target, segment.key, sent, now, out);
+            self.schedule_silence_check(target, sent, now);
         }
     }
 
-    fn measure(&mut self, flow: &Flow, seen: Seen, now: Millis, out: &mut impl Output) {
+    fn record_times(&mut self, flow: &Flow, seen: Observation, now: Millis, out: &mut impl Output) {
         let Some(entry) = self.catalog.entry(flow.target) else { return };
         let service = entry.target.service.clone();
         if seen.opened {
-            out.measure(&service, flow.class, Span::Handshake(now.since(flow.since)));
-            self.heard.handshake(flow.since, flow.resent, now);
+            out.measure(&service, flow.class, Span::Handshake(now.since(flow.first_seen)));
+            self.estimates.add_handshake(flow.first_seen, flow.resent, now);
         }
-        if let Some(since) = seen.answered {
+        if let Some(since) = seen.request_since {
             let span = now.since(since);
             out.measure(&service, flow.class, Span::Answer(span));
-            self.heard.answer(&service, flow.class, span);
+            self.estimates.add_answer(&service, flow.class, span);
         }
     }
 
-    fn close(&mut self, segment: &Segment, bytes: &[u8], now: Millis, out: &mut impl Output) {
+    fn handle_close(
+        &mut self,
+        segment: &Segment,
+        bytes: &[u8],
+        now: Millis,
+        out: &mut impl Output,
+    ) {
         if self.is_held(&segment.key) {
-            return self.forget(&segment.key);
+            return self.cancel_held(&segment.key);
         }
-        let Some(target) = self.target(segment, out) else { return };
+        let Some(target) = self.resolve_target(segment, out) else { return };
         if segment.kind == Kind::Close {
-            self.follow(target, segment, now, out);
+            self.track(target, segment, now, out);
         }
-        let flow = self.flows.get(&segment.key).filter(|flow| flow.opened);
+        let flow = self.flows.get(&segment.key).filter(|flow| flow.opened_here);
         if let (Some(flow), Some(entry)) = (flow, self.catalog.entry(target)) {
-            let length = Span::Length(now.since(flow.since));
+            let length = Span::Length(now.since(flow.first_seen));
             out.measure(&entry.target.service, flow.class, length);
         }
         if let Some(flow) = self.flows.get(&segment.key).filter(|flow| !flow.is_opening()) {
-            self.see_end(target, flow.class);
+            self.record_flow_end(target, flow.class);
         }
         self.drop_flow(&segment.key);
-        self.counts.passed += 1;
+        self.counts.forwarded += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
@@ -295,7 +316,8 @@
         }
     }
 
-    pub(super) fn reset(
+    /// Resets a flow whose target is lost; `seq` is the next number that the caller expects.
+    pub(super) fn reset_lost_flow(
         &mut self,
         key: &FlowKey,
         seq: u32,
@@ -315,25 +337,25 @@
         });
     }
 
-    /// Does what is due by now.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, now: Millis, out: &mut impl Output) {
-        self.confirm(now, out);
-        self.judge_stranding(now, out);
+        self.confirm_restore(now, out);
+        self.update_stranded(now, out);
         while let Some((due, key)) = self.openings.pop_front_if(|(due, _)| *due <= now) {
-            if self.is_awaited(&key, due) {
-                self.remind(key, now, out);
+            if self.is_check_due(&key, due) {
+                self.check_opening(key, now, out);
             }
         }
-        self.release(now, out);
-        self.check_full(now, out);
-        self.ask_lost(now, out);
-        self.ask_full(now, out);
+        self.release_held(now, out);
+        self.check_silent_targets(now, out);
+        self.probe_lost(now, out);
+        self.probe_full(now, out);
     }
 
-    /// When [`tick`](Self::tick) has something to do next.
+    /// The time at which [`tick`](Self::tick) has to be called next.
     pub fn deadline(&mut self) -> Option<Millis> {
         while let Some(&(due, key)) = self.openings.front() {
-            if self.is_awaited(&key, due) {
+            if self.is_check_due(&key, due) {
                 break;
             }
             self.openings.pop_front();
@@ -342,27 +364,29 @@
         let states = &self.states;
         let retries = self.lost.iter().filter_map(|it| states.get(it)?.health.next_probe());
         let full = self.full.iter().filter_map(|it| states.get(it));
-        let full = full.flat_map(|state| state.check.into_iter().chain(state.vacancy.next_probe()));
-        let others = retries.chain(full).chain(self.patience()).chain(self.catalog.deadline());
+        let full =
+            full.flat_map(|state| state.check_at.into_iter().chain(state.vacancy.next_probe()));
+        let others = retries.chain(full).chain(self.held_deadline()).chain(self.catalog.deadline());
         opening.into_iter().chain(others).min()
     }
 
-    /// Whether the opening that is looked at at that moment is still unanswered. It may have
-    /// moved to another target since, or its ports may belong to another flow; either has a
-    /// moment of its own, and looked at early it would be sent twice and have a target doubted
-    /// that had no time to answer.
-    fn is_awaited(&self, key: &FlowKey, due: Millis) -> bool {
-        self.flows.get(key).is_some_and(|flow| flow.is_opening() && flow.look == due)
+    /// Whether the opening scheduled for a check at `due` is still unanswered. It may have
+    /// moved to another target since, or its ports may belong to another flow. Either has a
+    /// check of its own; checked too early, the opening would be sent twice, and a target would
+    /// be suspected that had no time to answer.
+    fn is_check_due(&self, key: &FlowKey, due: Millis) -> bool {
+        self.flows.get(key).is_some_and(|flow| flow.is_opening() && flow.next_check == due)
     }
 
-    /// Drops records of flows that ended without a word.
+    /// Removes records of flows that ended without a closing packet.
     fn sweep(&mut self, now: Millis) {
-        self.swept = now;
+        self.last_sweep = now;
         let idle = self.catalog.config().map_or(Millis::secs(60), |config: &Config| config.idle);
         let is_over = |flow: &Flow| {
             let limit = if flow.is_opening() { OPENING_LIMIT } else { idle };
-            let waits = flow.waiting.is_some_and(|since| now.since(since) > WORK_LIMIT);
-            now.since(flow.touched) > limit || waits
+            let is_stalled =
+                flow.pending_since.is_some_and(|since| now.since(since) > MAX_REQUEST_AGE);
+            now.since(flow.last_seen) > limit || is_stalled
         };
         let over: Vec<FlowKey> =
             self.flows.iter().filter(|(_, flow)| is_over(flow)).map(|(key, _)| *key).collect();
@@ -371,7 +395,7 @@
         }
     }
 
-    pub(super) fn keep(&mut self, key: FlowKey, flow: Flow) {
+    pub(super) fn insert_flow(&mut self, key: FlowKey, flow: Flow) {
         self.account(&flow, 1);
         self.flows.insert(key, flow);
     }
@@ -382,6 +406,7 @@
         }
     }
 
+    /// Adds a flow to its target's counts, or subtracts it if `sign` is -1.
     pub(super) fn account(&mut self, flow: &Flow, sign: i32) {
         if let Some(state) = self.states.get_mut(&flow.target) {
             state.account(flow, sign);
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -1,10 +1,10 @@
-//! Giving new flows a target.
+//! Choice of targets for new flows.
 
 use super::{
     Forwarder, Output, Refusal,
-    closed::Closed,
-    dealt::Dealt,
-    reach::DOUBT_TIME,
+    exclusion::Exclusion,
+    probing::SUSPECT_TIME,
+    subset::Subset,
     waiting::{self, NewFlow},
 };
 use crate::{Entry, Flow, FlowKey, Incarnation, Mark, Note, Phase, Presence, Segment};
@@ -19,50 +19,50 @@
     reserve::RequestShare,
 };
 
-/// How long an opening packet may go without the end of the handshake, at least, before
-/// it is sent again and its target doubted. A round trip through caller and target
-/// takes up to 12 ms where failure domains are 1.4 ms apart and callers 3 ms away.
-const LEAST_PATIENCE: Millis = Millis(30);
-/// The same, at most: callers repeat an opening after 200 ms, when some answers are late
-/// already. Between the two it is the longest handshake that is usual here, so that openings
-/// of callers who are far aren't all sent twice.
-const MOST_PATIENCE: Millis = Millis(100);
-/// Until when an unanswered opening is looked at. After 200 ms its caller sends it again
-/// by itself, and each copy has the target asked if it is silent.
-const LAST_LOOK: Millis = Millis(200);
-/// How long a flow must have waited here for its caller to count as maybe gone. Callers
-/// with several flows go on with the one that becomes free first, and end no handshake of
+/// Minimum time without the end of the handshake after which an opening packet is sent again
+/// and its target suspected. A round trip through caller and target takes up to 12 ms if
+/// failure domains are 1.4 ms apart and callers 3 ms away.
+const MIN_OPENING_TIMEOUT: Millis = Millis(30);
+/// Maximum of the same time: callers repeat an opening after 200 ms, when some answers are
+/// already late. Between the two limits the usual upper bound of handshake times applies, so
+/// that openings of distant callers aren't all sent twice.
+const MAX_OPENING_TIMEOUT: Millis = Millis(100);
+/// Age of an unanswered opening after which it is no longer checked. After 200 ms the caller
+/// sends it again by itself, and each copy has the target probed if it is silent.
+const MAX_CHECK_AGE: Millis = Millis(200);
+/// Time for which a flow must have been held here for its caller to count as possibly gone.
+/// Callers with several flows continue with the one that is free first and end no handshake of
 /// the others. Until 200 ms no caller has sent its opening again, so most are still there.
-pub(super) const OVERDUE: Millis = Millis(200);
-/// How much later than usual an end of the handshake may be looked at: a round of an
-/// instance with a twentieth of a core takes some milliseconds.
-const LATENESS: Millis = Millis(10);
-/// How long a caller tries to open a flow, with some room.
+pub(super) const OVERDUE_WAIT: Millis = Millis(200);
+/// Margin that is added to the usual handshake time: one iteration of an instance with a
+/// twentieth of a core takes some milliseconds.
+const TIMEOUT_MARGIN: Millis = Millis(10);
+/// Maximum time for which a caller tries to open a flow, with a margin.
 pub(super) const OPENING_LIMIT: Millis = Millis(1_600);
-/// How long a target that is not listed any more gets new flows if it answers:
-/// an entry that lapsed without need is back within some two seconds.
+/// Maximum time for which a target that is no longer listed gets new flows if it answers: an
+/// entry that lapsed needlessly is back within about two seconds.
 const LAPSE_LIMIT: Millis = Millis::secs(3);
 
 /// Targets that could take a flow.
 #[derive(Default)]
 struct Options {
     targets: Vec<Incarnation>,
-    /// The same as candidates, in the same order.
+    /// The same targets as candidates, in the same order.
     candidates: Vec<Candidate>,
-    /// Whether targets were left out, which operators are shown.
+    /// Whether targets were left out because of an evacuation or slow start; both are counted.
     evacuated: bool,
     warming: bool,
 }
 
 impl Forwarder {
-    pub(super) fn open(
+    pub(super) fn handle_open(
         &mut self,
         segment: &Segment,
         bytes: &[u8],
         now: Millis,
         out: &mut impl Output,
     ) {
-        if let Some(target) = self.opened(&segment.key, now) {
+        if let Some(target) = self.copy_target(&segment.key, now) {
             self.counts.reopened += 1;
             if let Some(flow) = self.flows.get_mut(&segment.key) {
                 flow.resent = true;
@@ -76,7 +76,7 @@
         let Some(route) = self.catalog.route(segment.key.service) else {
             return self.refuse(&segment.key, Refusal::NoRoute, out);
         };
-        let goal = waiting::goal(route);
+        let objective = waiting::objective(route);
         let new = NewFlow {
             key: segment.key,
             seq: segment.seq,
@@ -85,53 +85,56 @@
             packet: bytes.into(),
             waited: Millis(0),
         };
-        if let Some(new) = self.hold(new, goal, now, out) {
+        if let Some(new) = self.hold_if_busy(new, objective, now, out) {
             self.place(new, now, out);
         }
     }
 
-    /// The target that a flow was opened to a moment ago and that may still
-    /// answer. Later, the same ports are a new flow. An opening that nothing has answered
-    /// leaves a failure domain that operators have emptied meanwhile, or where its route's
-    /// requests must not go any more: its copy would open the flow there after all.
-    fn opened(&self, key: &FlowKey, now: Millis) -> Option<Incarnation> {
+    /// The target of a recently opened flow if the target may still answer; later packets of
+    /// the same ports open a new flow. An unanswered opening leaves a failure domain that was
+    /// evacuated in the meantime, or that the route's requests may no longer enter: its copy
+    /// would still open the flow there.
+    fn copy_target(&self, key: &FlowKey, now: Millis) -> Option<Incarnation> {
         let flow = self.flows.get(key)?;
-        let is_copy = flow.opened && now.since(flow.since) <= OPENING_LIMIT;
+        let is_copy = flow.opened_here && now.since(flow.first_seen) <= OPENING_LIMIT;
         let is_lost = self.states.get(&flow.target).is_some_and(|it| it.health.is_lost());
         let is_known = self.catalog.entry(flow.target).is_some();
-        let is_late = flow.is_opening() && self.is_barred(key, flow.target);
-        (is_copy && !is_lost && is_known && !is_late).then_some(flow.target)
+        let must_move = flow.is_opening() && self.is_evacuated_or_away(key, flow.target);
+        (is_copy && !is_lost && is_known && !must_move).then_some(flow.target)
     }
 
-    /// Gives a new flow a target.
+    /// Chooses a target for a new flow and forwards the opening packet.
     pub(super) fn place(&mut self, it: NewFlow, now: Millis, out: &mut impl Output) {
         let NewFlow { key, seq, class, service, packet, waited } = it;
         self.drop_flow(&key);
         let Some((target, note)) = self.choose(&service, class, &key, now) else {
-            return self.refuse(&key, self.excluded(&service, &key, now), out);
+            return self.refuse(&key, self.refusal_reason(&service, &key, now), out);
         };
         self.counts.opened += 1;
-        self.note_warmup(target, now);
+        self.record_warmup_opening(target, now);
         out.note(note);
         self.send(target, &key, &packet, out);
         let mut flow = Flow::open(target, class, packet, seq, now);
-        flow.overdue = waited >= OVERDUE;
-        self.keep(key, flow);
-        self.look_later(key, now);
+        flow.overdue = waited >= OVERDUE_WAIT;
+        self.insert_flow(key, flow);
+        self.schedule_opening_check(key, now);
     }
 
-    /// Has an unanswered opening looked at when it is late.
-    fn look_later(&mut self, key: FlowKey, now: Millis) {
-        let due = now + self.opening_patience();
+    /// Schedules a check of an unanswered opening.
+    fn schedule_opening_check(&mut self, key: FlowKey, now: Millis) {
+        let due = now + self.opening_timeout();
         if let Some(flow) = self.flows.get_mut(&key) {
-            flow.look = due;
+            flow.next_check = due;
             self.openings.push_back((due, key));
         }
     }
 
-    fn opening_patience(&self) -> Millis {
-        let usual = self.heard.longest_handshake().map_or(LEAST_PATIENCE, |usual| usual + LATENESS);
-        usual.clamp(LEAST_PATIENCE, MOST_PATIENCE)
+    fn opening_timeout(&self) -> Millis {
+        let usual = self
+            .estimates
+            .longest_handshake()
+            .map_or(MIN_OPENING_TIMEOUT, |usual| usual + TIMEOUT_MARGIN);
+        usual.clamp(MIN_OPENING_TIMEOUT, MAX_OPENING_TIMEOUT)
     }
 
     fn choose(
@@ -141,70 +144,71 @@
         key: &FlowKey,
         now: Millis,
     ) -> Option<(Incarnation, Note)> {
-        let dealt = self.dealt(service);
-        let first =
-            dealt.as_ref().and_then(|dealt| self.choose_own(service, dealt, class, key, now));
+        let subset = self.subset(service);
+        let first = subset
+            .as_ref()
+            .and_then(|subset| self.subset_options(service, subset, class, key, now));
         let options =
-            first.unwrap_or_else(|| self.options(service, dealt.as_ref(), class, key, now));
+            first.unwrap_or_else(|| self.all_options(service, subset.as_ref(), class, key, now));
         self.choose_among(options, class, key)
     }
 
-    /// The targets of this instance's own part, if nothing closes any of the service's and one
-    /// of them costs no more than any other could. Few flows go on to look at all targets, so
-    /// that the work for one doesn't grow with their number.
-    fn choose_own(
+    /// Returns the targets of this instance's subset, if no target of the service is excluded
+    /// and one of the subset ranks as high as any other could. Few flows then need a look at
+    /// all targets, so that the cost of a flow does not grow with their number.
+    fn subset_options(
         &self,
         service: &ServiceName,
-        dealt: &Dealt,
+        subset: &Subset,
         class: Class,
         key: &FlowKey,
         now: Millis,
     ) -> Option<Options> {
-        let bounds = self.bounds(service, key);
-        if !bounds.is_empty() || self.catalog.evacuated().next().is_some() {
+        let restrictions = self.restrictions(service, key);
+        if !restrictions.is_empty() || self.catalog.evacuated().next().is_some() {
             return None;
         }
-        let mix = self.heard.mix(service);
+        let request_share = self.estimates.request_share(service);
         let mut options = Options::default();
-        for entry in dealt.own.iter().filter_map(|it| self.catalog.entry(*it)) {
+        for entry in subset.own.iter().filter_map(|it| self.catalog.entry(*it)) {
             let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-            candidate.reserved =
-                class != Class::Upload && dealt.is_kept(entry.target.incarnation, mix);
+            candidate.reserved = class != Class::Upload
+                && subset.is_reserved(entry.target.incarnation, request_share);
             options.targets.push(entry.target.incarnation);
             options.candidates.push(candidate);
         }
         options.candidates.iter().any(|it| it.is_cheapest_possible(class)).then_some(options)
     }
 
-    /// All targets that could take a flow.
-    fn options(
+    /// Returns all targets that could take a flow.
+    fn all_options(
         &self,
         service: &ServiceName,
-        dealt: Option<&Dealt>,
+        subset: Option<&Subset>,
         class: Class,
         key: &FlowKey,
         now: Millis,
     ) -> Options {
-        let bounds = self.bounds(service, key);
+        let restrictions = self.restrictions(service, key);
         let (mut options, mut entries) = (Options::default(), Vec::new());
         for entry in self.catalog.targets(service) {
-            match self.closed(entry, bounds, now) {
-                Some(Closed::Evacuated) => options.evacuated = true,
-                Some(Closed::Warming) => options.warming = true,
-                Some(Closed::Away) => {}
+            match self.exclusion(entry, restrictions, now) {
+                Some(Exclusion::Evacuated) => options.evacuated = true,
+                Some(Exclusion::Warming) => options.warming = true,
+                Some(Exclusion::Away) => {}
                 None => {
                     let Some(mut candidate) = self.candidate(entry, class, now) else { continue };
-                    let is_own = |dealt: &Dealt| dealt.owns(entry.target.incarnation);
+                    let is_own = |subset: &Subset| subset.contains(entry.target.incarnation);
                     candidate.outside_subset =
-                        candidate.same_domain && dealt.is_some_and(|it| !is_own(it));
+                        candidate.same_domain && subset.is_some_and(|it| !is_own(it));
                     entries.push(entry);
                     options.candidates.push(candidate);
                 }
             }
         }
         if class != Class::Upload {
-            let mix = self.heard.mix(service);
-            keep_for_requests(mix, &entries, &mut options.candidates);
+            let request_share = self.estimates.request_share(service);
+            reserve_for_requests(request_share, &entries, &mut options.candidates);
         }
         options.targets = entries.iter().map(|entry| entry.target.incarnation).collect();
         options
@@ -222,12 +226,12 @@
             let count = candidates.len();
             let chosen = candidates.swap_remove(position);
             let target = targets.swap_remove(position);
-            // Another target may have the same mark for this flow, and packets
-            // in mid-flow would go there.
-            let meant = self.catalog.entry_by_mark(Mark::new(target, key), key);
-            if meant.is_some_and(|entry| entry.target.incarnation == target) {
-                self.counts.avoided += u64::from(evacuated);
-                self.counts.spared += u64::from(warming);
+            // Another target may have the same mark for this flow, and would get its packets in
+            // mid-flow.
+            let marked = self.catalog.entry_by_mark(Mark::new(target, key), key);
+            if marked.is_some_and(|entry| entry.target.incarnation == target) {
+                self.counts.evacuated_avoided += u64::from(evacuated);
+                self.counts.warming_spared += u64::from(warming);
                 let note = Note::Opened {
                     flow: *key,
                     target,
@@ -241,25 +245,26 @@
         }
     }
 
-    /// Why no target of a service can take a flow.
-    fn excluded(&self, service: &ServiceName, key: &FlowKey, now: Millis) -> Refusal {
+    /// Returns the reason why no target of a service can take a flow.
+    fn refusal_reason(&self, service: &ServiceName, key: &FlowKey, now: Millis) -> Refusal {
         let targets = self.catalog.targets(service).filter(|it| !it.target.leaving);
         let targets: Vec<&Entry> = targets.collect();
-        let bounds = self.bounds(service, key);
-        let closed = |it: &&Entry| it.is_listed().then(|| self.closed(it, bounds, now)).flatten();
-        if targets.iter().any(|entry| closed(entry).is_none() && self.is_full(entry)) {
+        let restrictions = self.restrictions(service, key);
+        let exclusion =
+            |it: &&Entry| it.is_listed().then(|| self.exclusion(it, restrictions, now)).flatten();
+        if targets.iter().any(|entry| exclusion(entry).is_none() && self.is_full(entry)) {
             return Refusal::Full;
         }
-        match targets.iter().find_map(closed) {
-            Some(Closed::Warming) => Refusal::Warming,
-            Some(Closed::Evacuated) => Refusal::Evacuated,
-            Some(Closed::Away) => Refusal::Away,
+        match targets.iter().find_map(exclusion) {
+            Some(Exclusion::Warming) => Refusal::Warming,
+            Some(Exclusion::Evacuated) => Refusal::Evacuated,
+            Some(Exclusion::Away) => Refusal::Away,
             None => Refusal::NoTarget,
         }
     }
 
-    /// A target as one that could take a flow, unless it is [closed](Closed); none if it
-    /// must not.
+    /// Returns a target as a candidate for a flow, without checking its [exclusion](Exclusion);
+    /// none if it can't take the flow.
     pub(super) fn candidate(&self, entry: &Entry, class: Class, now: Millis) -> Option<Candidate> {
         let state = self.states.get(&entry.target.incarnation)?;
         if entry.target.leaving || state.health.is_lost() {
@@ -268,9 +273,9 @@
         if !state.vacancy.can_open(class, state.opening) {
             return None;
         }
-        let same_domain = entry.target.domain == self.tuning.domain;
-        let is_doubted = state.doubted.is_some_and(|at| now.since(at) < DOUBT_TIME);
-        let is_doubted = is_doubted || self.stranded && !same_domain;
+        let same_domain = entry.target.domain == self.options.domain;
+        let is_suspected = state.suspected_at.is_some_and(|at| now.since(at) < SUSPECT_TIME);
+        let is_suspected = is_suspected || self.stranded && !same_domain;
         let tier = match entry.presence {
             Presence::Removed(since)
                 if state.health.last_alive() <= since || now.since(since) > LAPSE_LIMIT =>
@@ -278,16 +283,16 @@
                 return None;
             }
             Presence::Unusable(_) | Presence::Replaced(_) => return None,
-            _ if is_doubted => Tier::Doubtful,
+            _ if is_suspected => Tier::Doubtful,
             Presence::Removed(_) => Tier::Unlisted,
             Presence::Listed => Tier::Good,
         };
         Some(Candidate {
             tier,
             slots: entry.target.slots,
-            in_flight: state.working,
+            in_flight: state.in_flight,
             opening: state.opening,
-            idle_feeds: state.feeds,
+            idle_feeds: state.idle_feeds,
             cold: now < entry.cold_until,
             same_domain,
             reserved: false,
@@ -295,23 +300,23 @@
         })
     }
 
-    /// Looks at an opening that nothing has answered: sends it once more and has its target
-    /// asked, and looks again after as long. What the target then still leaves unanswered
-    /// it has no room for, also if it answers questions; without the second look the flow
-    /// would wait there until its caller gives up.
-    pub(super) fn remind(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
+    /// Checks an unanswered opening: sends it again, has its target probed, and schedules the
+    /// next check. If the target then still leaves it unanswered, the target is full, even if
+    /// it answers probes; without the second check the flow would wait there until its caller
+    /// gives up.
+    pub(super) fn check_opening(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
         let Some(flow) = self.flows.get_mut(&key) else { return };
         let Phase::Opening { packet } = &flow.phase else { return };
         if flow.overdue {
             return self.abandon(key, now, out);
         }
-        let (target, since, packet) = (flow.target, flow.since, packet.clone());
-        let is_first = flow.looks == 0;
-        flow.looks += 1;
-        if self.is_barred(&key, target) {
+        let (target, since, packet) = (flow.target, flow.first_seen, packet.clone());
+        let is_first = flow.checks == 0;
+        flow.checks += 1;
+        if self.is_evacuated_or_away(&key, target) {
             return self.move_opening(key, target, now, out);
         }
-        if self.refuse_place(target, since, now, out) {
+        if self.mark_full_if_declining(target, since, now, out) {
             return;
         }
         if is_first {
@@ -319,30 +324,30 @@
                 flow.resent = true;
             }
             self.send(target, &key, &packet, out);
-            self.doubt_opening(target, key, since, now, out);
+            self.suspect_opening(target, key, since, now, out);
         }
-        if now.since(since) < LAST_LOOK {
-            self.look_later(key, now);
+        if now.since(since) < MAX_CHECK_AGE {
+            self.schedule_opening_check(key, now);
         }
     }
 
-    /// Takes an overdue opening for one whose caller has gone. It is no work then, and
-    /// says nothing of its target by itself. Taken for silence, the openings of a crowd that
-    /// has waited here make all targets look full, and callers are turned away while targets
-    /// stand idle. The target is asked, though: where everybody
-    /// waits, nothing else would show that it is silent or full, and having the least work
-    /// it would get all that is opened. Should the caller be there after all, the end of its
-    /// handshake finds the target by its mark.
+    /// Treats the caller of an overdue opening as gone. The opening no longer counts as work,
+    /// and by itself says nothing about its target. Treated as silence, the openings held
+    /// during overload would make all targets look full, and callers would be refused while
+    /// targets are idle. The target is probed nevertheless: if all openings are held, nothing
+    /// else would show that it is silent or full, and it would get all new flows because it has
+    /// the least work. If the caller is still there, the end of its handshake finds the target
+    /// by its mark.
     fn abandon(&mut self, key: FlowKey, now: Millis, out: &mut impl Output) {
         let Some(mut flow) = self.flows.remove(&key) else { return };
         self.account(&flow, -1);
         flow.abandoned = true;
-        let (target, since) = (flow.target, flow.since);
+        let (target, since) = (flow.target, flow.first_seen);
         self.flows.insert(key, flow);
-        self.doubt_late_opening(target, key, since, now, out);
+        self.suspect_late_opening(target, key, since, now, out);
     }
 
-    /// Resets a flow that went to no target.
+    /// Resets a flow that was sent to no target.
     pub(super) fn refuse(&mut self, flow: &FlowKey, refusal: Refusal, out: &mut impl Output) {
         self.counts.refuse(refusal);
         out.reset(flow, 0);
@@ -350,21 +355,26 @@
     }
 }
 
-/// Marks the targets that feeds should leave to requests: in each failure domain the first ones
-/// by their numbers, which all instances rank alike.
-fn keep_for_requests(mix: RequestShare, entries: &[&Entry], candidates: &mut [Candidate]) {
+/// Marks the candidates that feeds leave to requests: the first ones of each failure domain by
+/// incarnation, an order that is the same at all instances.
+fn reserve_for_requests(
+    request_share: RequestShare,
+    entries: &[&Entry],
+    candidates: &mut [Candidate],
+) {
     let mut domains: Map<&DomainName, Vec<(Incarnation, usize)>> = Map::default();
     for (at, entry) in entries.iter().enumerate() {
         let domain = domains.entry(&entry.target.domain).or_default();
         domain.push((entry.target.incarnation, at));
     }
     for domain in domains.values_mut() {
-        let kept = mix.reserved_targets(domain.len());
-        // Every opening of a feed comes here, and only which ones are first is needed.
-        if kept < domain.len() {
-            domain.select_nth_unstable(kept);
+        let reserved = request_share.reserved_targets(domain.len());
+        // Every opening of a feed runs this, and only membership in the first part is needed,
+        // so a selection replaces a full sort.
+        if reserved < domain.len() {
+            domain.select_nth_unstable(reserved);
         }
-        for (_, at) in &domain[..kept] {
+        for (_, at) in &domain[..reserved] {
             candidates[*at].reserved = true;
         }
     }
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -1,7 +1,7 @@
-//! Having new flows wait while their service has no room.
+//! Holding of new flows while their service has no capacity.
 //!
-//! Which ones go first, and how much may be under way, is decided by
-//! `medlarspur_load::{backlog, limit}`, which say for which patterns of load.
+//! `medlarspur_load::{backlog, limit}` decide the order and the amount of work in progress;
+//! they describe the load patterns that this is for.
 
 use super::{Forwarder, Output, Refusal};
 use crate::{FlowKey, Incarnation, Note, Route};
@@ -16,98 +16,97 @@
     limit::{ConcurrencyLimit, InFlight},
 };
 
-/// What is under way at a service, and what waits for it.
+/// Admission state of a service: its concurrency limit and the held flows.
 #[derive(Debug, Default)]
-pub(super) struct Room {
+pub(super) struct Admission {
     limit: ConcurrencyLimit,
     backlog: Backlog<FlowKey>,
 }
 
-/// A new flow that wants to be opened.
+/// A new flow without a target.
 #[derive(Debug, Clone)]
 pub(super) struct NewFlow {
     pub(super) key: FlowKey,
-    /// The number of its opening packet.
+    /// Sequence number of the opening packet.
     pub(super) seq: u32,
     pub(super) class: Class,
-    /// The service that it was drawn for, if its route is split.
+    /// The service chosen for the flow, if its route is split.
     pub(super) service: ServiceName,
-    /// Its opening packet.
+    /// The opening packet.
     pub(super) packet: Box<[u8]>,
-    /// How long its caller has waited for it to be opened.
+    /// Time for which the flow has been held.
     pub(super) waited: Millis,
 }
 
-/// Work under way at a service as far as this instance sees it.
+/// Work in progress at a service, as far as this instance sees it.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     work: InFlight,
-    /// This instance's part of the slots of all targets.
-    part: f32,
+    /// This instance's share of the slots of all targets.
+    slot_share: f32,
 }
 
 impl Forwarder {
-    /// Tells how many instances of this failure domain there are, this one included.
-    pub fn set_near(&mut self, count: usize) {
-        self.near = count.max(1);
+    /// Sets the number of instances in this failure domain, including this one.
+    pub fn set_domain_size(&mut self, count: usize) {
+        self.domain_size = count.max(1);
     }
 
-    /// Counts the failure domains that have targets. Instances of the others are not
-    /// known here; there are taken to be as many in each.
+    /// Counts the failure domains that have targets. Instances of other domains are not known
+    /// here; their number is assumed to be the same in each.
     pub(super) fn count_domains(&mut self) {
         let domains: Set<_> = self.catalog.entries().map(|it| &it.target.domain).collect();
-        self.domains = domains.len().max(1);
+        self.domain_count = domains.len().max(1);
     }
 
-    /// About how many instances there are.
-    pub(super) fn instances(&self) -> usize {
-        self.near * self.domains
+    /// Estimated number of all instances.
+    pub(super) fn instance_count(&self) -> usize {
+        self.domain_size * self.domain_count
     }
 
-    /// Drops what is known of services that have no targets any more.
-    pub(super) fn forget_rooms(&mut self) {
+    /// Removes the admission state and estimates of services without targets.
+    pub(super) fn drop_unused_services(&mut self) {
         let catalog = &self.catalog;
-        self.rooms.retain(|service, room| {
-            !room.backlog.is_empty() || catalog.targets(service).next().is_some()
+        self.admissions.retain(|service, admission| {
+            !admission.backlog.is_empty() || catalog.targets(service).next().is_some()
         });
-        self.heard.retain(|service| catalog.targets(service).next().is_some());
+        self.estimates.retain(|service| catalog.targets(service).next().is_some());
     }
 
-    /// Whether a flow waits to be opened.
+    /// Whether a flow is held.
     pub(super) fn is_held(&self, key: &FlowKey) -> bool {
         self.held.contains_key(key)
     }
 
-    /// Has the flow wait if its service has no room; gives it back if it has.
-    pub(super) fn hold(
+    /// Holds a flow if its service has no capacity; returns it otherwise.
+    pub(super) fn hold_if_busy(
         &mut self,
         it: NewFlow,
-        goal: Option<Millis>,
+        objective: Option<Millis>,
         now: Millis,
         out: &mut impl Output,
     ) -> Option<NewFlow> {
-        let Some(goal) = goal else { return Some(it) };
-        let is_open = self
-            .rooms
-            .get(&it.service)
-            .is_none_or(|room| room.backlog.is_empty() && room.limit.is_unlimited(now));
+        let Some(objective) = objective else { return Some(it) };
+        let is_open = self.admissions.get(&it.service).is_none_or(|admission| {
+            admission.backlog.is_empty() && admission.limit.is_unlimited(now)
+        });
         if is_open {
             return Some(it);
         }
         let Load { work, .. } = self.load(&it.service);
-        let room = self.rooms.entry(it.service.clone()).or_default();
-        if room.backlog.can_bypass(it.class) && room.limit.admits(it.class, work, now) {
+        let admission = self.admissions.entry(it.service.clone()).or_default();
+        if admission.backlog.can_bypass(it.class) && admission.limit.admits(it.class, work, now) {
             return Some(it);
         }
-        let deadline = now + max_wait(goal);
+        let deadline = now + max_wait(objective);
         let waiting = Waiting { key: it.key, class: it.class, since: now, deadline };
-        let count = room.backlog.len();
-        if room.backlog.push(waiting).is_some() {
+        let count = admission.backlog.len();
+        if admission.backlog.push(waiting).is_some() {
             self.refuse(&it.key, Refusal::Busy, out);
             return None;
         }
         self.counts.held += 1;
-        let pressure = room.limit.pressure();
+        let pressure = admission.limit.pressure();
         out.note(Note::Held {
             flow: it.key,
             class: it.class,
@@ -119,74 +118,80 @@
         None
     }
 
-    /// Forgets a flow that waits and that its caller has given up.
-    pub(super) fn forget(&mut self, key: &FlowKey) {
+    /// Removes a held flow that its caller has given up.
+    pub(super) fn cancel_held(&mut self, key: &FlowKey) {
         let Some(it) = self.held.remove(key) else { return };
-        if let Some(room) = self.rooms.get_mut(&it.service) {
-            room.backlog.remove(*key);
+        if let Some(admission) = self.admissions.get_mut(&it.service) {
+            admission.backlog.remove(*key);
         }
     }
 
-    /// Takes in how long a request to a target took.
-    pub(super) fn hear_answer(
+    /// Adds the answer time of a request to the service's limit.
+    pub(super) fn record_answer(
         &mut self,
         target: Incarnation,
-        goal: Millis,
+        objective: Millis,
         span: Millis,
         now: Millis,
     ) {
         let Some(entry) = self.catalog.entry(target) else { return };
         let service = entry.target.service.clone();
-        if !self.rooms.entry(service.clone()).or_default().limit.record_answer(span, goal, now) {
+        if !self
+            .admissions
+            .entry(service.clone())
+            .or_default()
+            .limit
+            .record_answer(span, objective, now)
+        {
             return;
         }
-        let Load { work, part } = self.load(&service);
-        if let Some(room) = self.rooms.get_mut(&service) {
-            room.limit.adjust(work.all, part, now);
+        let Load { work, slot_share } = self.load(&service);
+        if let Some(admission) = self.admissions.get_mut(&service) {
+            admission.limit.adjust(work.all, slot_share, now);
         }
     }
 
-    /// Opens what has waited and finds room now, and turns away what has waited too
+    /// Opens held flows for which there is capacity, and refuses those that were held for too
     /// long.
-    pub(super) fn release(&mut self, now: Millis, out: &mut impl Output) {
+    pub(super) fn release_held(&mut self, now: Millis, out: &mut impl Output) {
         if self.held.is_empty() {
             return;
         }
-        let services: Vec<ServiceName> = self.rooms.keys().cloned().collect();
+        let services: Vec<ServiceName> = self.admissions.keys().cloned().collect();
         for service in services {
             self.open_held(&service, now, out);
-            self.expire(&service, now, out);
+            self.refuse_expired(&service, now, out);
         }
     }
 
     fn open_held(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
         loop {
             let Load { work, .. } = self.load(service);
-            let Some(room) = self.rooms.get_mut(service) else { return };
-            let Some(next) = room.backlog.peek() else { return };
-            if !room.limit.admits(next.class, work, now) {
+            let Some(admission) = self.admissions.get_mut(service) else { return };
+            let Some(next) = admission.backlog.peek() else { return };
+            if !admission.limit.admits(next.class, work, now) {
                 return;
             }
-            room.backlog.remove(next.key);
+            admission.backlog.remove(next.key);
             if let Some(it) = self.held.remove(&next.key) {
-                self.place_late(it, next.since, now, out);
+                self.place_held(it, next.since, now, out);
             }
         }
     }
 
-    fn expire(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
+    fn refuse_expired(&mut self, service: &ServiceName, now: Millis, out: &mut impl Output) {
         loop {
-            let Some(room) = self.rooms.get_mut(service) else { return };
-            let Some(late) = room.backlog.pop_expired(now) else { return };
+            let Some(admission) = self.admissions.get_mut(service) else { return };
+            let Some(late) = admission.backlog.pop_expired(now) else { return };
             if self.held.remove(&late.key).is_some() {
                 self.refuse(&late.key, Refusal::Busy, out);
             }
         }
     }
 
-    /// Opens a flow that has waited since `asked`, by the config that is in force now.
-    fn place_late(&mut self, mut it: NewFlow, asked: Millis, now: Millis, out: &mut impl Output) {
-        it.waited = now.since(asked);
+    /// Opens a flow that was held since `since`, by the config now in force.
+    fn place_held(&mut self, mut it: NewFlow, since: Millis, now: Millis, out: &mut impl Output) {
+        it.waited = now.since(since);
         let Some(route) = self.catalog.route(it.key.service) else {
             return self.refuse(&it.key, Refusal::NoRoute, out);
         };
@@ -196,43 +201,45 @@
         self.place(it, now, out);
     }
 
-    /// How long answers of a service take, in hundredths of their goals, and how many
-    /// flows wait for it.
-    pub(super) fn room(&self, service: &ServiceName) -> (u32, u64) {
-        let room = self.rooms.get(service);
-        room.map_or((0, 0), |room| (room.limit.pressure(), room.backlog.len() as u64))
+    /// Answer time of a service in hundredths of its latency objective, and number of flows
+    /// held for it.
+    pub(super) fn pressure_and_backlog(&self, service: &ServiceName) -> (u32, u64) {
+        let admission = self.admissions.get(service);
+        admission.map_or((0, 0), |admission| {
+            (admission.limit.pressure(), admission.backlog.len() as u64)
+        })
     }
 
-    /// When the first flow has waited too long.
-    pub(super) fn patience(&self) -> Option<Millis> {
-        self.rooms.values().filter_map(|room| room.backlog.next_deadline()).min()
+    /// The time at which the first held flow has waited too long.
+    pub(super) fn held_deadline(&self) -> Option<Millis> {
+        self.admissions.values().filter_map(|admission| admission.backlog.next_deadline()).min()
     }
 
     fn load(&self, service: &ServiceName) -> Load {
         let (mut work, mut slots) = (InFlight::default(), 0);
         for entry in self.catalog.targets(service) {
             let Some(state) = self.states.get(&entry.target.incarnation) else { continue };
-            // What goes on in an evacuated domain takes no room from those that are used.
-            if self.is_emptied(&entry.target.domain) {
+            // Work in an evacuated domain takes no capacity from the domains in use.
+            if self.is_evacuation_active(&entry.target.domain) {
                 continue;
             }
-            work.all += state.working + state.opening;
+            work.all += state.in_flight + state.opening;
             work.requests += state.requests;
             if !entry.target.leaving && !state.health.is_lost() && entry.is_listed() {
                 slots += entry.target.slots;
             }
         }
-        Load { work, part: slots as f32 / self.instances() as f32 }
+        Load { work, slot_share: slots as f32 / self.instance_count() as f32 }
     }
 }
 
-/// The goal that decides whether flows of a route wait, if any does.
+/// The latency objective that decides whether flows of a route are held, if there is one.
 ///
-/// Uploads don't wait: most of their time is that of their bytes on the way, which says
+/// Uploads are not held: most of their time is spent on transferring their bytes, which says
 /// nothing about the targets.
-pub(super) fn goal(route: &Route) -> Option<Millis> {
+pub(super) fn objective(route: &Route) -> Option<Millis> {
     route.objective.filter(|_| route.class != Class::Upload)
 }
 
-/// The rooms of all services.
-pub(super) type Rooms = Map<ServiceName, Room>;
+/// Admission states by service.
+pub(super) type Admissions = Map<ServiceName, Admission>;
--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -113,7 +113,7 @@
                     let results = [ProbeResult::Answers, ProbeResult::Gone, ProbeResult::Silent];
                     let (at, result) = (numbered(target).incarnation, results[usize::from(result)]);
                     let time = super::fixtures::millis(now);
-                    instance.forwarder.answer(at, result, time, &mut instance.out);
+                    instance.forwarder.handle_probe_result(at, result, time, &mut instance.out);
                 }
                 Step::Wait { millis } => {
                     now += millis;
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -71,7 +71,7 @@
         questions: addr(m.addresses.questions),
         control: addr(m.addresses.control),
         version: m.version.0,
-        told: m.told,
+        told: m.advertised,
     }
 }
 
@@ -146,17 +146,17 @@
         service: m.service.to_string(),
         targets,
         flows,
-        told: m.told,
+        told: m.advertised,
     }
 }
 
 fn history(m: &message::History) -> wire::History {
     let owners = m.owners.iter();
-    let owner = |loss: &message::Loss| wire::Owner {
-        bucket: loss.bucket.0.into(),
-        target: loss.target.to_string(),
-        age: loss.age,
-        called_off: !loss.owned,
+    let owner = |entry: &message::HistoryEntry| wire::Owner {
+        bucket: entry.bucket.0.into(),
+        target: entry.target.to_string(),
+        age: entry.age,
+        called_off: !entry.owned,
     };
     wire::History { service: m.service.to_string(), owners: owners.map(owner).collect() }
 }
