--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -1,16 +1,18 @@
-//! The decisions on openings, bound to the packet path: it translates between
-//! the targets of the view and the positions that the decisions work with.
+//! Admission control on the packet path: an adapter between the forwarder, which
+//! identifies targets by their ids in the view, and the crate `medlarspur_load`, which
+//! identifies them by their positions in the bundle.
 //!
-//! A target that leaves takes new work for as long as it owns a bucket: a move
-//! is carried out up to 1.2 s after the bundle that causes it, and until then
-//! its new flows go to the old owner. Refused there by the bundle's word alone,
-//! callers are turned away during each planned change while the other targets
-//! have room.
+//! A leaving target accepts new flows as long as it owns a bucket. A bucket's move takes
+//! effect up to 1.2 s after the bundle that causes it, and until then new flows of the
+//! bucket go to the old owner. If that owner refused them as soon as the bundle says that
+//! it leaves, callers would be turned away during every planned change although other
+//! targets have capacity.
 //!
-//! An instance that slept may learn of a bundle long after the others. It still
-//! waits with the moves, but the others have carried them out, and the target
-//! may be about to go down: work placed there would be cut. Until its news is
-//! fresh again, it goes by the bundle's word.
+//! An instance whose process slept may learn of a bundle long after the others. It would
+//! still wait before it carries out the moves. But the others have already done so, and the
+//! leaving target may stop at any moment and cut the flows placed there. So while the view
+//! may be stale, the instance refuses new flows at each target that the bundle marks as
+//! leaving.
 
 use medlarspur_lib::{
     bundle::{Class, Limits, Service, TargetState},
@@ -28,84 +30,87 @@
 use medlarspur_target::{Event, Verdict};
 use std::{sync::Arc, time::Duration};
 
-/// What a caller is told before anything was measured.
-const FIRST_WAIT: Millis = Millis::secs(1);
+/// Retry delay given to a refused caller while none has been estimated.
+const DEFAULT_RETRY_AFTER: Millis = Millis::secs(1);
 
-/// How long an opening may wait undecided; far longer than any patience. One
-/// whose service is gone is never decided and would be remembered forever.
-const FORGOTTEN: Millis = Millis::secs(10);
+/// Age at which an undecided opening is dropped from the records; far longer than any
+/// opening may wait. An opening whose service is gone is never decided and would stay
+/// recorded forever.
+const MAX_WAITING_AGE: Millis = Millis::secs(10);
 
-/// Where what happens to one class of a service is recorded.
+/// Histograms of one class of a service.
 type Recorder = Arc<ClassMeters>;
 
-/// A target that leaves and still owns a bucket.
+/// A leaving target that still owns a bucket.
 #[derive(Debug, Clone, Copy)]
-struct Holder {
+struct LeavingOwner {
     service: ServiceIx,
     target: TargetIx,
     id: TargetId,
-    /// The revision of the service that this was seen in.
+    /// Revision of the service at which the ownership was last checked.
     revision: u64,
 }
 
-/// The gate of one instance.
+/// Admission control of one instance.
 pub struct LoadGate {
     meters: Meters,
     recorders: Map<(ServiceIx, Class), Recorder>,
-    /// Openings that wait, since when.
+    /// Waiting openings, with the start of the wait.
     waiting: FlowMap<(Millis, Recorder)>,
     gate: load::Gate,
-    places: Map<TargetId, (ServiceIx, TargetIx)>,
+    positions: Map<TargetId, (ServiceIx, TargetIx)>,
     names: Map<TargetName, TargetId>,
-    /// Few or none: a view is published often, and only these are looked at.
-    holders: Vec<Holder>,
-    waits: Vec<Millis>,
+    /// Usually few or none. Views are published often, and only these targets are
+    /// checked for each.
+    leaving_owners: Vec<LeavingOwner>,
+    retry_after: Vec<Millis>,
     decided: Vec<(FlowId, load::Verdict)>,
     version: Option<medlarspur_lib::ids::Version>,
-    /// Until when the bundle may be news to this instance alone.
-    waking: Millis,
+    /// Time until which the view may be stale after a sleep of the process.
+    stale_until: Millis,
 }
 
 impl LoadGate {
-    /// Decides with the default settings and records in `meters`. `seed`
-    /// differs for each instance, so that no two spread their refusals alike.
+    /// Creates a gate with the default settings that records in `meters`. `seed` must
+    /// differ between instances, so that they spread refusals over different callers.
     pub fn new(seed: u64, meters: Meters) -> LoadGate {
         LoadGate {
             meters,
             recorders: Map::default(),
             waiting: FlowMap::default(),
             gate: load::Gate::new(load::Settings::default(), seed),
-            places: Map::default(),
+            positions: Map::default(),
             names: Map::default(),
-            holders: Vec::new(),
-            waits: Vec::new(),
+            leaving_owners: Vec::new(),
+            retry_after: Vec::new(),
             decided: Vec::new(),
             version: None,
-            waking: Millis(0),
+            stale_until: Millis(0),
         }
     }
 
-    /// Says that this process slept.
+    /// Closes all leaving targets after a sleep of the process.
     pub fn wake(&mut self, now: Millis) {
-        self.waking = now + STALE_TIME;
-        for holder in self.holders.drain(..) {
-            self.gate.mark_leaving(holder.service, holder.target);
+        self.stale_until = now + STALE_TIME;
+        for owner in self.leaving_owners.drain(..) {
+            self.gate.mark_leaving(owner.service, owner.target);
         }
     }
 
-    fn install(&mut self, view: &View, now: Millis) {
-        self.gate.set_settings(settings(&view.bundle.limits));
+    fn install_bundle(&mut self, view: &View, now: Millis) {
+        self.gate.set_settings(load_settings(&view.bundle.limits));
         let mut services: Vec<_> =
-            view.bundle.services.iter().map(|spec| service_load(spec)).collect();
-        self.holders = if now < self.waking { Vec::new() } else { holders(view) };
-        for Holder { service, target, .. } in &self.holders {
+            view.bundle.services.iter().map(|spec| service_spec(spec)).collect();
+        self.leaving_owners =
+            if now < self.stale_until { Vec::new() } else { find_leaving_owners(view) };
+        for LeavingOwner { service, target, .. } in &self.leaving_owners {
             let service = &mut services[usize::from(service.0)];
             service.targets[usize::from(target.0)].state = TargetState::Active;
         }
         self.gate.set_services(now, services);
-        self.waits = vec![FIRST_WAIT; view.bundle.services.len()];
-        self.waiting.retain(|_, (since, _)| now.since(*since) < FORGOTTEN);
-        self.places.clear();
+        self.retry_after = vec![DEFAULT_RETRY_AFTER; view.bundle.services.len()];
+        self.waiting.retain(|_, (since, _)| now.since(*since) < MAX_WAITING_AGE);
+        self.positions.clear();
         self.recorders.clear();
         self.names.clear();
         for (at, spec) in view.bundle.services.iter().enumerate() {
@@ -115,59 +120,59 @@
             }
             for (position, target) in spec.targets.iter().enumerate() {
                 if let Some(id) = view.registry.find_by_name(&spec.name, &target.name) {
-                    self.places.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
+                    self.positions.insert(id, (ServiceIx(at as u16), TargetIx(position as u16)));
                     self.names.insert(target.name.clone(), id);
                 }
             }
         }
     }
 
-    /// Takes what a target's endpoint said, or that it said nothing.
-    pub fn probed(&mut self, now: Millis, event: &Event) {
+    /// Records the result of a probe: the target's own report, or that there was none.
+    pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.told {
-            Some(told) => load::Signal::Report(load::Report {
+            Some(report) => load::Signal::Report(load::Report {
                 healthy: event.verdict == Verdict::Healthy,
-                draining: told.draining,
-                work: told.slots,
-                connections: told.connections,
+                draining: report.draining,
+                work: report.slots,
+                connections: report.connections,
             }),
             None => load::Signal::NoReport,
         };
-        self.signal(now, target, signal);
+        self.report_signal(now, target, signal);
     }
 
-    /// Closes the leaving targets whose last bucket has moved. Within a bundle
-    /// no leaving target gets a bucket back.
-    fn release(&mut self, view: &View) {
+    /// Closes the leaving targets whose last bucket has moved. No leaving target regains
+    /// a bucket within a bundle.
+    fn close_moved(&mut self, view: &View) {
         let gate = &mut self.gate;
-        self.holders.retain_mut(|holder| {
-            let service = &view.services[usize::from(holder.service.0)];
-            if service.revision == holder.revision {
+        self.leaving_owners.retain_mut(|owner| {
+            let service = &view.services[usize::from(owner.service.0)];
+            if service.revision == owner.revision {
                 return true;
             }
-            holder.revision = service.revision;
-            let owns = owns(service, holder.id);
-            if !owns {
-                gate.mark_leaving(holder.service, holder.target);
+            owner.revision = service.revision;
+            let owns_bucket = owns_bucket(service, owner.id);
+            if !owns_bucket {
+                gate.mark_leaving(owner.service, owner.target);
             }
-            owns
+            owns_bucket
         });
     }
 
-    fn note_wait(&mut self, service: ServiceIx, after: Millis) {
-        if let Some(wait) = self.waits.get_mut(usize::from(service.0)) {
+    fn set_retry_after(&mut self, service: ServiceIx, after: Millis) {
+        if let Some(wait) = self.retry_after.get_mut(usize::from(service.0)) {
             *wait = after;
         }
     }
 
     fn recorder(&self, target: TargetId, class: Class) -> Option<&Recorder> {
-        let &(service, _) = self.places.get(&target)?;
+        let &(service, _) = self.positions.get(&target)?;
         self.recorders.get(&(service, class))
     }
 
-    /// Remembers since when an opening waits, or records that it did not.
-    fn note_verdict(&mut self, now: Millis, opening: &Opening, verdict: load::Verdict) {
+    /// Stores the start of an opening's wait, or records a wait of zero.
+    fn record_verdict(&mut self, now: Millis, opening: &Opening, verdict: load::Verdict) {
         let Some(recorder) = self.recorder(opening.target, opening.class) else { return };
         let recorder = recorder.clone();
         match verdict {
@@ -177,20 +182,20 @@
             load::Verdict::Admit if !self.waiting.contains_key(&opening.flow) => {
                 recorder.wait(Duration::ZERO);
             }
-            _ => self.note_decided(now, opening.flow, verdict),
+            _ => self.record_wait(now, opening.flow, verdict),
         }
     }
 
-    /// Records how long an opening waited, if it was admitted in the end.
-    fn note_decided(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
+    /// Removes a decided opening, and records its wait if it was admitted.
+    fn record_wait(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
         let Some((since, recorder)) = self.waiting.remove(&flow) else { return };
         if matches!(verdict, load::Verdict::Admit) {
-            recorder.wait(span(now.since(since)));
+            recorder.wait(to_duration(now.since(since)));
         }
     }
 
-    fn signal(&mut self, now: Millis, target: TargetId, signal: load::Signal) {
-        if let Some(&(service, target)) = self.places.get(&target) {
+    fn report_signal(&mut self, now: Millis, target: TargetId, signal: load::Signal) {
+        if let Some(&(service, target)) = self.positions.get(&target) {
             self.gate.record_signal(now, service, target, signal);
         }
     }
@@ -198,52 +203,52 @@
 
 impl Gate for LoadGate {
     fn open(&mut self, now: Millis, opening: &Opening) -> Opened {
-        let Some(&(service, target)) = self.places.get(&opening.target) else {
-            return Opened::Refuse { after: FIRST_WAIT };
+        let Some(&(service, target)) = self.positions.get(&opening.target) else {
+            return Opened::Refuse { after: DEFAULT_RETRY_AFTER };
         };
         let Opening { flow, caller, class, .. } = *opening;
         let verdict = self.gate.open(now, &load::Opening { flow, caller, service, class, target });
-        self.note_verdict(now, opening, verdict);
+        self.record_verdict(now, opening, verdict);
         if let load::Verdict::Refuse { after } = verdict {
-            self.note_wait(service, after);
+            self.set_retry_after(service, after);
         }
-        translate(verdict)
+        convert_verdict(verdict)
     }
 
     fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Opened)>) {
         self.gate.collect_verdicts(now, &mut self.decided);
         for (flow, verdict) in std::mem::take(&mut self.decided) {
-            self.note_decided(now, flow, verdict);
-            decided.push((flow, translate(verdict)));
+            self.record_wait(now, flow, verdict);
+            decided.push((flow, convert_verdict(verdict)));
         }
     }
 
     fn retry_after(&self, _: FlowId, target: Option<TargetId>) -> Millis {
-        let place = target.and_then(|target| self.places.get(&target));
-        let wait = place.and_then(|(service, _)| self.waits.get(usize::from(service.0)));
-        wait.copied().unwrap_or(FIRST_WAIT)
+        let position = target.and_then(|target| self.positions.get(&target));
+        let wait = position.and_then(|(service, _)| self.retry_after.get(usize::from(service.0)));
+        wait.copied().unwrap_or(DEFAULT_RETRY_AFTER)
     }
 
     fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
-            recorder.handshake(span(after));
+            recorder.handshake(to_duration(after));
         }
-        self.signal(now, target, load::Signal::Established { after: Some(after) });
+        self.report_signal(now, target, load::Signal::Established { after: Some(after) });
     }
 
     fn on_abort(&mut self, now: Millis, target: TargetId) {
-        self.signal(now, target, load::Signal::Reset);
+        self.report_signal(now, target, load::Signal::Reset);
     }
 
     fn on_close(&mut self, now: Millis, id: FlowId, flow: &Flow) {
-        // Packets of a flow may pass any instance; only the one that opened it
-        // knows how long it lasted.
+        // A flow's packets may pass through any instance; only the one that opened the
+        // flow knows its duration.
         if flow.certainty == Certainty::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
-            recorder.length(span(flow.age(now)));
+            recorder.length(to_duration(flow.age(now)));
         }
-        if let Some(&(service, target)) = self.places.get(&flow.target) {
+        if let Some(&(service, target)) = self.positions.get(&flow.target) {
             let closing = load::Closing { flow: id, service, class: flow.class, target };
             self.gate.record_closing(now, &closing);
         }
@@ -254,16 +259,16 @@
         self.gate.set_instances(live.max(1) as u16);
         if self.version != Some(view.bundle.version) {
             self.version = Some(view.bundle.version);
-            self.install(view, now);
+            self.install_bundle(view, now);
         }
-        self.release(view);
+        self.close_moved(view);
     }
 }
 
-/// The leaving targets that still own a bucket. A service whose buckets never
-/// moved has none, which spares a large site the look at most of its buckets.
-fn holders(view: &View) -> Vec<Holder> {
-    let mut found = Vec::new();
+/// Returns the leaving targets that still own a bucket. Services at revision 0, whose
+/// buckets never moved, have none and are skipped, which on a large site are most.
+fn find_leaving_owners(view: &View) -> Vec<LeavingOwner> {
+    let mut owners = Vec::new();
     for (at, service) in view.services.iter().enumerate() {
         if service.revision == 0 {
             continue;
@@ -273,8 +278,8 @@
                 continue;
             }
             let id = view.registry.find_by_name(&service.spec.name, &target.name);
-            if let Some(id) = id.filter(|id| owns(service, *id)) {
-                found.push(Holder {
+            if let Some(id) = id.filter(|id| owns_bucket(service, *id)) {
+                owners.push(LeavingOwner {
                     service: ServiceIx(at as u16),
                     target: TargetIx(position as u16),
                     id,
@@ -283,18 +288,18 @@
             }
         }
     }
-    found
+    owners
 }
 
-fn owns(service: &ServiceView, target: TargetId) -> bool {
+fn owns_bucket(service: &ServiceView, target: TargetId) -> bool {
     service.buckets.iter().any(|bucket| bucket.owner == Some(target))
 }
 
-fn span(millis: Millis) -> Duration {
+fn to_duration(millis: Millis) -> Duration {
     Duration::from_millis(millis.0)
 }
 
-fn translate(verdict: load::Verdict) -> Opened {
+fn convert_verdict(verdict: load::Verdict) -> Opened {
     match verdict {
         load::Verdict::Admit => Opened::Admit,
         load::Verdict::Wait { .. } => Opened::Wait,
@@ -302,8 +307,9 @@
     }
 }
 
-/// The settings of the decisions: what the bundle sets, and their defaults.
-pub fn settings(limits: &Limits) -> load::Settings {
+/// Returns the settings for `medlarspur_load`: those of the bundle, and defaults for the
+/// rest.
+pub fn load_settings(limits: &Limits) -> load::Settings {
     let default = load::Settings::default();
     load::Settings {
         reserve: limits.reserve.unwrap_or(default.reserve),
@@ -315,7 +321,7 @@
     }
 }
 
-fn service_load(spec: &Service) -> load::ServiceSpec {
+fn service_spec(spec: &Service) -> load::ServiceSpec {
     let targets = spec.targets.iter().map(|target| load::TargetSpec {
         name: target.name.clone(),
         slots: target.slots,
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -1,6 +1,6 @@
-//! Log lines as text or as JSON, with their fields.
+//! Logger setup, and the formats of log lines as text and JSON.
 
-use crate::sink::Sink;
+use crate::sink::LogSink;
 use env_logger::{Builder, Target, fmt::Formatter};
 use log::{
     LevelFilter, Record,
@@ -16,29 +16,28 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// One line in JSON.
+/// A log line in JSON.
 #[derive(Debug, Serialize)]
 struct Line<'a> {
-    /// Milliseconds since the Unix epoch, by the machine's clock.
+    /// Milliseconds since the Unix epoch, by the wall clock.
     time: u128,
     level: &'a str,
     part: &'a str,
     text: String,
-    /// What decided it, by name.
+    /// The line's key-value pairs.
     #[serde(flatten)]
     fields: BTreeMap<String, String>,
 }
 
-/// Sets the logger up on standard error; `RUST_LOG` may raise or lower the
-/// level.
+/// Initializes the logger on standard error. `RUST_LOG` overrides `level`.
 pub fn init(form: LogForm, level: LevelFilter) {
     builder(form, level).init();
 }
 
-/// Sets the logger up on standard output, behind a [`Sink`] that never makes a
-/// thread wait.
-pub fn init_sink(form: LogForm, level: LevelFilter) -> io::Result<Sink> {
-    let sink = Sink::start(stdout())?;
+/// Initializes the logger on standard output, through a [`LogSink`] that never blocks the
+/// logging thread.
+pub fn init_with_sink(form: LogForm, level: LevelFilter) -> io::Result<LogSink> {
+    let sink = LogSink::start(stdout())?;
     builder(form, level).target(Target::Pipe(Box::new(sink.clone()))).init();
     Ok(sink)
 }
@@ -56,10 +55,13 @@
     builder
 }
 
-#[allow(clippy::disallowed_methods, reason = "lines of several machines are put side by side")]
+#[allow(
+    clippy::disallowed_methods,
+    reason = "lines of several machines are compared by wall-clock time"
+)]
 fn json(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let mut fields = Collect(BTreeMap::new());
+    let mut fields = FieldMap(BTreeMap::new());
     record.key_values().visit(&mut fields).map_err(io::Error::other)?;
     let line = Line {
         time: wall.as_millis(),
@@ -75,31 +77,31 @@
 fn text(out: &mut Formatter, record: &Record<'_>) -> io::Result<()> {
     let (time, level, part) = (out.timestamp_millis(), record.level(), record.target());
     let mut line = one_line(&record.args().to_string());
-    record.key_values().visit(&mut Append(&mut line)).map_err(io::Error::other)?;
+    record.key_values().visit(&mut FieldText(&mut line)).map_err(io::Error::other)?;
     writeln!(out, "{time} {level:5} {part} {line}")
 }
 
-/// Gathers the fields of a line.
-struct Collect(BTreeMap<String, String>);
+/// Collects the key-value pairs of a line.
+struct FieldMap(BTreeMap<String, String>);
 
-impl<'kvs> VisitSource<'kvs> for Collect {
+impl<'kvs> VisitSource<'kvs> for FieldMap {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         self.0.insert(key.to_string(), value.to_string());
         Ok(())
     }
 }
 
-/// Appends the fields of a line as ` name=value`.
-struct Append<'a>(&'a mut String);
+/// Appends the key-value pairs of a line as ` key=value`.
+struct FieldText<'a>(&'a mut String);
 
-impl<'kvs> VisitSource<'kvs> for Append<'_> {
+impl<'kvs> VisitSource<'kvs> for FieldText<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
         write!(self.0, " {key}={value}").map_err(Error::from)
     }
 }
 
-/// Joins the lines of a text. An error is told with its causes, one a line;
-/// whoever searches the log for it must find them together.
+/// Joins the lines of a text into one. An error report has one line for each cause. On one
+/// line, a search of the log finds the error together with its causes.
 pub fn one_line(text: &str) -> String {
     let lines = text.lines().map(str::trim).filter(|line| !line.is_empty());
     lines.collect::<Vec<_>>().join(" ")
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -1,13 +1,13 @@
-//! What operators are shown of an instance: metrics, its state, why a flow goes where it goes.
+//! Metrics, status and explanations of flows for operators.
 
 use super::{Instance, MetricsSnafu, RunError};
 use crate::{
     marked::{
-        inbox::Question,
-        meters::{self, Numbers, Times},
-        shown::Shown,
+        inbox::OperatorQuery,
+        meters::{self, Histograms, Stats},
+        status::StatusSource,
     },
-    sink::Sink,
+    sink::LogSink,
 };
 use medlarspur_fabric::Wire;
 use medlarspur_lib::{status::MarkedStatus, time::Millis};
@@ -19,12 +19,12 @@
     sync::{Arc, atomic::Ordering::Relaxed},
 };
 
-/// How long after the start metrics begin to be served. Setting the server up takes some
-/// milliseconds of processor time, tens on a twentieth of a core; packets that wait at the
-/// start need them.
+/// Delay from the start until the metrics are served. Starting the server takes some
+/// milliseconds of processor time, or tens of milliseconds on a twentieth of a core, which
+/// packets queued at the start need more urgently.
 const METRICS_DELAY: Millis = Millis::secs(3);
 
-/// Metrics that are not served yet, or are.
+/// The metrics and their server, once it is started.
 pub(super) struct Metrics {
     address: SocketAddrV4,
     meters: Meters,
@@ -33,28 +33,28 @@
 }
 
 impl Instance {
-    /// Sets metrics up. They are served only [`METRICS_DELAY`] later.
-    pub(super) fn show(
+    /// Registers the metrics. They are served [`METRICS_DELAY`] later.
+    pub(super) fn set_up_metrics(
         &mut self,
         address: SocketAddrV4,
-        sink: Option<Sink>,
+        sink: Option<LogSink>,
     ) -> Result<(), RunError> {
         let meters = Meters::new().context(MetricsSnafu)?;
-        meters::register(&meters, &self.published, &self.reading.calls(), sink, self.clock);
-        self.datagrams.measure_into(Times::new(meters.clone()));
+        meters::register(&meters, &self.published, &self.store_reader.calls(), sink, self.clock);
+        self.output.set_histograms(Histograms::new(meters.clone()));
         let due = self.clock.now() + METRICS_DELAY;
         self.metrics = Some(Metrics { address, meters, due, server: None });
         Ok(())
     }
 
-    /// Publishes what was counted, and begins to serve metrics when that is due.
+    /// Publishes the counters, and starts serving the metrics when that is due.
     pub(super) fn publish(&mut self) {
         let confirmed = self.confirmed();
         let Some(metrics) = &mut self.metrics else { return };
         let now = self.clock.now();
         let fleet = self.peers.as_ref().map(|peers| &peers.fleet);
         let config = self.forwarder.catalog().config();
-        self.published.set(Numbers {
+        self.published.set(Stats {
             counts: self.forwarder.counts(),
             wire: self.socket.counts(),
             flows: self.forwarder.len() as u64,
@@ -64,41 +64,41 @@
             confirmed,
             revision: self.forwarder.revision(),
             version: config.map_or(0, |config| config.version.0),
-            reach: self.forwarder.live_and_lost(),
+            live_and_lost: self.forwarder.live_and_lost(),
             full: self.forwarder.count_full(),
             evacuated: self.forwarder.catalog().evacuated().count(),
             omitted: config.map_or(0, |config| config.omitted),
-            clashes: self.forwarder.catalog().collisions(),
-            ..self.numbers
+            collisions: self.forwarder.catalog().collisions(),
+            ..self.stats
         });
         if metrics.server.is_none() && metrics.due <= now {
             metrics.due = now + METRICS_DELAY;
-            let source = Arc::new(Shown::new(self.sender.clone()));
+            let source = Arc::new(StatusSource::new(self.sender.clone()));
             match Operator::start_marked(metrics.address, source, metrics.meters.clone()) {
                 Ok(server) => {
                     log::info!(address:% = server.address(); "operators: served");
                     metrics.server = Some(server);
                 }
-                Err(error) => log::warn!("metrics: not served: {}", Report::from_error(error)),
+                Err(error) => log::warn!("metrics: serving failed: {}", Report::from_error(error)),
             }
         }
     }
 
-    /// When the store or a reader confirmed the picture last.
+    /// Time at which the store or a reader last confirmed the catalog.
     pub(super) fn confirmed(&self) -> Option<Millis> {
-        self.read.max(self.peers.as_ref().and_then(|peers| peers.fleet.confirmed()))
+        self.last_read.max(self.peers.as_ref().and_then(|peers| peers.fleet.confirmed()))
     }
 
-    pub(super) fn show_operator(&self, question: Question, now: Millis) {
+    pub(super) fn answer_operator(&self, query: OperatorQuery, now: Millis) {
         let age = self.confirmed().map(|at| now.since(at));
-        let is_heard = match question {
-            Question::Status(reply) => reply.try_send(self.status(age, now)).is_ok(),
-            Question::Explain(flow, reply) => {
+        let is_sent = match query {
+            OperatorQuery::Status(reply) => reply.try_send(self.status(age, now)).is_ok(),
+            OperatorQuery::Explain(flow, reply) => {
                 reply.try_send(self.forwarder.explain(&flow, age, now)).is_ok()
             }
         };
-        if !is_heard {
-            log::debug!("operator: whoever asked has gone");
+        if !is_sent {
+            log::debug!("operator: answer dropped, the requester has disconnected");
         }
     }
 
--- a/daemon/src/marked/pictures.rs
+++ b/daemon/src/marked/pictures.rs
@@ -1,14 +1,14 @@
-//! Whole pictures between instances: all that one knows, told to another over TCP.
+//! Pulls of updates between instances over TCP, up to snapshots of the whole catalog.
 //!
-//! One thread tells whoever asks and asks where something is lacking here. When hundreds
-//! start together, each needs a picture, which takes a part of a second on a narrow link. So
-//! few are told at once, by connections that hold nobody else up, and whoever is one too many
-//! is turned away at once and asks another instance
-//! ([`Fleet::pull_failed`](medlarspur_marked::Fleet::pull_failed)). All who wait for the same
-//! picture share one copy of it.
+//! One thread serves pulls of other instances and makes those of this one. When hundreds of
+//! instances start together, each needs a snapshot, whose transfer takes a part of a second on a
+//! narrow link. So only a few transfers run at once, on connections that don't block each other.
+//! Requesters beyond that are rejected immediately and pull from another instance
+//! ([`Fleet::pull_failed`](medlarspur_marked::Fleet::pull_failed)). Requesters of the same update
+//! share one encoded copy.
 //!
-//! Whoever asks sends the revision that it knows, 4 bytes of its era and 8 of its count; the
-//! answer is its size, 4 bytes, and the news. Numbers are big-endian.
+//! A request is the revision that the requester knows, 4 bytes of era and 8 bytes of count. The
+//! response is the size, 4 bytes, and the update. Numbers are big-endian.
 
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
 use medlarspur_fabric::stream::{connect, is_decided, poll_until};
@@ -27,206 +27,218 @@
     time::{Duration, Instant},
 };
 
-/// How many are told at once. A picture of 6,000 targets has some 300 KB, so that four take
-/// half a second of a link of 20 Mbit/s.
-pub const MAX_TOLD: usize = 4;
-/// How many pictures are asked for at once.
+/// Maximum number of concurrent transfers to other instances. A snapshot of 6,000 targets has
+/// some 300 KB, so that four transfers occupy a link of 20 Mbit/s for half a second.
+pub const MAX_TRANSFERS: usize = 4;
+/// Maximum number of concurrent pulls from other instances.
 const MAX_PULLS: usize = 4;
-/// How long a connection to another instance may take to open; the longest round trip between
-/// failure domains of a region is some 3 ms.
-const CONNECT: Duration = Duration::from_millis(150);
-/// How long a connection may stand still after that: half a megabyte over the narrowest link
-/// known, 10 Mbit/s, beside others.
-const STALL: Duration = Duration::from_millis(800);
-/// How long a connection may take to say what it knows before it makes room for another one.
-const GREETING: Duration = Duration::from_millis(20);
-/// The largest picture that is taken, in bytes: some 60 bytes for each of
-/// 5,600 targets and 3,400 routes, with much room.
-const MAX_PICTURE: u32 = 8 << 20;
-/// Pictures are not on the stack.
-const STACK: usize = 64 << 10;
+/// Timeout for opening a connection to another instance. The longest round trip between failure
+/// domains of a region is some 3 ms.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout for a connection without progress. Half a megabyte over the narrowest known link, of
+/// 10 Mbit/s and shared with others, takes about as long.
+const STALL_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time in which a connection must send its request; after that it may be replaced by a new one.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(20);
+/// Maximum size of an accepted update, in bytes. A snapshot has some 60 bytes for each target and
+/// route, so that 5,600 targets and 3,400 routes stay far below the limit.
+const MAX_UPDATE_SIZE: u32 = 8 << 20;
+/// Stack size of the thread, in bytes. Updates are on the heap.
+const STACK_SIZE: usize = 64 << 10;
 
-/// How many bytes say what is known.
-const KNOWN: usize = 12;
+/// Size of a request, in bytes.
+const REQUEST_SIZE: usize = 12;
 
-/// Why a picture was not passed on.
+/// Reasons why an update was not transferred.
 #[derive(Debug, Snafu)]
-enum PictureError {
+enum TransferError {
     #[snafu(display("the connection failed"))]
     Connection { source: io::Error },
-    #[snafu(display("the other end stands still"))]
+    #[snafu(display("the other end makes no progress"))]
     Stalled,
-    #[snafu(display("it has {size} bytes, more than {MAX_PICTURE}"))]
+    #[snafu(display("the update has {size} bytes, at most {MAX_UPDATE_SIZE} are allowed"))]
     Oversize { size: u32 },
-    #[snafu(display("it can't be understood"))]
+    #[snafu(display("the update can't be encoded or decoded"))]
     Message { source: MessageError },
 }
 
-/// What the thread is to do.
+/// Command for the thread.
 #[derive(Debug)]
-pub enum Order {
-    /// Ask that instance for what has changed since a revision.
+pub enum Command {
+    /// Pull the changes since a revision from this instance.
     Pull(SocketAddrV4, Revision),
-    /// Tell those who wait for it what has changed since a revision.
-    Tell(Revision, Update),
+    /// Send this update to all requesters that wait for the changes since a revision.
+    Send(Revision, Update),
 }
 
-/// Hands orders to the thread.
+/// Handle of the thread.
 #[derive(Debug, Clone)]
-pub struct Pictures {
-    orders: Sender<Order>,
+pub struct UpdateExchange {
+    commands: Sender<Command>,
 }
 
-impl Pictures {
-    /// Serves pictures at an address and asks others for theirs.
+impl UpdateExchange {
+    /// Starts a thread that serves pulls at an address and makes pulls from others.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
-    pub fn start(address: SocketAddrV4, sender: Sender) -> io::Result<Pictures> {
+    /// Fails if the address can't be bound or the thread can't be started.
+    pub fn start(address: SocketAddrV4, sender: Sender) -> io::Result<UpdateExchange> {
         let listener = TcpListener::bind(address)?;
         listener.set_nonblocking(true)?;
-        let (orders, inbox) = inbox::channel()?;
-        let exchange = Exchange {
+        let (commands, inbox) = inbox::channel()?;
+        let exchange = ExchangeThread {
             listener,
             inbox,
             sender,
-            orders: orders.clone(),
-            asked: None,
-            tellings: Vec::new(),
+            commands: commands.clone(),
+            requested: None,
+            transfers: Vec::new(),
             pulls: Vec::new(),
         };
-        let thread = thread::Builder::new().name("pictures".to_owned()).stack_size(STACK);
+        let thread = thread::Builder::new().name("pictures".to_owned()).stack_size(STACK_SIZE);
         thread.spawn(move || exchange.run())?;
-        Ok(Pictures { orders })
+        Ok(UpdateExchange { commands })
     }
 
-    /// Asks another instance for what has changed since `known`, without waiting. The main
-    /// thread gets [`Event::Told`] or [`Event::NotTold`].
+    /// Requests a pull of the changes since `known`, without waiting. The main thread receives
+    /// [`Event::Pulled`] or [`Event::PullFailed`].
     pub fn pull(&self, from: SocketAddrV4, known: Revision) {
-        if self.orders.send(Order::Pull(from, known)) != Delivery::Taken {
-            log::warn!("pictures: {from} is not asked, too much waits");
+        if self.commands.send(Command::Pull(from, known)) != Delivery::Queued {
+            log::warn!("pictures: pull from {from} dropped, the queue is full");
         }
     }
 }
 
-/// The thread.
-struct Exchange {
+/// The thread that serves and makes pulls.
+struct ExchangeThread {
     listener: TcpListener,
-    inbox: Inbox<Order>,
+    inbox: Inbox<Command>,
     sender: Sender,
-    orders: Sender<Order>,
-    /// Since which revision the main thread is asked for news, and until when that holds.
-    asked: Option<(Revision, Instant)>,
-    tellings: Vec<Telling>,
+    commands: Sender<Command>,
+    /// The revision since which an update was requested from the main thread, and the deadline
+    /// after which it may be requested again.
+    requested: Option<(Revision, Instant)>,
+    transfers: Vec<Transfer>,
     pulls: Vec<Pull>,
 }
 
-impl Exchange {
+impl ExchangeThread {
     fn run(mut self) {
         loop {
             if let Err(error) = self.wait() {
-                return log::error!("pictures: none is told any more: {error}");
+                return log::error!("pictures: pulls are no longer served or made: {error}");
             }
             let now = Instant::now();
-            for order in self.inbox.drain().collect::<Vec<_>>() {
-                match order {
-                    Order::Pull(from, known) => self.pull(from, known, now),
-                    Order::Tell(known, news) => self.tell(known, &news, now),
+            for command in self.inbox.drain().collect::<Vec<_>>() {
+                match command {
+                    Command::Pull(from, known) => self.start_pull(from, known, now),
+                    Command::Send(known, update) => self.send_update(known, &update, now),
                 }
             }
             self.accept(now);
-            self.advance_tellings(now);
+            self.advance_transfers(now);
             self.advance_pulls(now);
-            self.ask(now);
+            self.request_update(now);
         }
     }
 
     fn wait(&self) -> io::Result<()> {
-        let dues = self.tellings.iter().map(|it| it.due).chain(self.pulls.iter().map(|it| it.due));
-        let own = [self.inbox.waker(), self.listener.as_fd()];
+        let deadlines = self
+            .transfers
+            .iter()
+            .map(|it| it.deadline)
+            .chain(self.pulls.iter().map(|it| it.deadline));
+        let own = [self.inbox.wake_fd(), self.listener.as_fd()];
         let own = own.map(|fd| PollFd::new(fd, PollFlags::POLLIN));
-        let tellings = self.tellings.iter().map(|it| PollFd::new(it.stream.as_fd(), it.awaits()));
-        let pulls = self.pulls.iter().map(|it| PollFd::new(it.stream.as_fd(), it.awaits()));
-        let mut fds: Vec<PollFd<'_>> = own.into_iter().chain(tellings).chain(pulls).collect();
-        poll_until(&mut fds, dues.min())
+        let transfers =
+            self.transfers.iter().map(|it| PollFd::new(it.stream.as_fd(), it.poll_flags()));
+        let pulls = self.pulls.iter().map(|it| PollFd::new(it.stream.as_fd(), it.poll_flags()));
+        let mut fds: Vec<PollFd<'_>> = own.into_iter().chain(transfers).chain(pulls).collect();
+        poll_until(&mut fds, deadlines.min())
     }
 
-    /// Takes new connections. One that has not said for a while what it knows makes room, so
-    /// that nobody who says nothing keeps others out; else one too many is ended.
+    /// Accepts new connections. At the limit, a connection whose request is overdue is replaced by
+    /// the new one, so that silent connections don't lock others out. If there is none, the new
+    /// connection is closed.
     fn accept(&mut self, now: Instant) {
         loop {
             let stream = match self.listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
-                Err(error) => return log::debug!("pictures: a connection is not taken: {error}"),
+                Err(error) => {
+                    return log::debug!("pictures: accepting a connection failed: {error}");
+                }
             };
-            if self.tellings.len() >= MAX_TOLD {
-                let silent = |it: &Telling| {
-                    matches!(it.stage, Stage::Asked { .. }) && it.due <= now + (STALL - GREETING)
+            if self.transfers.len() >= MAX_TRANSFERS {
+                let is_silent = |it: &Transfer| {
+                    matches!(it.stage, TransferStage::Request { .. })
+                        && it.deadline <= now + (STALL_TIMEOUT - REQUEST_TIMEOUT)
                 };
-                match self.tellings.iter().position(silent) {
-                    Some(position) => drop(self.tellings.remove(position)),
+                match self.transfers.iter().position(is_silent) {
+                    Some(position) => drop(self.transfers.remove(position)),
                     None => continue,
                 }
             }
             if let Err(error) = stream.set_nonblocking(true) {
-                log::debug!("pictures: a connection is not taken: {error}");
+                log::debug!("pictures: accepting a connection failed: {error}");
                 continue;
             }
-            let stage = Stage::Asked { known: [0; KNOWN], filled: 0 };
-            self.tellings.push(Telling { stream, stage, due: now + STALL });
+            let stage = TransferStage::Request { known: [0; REQUEST_SIZE], filled: 0 };
+            self.transfers.push(Transfer { stream, stage, deadline: now + STALL_TIMEOUT });
         }
     }
 
-    /// Asks the main thread for the next picture that somebody waits for.
-    fn ask(&mut self, now: Instant) {
-        if self.asked.is_some_and(|(_, until)| now < until) {
+    /// Requests the next update that a requester waits for from the main thread.
+    fn request_update(&mut self, now: Instant) {
+        if self.requested.is_some_and(|(_, until)| now < until) {
             return;
         }
-        let known = self.tellings.iter().find_map(|it| match it.stage {
-            Stage::Waits { known } => Some(known),
+        let known = self.transfers.iter().find_map(|it| match it.stage {
+            TransferStage::Waiting { known } => Some(known),
             _ => None,
         });
         let Some(known) = known else { return };
-        let reply = self.orders.clone();
-        if self.sender.send(Event::Asked { known, reply }) == Delivery::Taken {
-            self.asked = Some((known, now + STALL));
+        let reply = self.commands.clone();
+        if self.sender.send(Event::PullRequested { known, reply }) == Delivery::Queued {
+            self.requested = Some((known, now + STALL_TIMEOUT));
         }
     }
 
-    /// Begins to tell all who wait for that news. Whoever knows nothing has none to tell.
-    fn tell(&mut self, since: Revision, news: &Update, now: Instant) {
-        self.asked = None;
-        let encoded = match news.revision > Revision::default() {
-            true => message::encode_update(news).context(MessageSnafu),
+    /// Begins to send the update to all requesters that wait for it. An instance that knows nothing
+    /// yet closes their connections instead.
+    fn send_update(&mut self, since: Revision, update: &Update, now: Instant) {
+        self.requested = None;
+        let encoded = match update.revision > Revision::default() {
+            true => message::encode_update(update).context(MessageSnafu),
             false => Ok(Vec::new()),
         };
         let bytes: Arc<[u8]> = match encoded {
             Ok(bytes) => bytes.into(),
-            Err(error) => return log::warn!("pictures: none can be told: {error}"),
+            Err(error) => return log::warn!("pictures: encoding an update failed: {error}"),
         };
-        let is_for = |it: &Telling| matches!(it.stage, Stage::Waits { known } if known == since);
+        let is_waiting =
+            |it: &Transfer| matches!(it.stage, TransferStage::Waiting { known } if known == since);
         if bytes.is_empty() {
-            return self.tellings.retain(|it| !is_for(it));
+            return self.transfers.retain(|it| !is_waiting(it));
         }
-        for it in self.tellings.iter_mut().filter(|it| is_for(it)) {
-            it.stage = Stage::Tells { bytes: bytes.clone(), sent: 0 };
-            it.due = now + STALL;
+        for it in self.transfers.iter_mut().filter(|it| is_waiting(it)) {
+            it.stage = TransferStage::Sending { bytes: bytes.clone(), sent: 0 };
+            it.deadline = now + STALL_TIMEOUT;
         }
     }
 
-    fn advance_tellings(&mut self, now: Instant) {
-        self.tellings.retain_mut(|it| match it.advance(now) {
+    fn advance_transfers(&mut self, now: Instant) {
+        self.transfers.retain_mut(|it| match it.advance(now) {
             Ok(is_done) => !is_done,
             Err(error) => {
-                log::debug!("pictures: one was not told: {error}");
+                log::debug!("pictures: sending an update failed: {error}");
                 false
             }
         });
     }
 
-    fn pull(&mut self, from: SocketAddrV4, known: Revision, now: Instant) {
+    fn start_pull(&mut self, from: SocketAddrV4, known: Revision, now: Instant) {
         let pull = match self.pulls.len() < MAX_PULLS {
             true => Pull::begin(from, known, now),
             false => Err(io::Error::from(ErrorKind::QuotaExceeded)),
@@ -234,8 +246,8 @@
         match pull {
             Ok(pull) => self.pulls.push(pull),
             Err(error) => {
-                log::debug!("pictures: {from} is not asked: {error}");
-                self.sender.send(Event::NotTold(from));
+                log::debug!("pictures: pull from {from} failed to start: {error}");
+                self.sender.send(Event::PullFailed(from));
             }
         }
     }
@@ -246,70 +258,71 @@
             let from = it.from;
             let event = match it.advance(now) {
                 Ok(None) => return true,
-                Ok(Some(news)) => Event::Told { from, news },
+                Ok(Some(update)) => Event::Pulled { from, update },
                 Err(error) => {
-                    log::debug!("pictures: none from {from}: {error}");
-                    Event::NotTold(from)
+                    log::debug!("pictures: pull from {from} failed: {error}");
+                    Event::PullFailed(from)
                 }
             };
             if sender.send(event) == Delivery::Full {
-                log::warn!("pictures: what {from} said is lost, the inbox is full");
+                log::warn!("pictures: result of the pull from {from} lost, the inbox is full");
             }
             false
         });
     }
 }
 
-/// A connection by which another instance asks for a picture.
-struct Telling {
+/// A connection on which another instance pulls an update.
+struct Transfer {
     stream: TcpStream,
-    stage: Stage,
-    due: Instant,
+    stage: TransferStage,
+    deadline: Instant,
 }
 
-/// How far it has come.
-enum Stage {
-    /// The other one says what it knows.
-    Asked { known: [u8; KNOWN], filled: usize },
-    /// The main thread is asked for the picture.
-    Waits { known: Revision },
-    /// It is told.
-    Tells { bytes: Arc<[u8]>, sent: usize },
+/// Stage of a transfer.
+enum TransferStage {
+    /// The request is being received.
+    Request { known: [u8; REQUEST_SIZE], filled: usize },
+    /// The update has yet to come from the main thread.
+    Waiting { known: Revision },
+    /// The update is being sent.
+    Sending { bytes: Arc<[u8]>, sent: usize },
 }
 
-impl Telling {
-    fn awaits(&self) -> PollFlags {
+impl Transfer {
+    fn poll_flags(&self) -> PollFlags {
         match self.stage {
-            Stage::Asked { .. } => PollFlags::POLLIN,
-            Stage::Waits { .. } => PollFlags::empty(),
-            Stage::Tells { .. } => PollFlags::POLLOUT,
+            TransferStage::Request { .. } => PollFlags::POLLIN,
+            TransferStage::Waiting { .. } => PollFlags::empty(),
+            TransferStage::Sending { .. } => PollFlags::POLLOUT,
         }
     }
 
-    /// Does what can be done by now; tells whether all is done.
-    fn advance(&mut self, now: Instant) -> Result<bool, PictureError> {
+    /// Makes progress without blocking. Returns whether the transfer is complete.
+    fn advance(&mut self, now: Instant) -> Result<bool, TransferError> {
         let moved = match &mut self.stage {
-            Stage::Asked { known, filled } => {
-                let count = step(self.stream.read(&mut known[*filled..]))?;
+            TransferStage::Request { known, filled } => {
+                let count = moved_bytes(self.stream.read(&mut known[*filled..]))?;
                 *filled += count;
                 if *filled == known.len() {
                     let known = decode_known(*known);
-                    self.stage = Stage::Waits { known };
+                    self.stage = TransferStage::Waiting { known };
                 }
                 count
             }
-            Stage::Waits { .. } => {
-                // Whoever has gone is noticed, or its socket would stay ready for nothing.
-                step(self.stream.peek(&mut [0]))?;
+            TransferStage::Waiting { .. } => {
+                // Detects a closed connection, whose socket would otherwise stay ready and
+                // keep the thread busy.
+                moved_bytes(self.stream.peek(&mut [0]))?;
                 0
             }
-            Stage::Tells { bytes, sent } => {
+            TransferStage::Sending { bytes, sent } => {
                 let size = (bytes.len() as u32).to_be_bytes();
                 let rest = match sent.checked_sub(size.len()) {
                     None => &size[*sent..],
                     Some(at) => &bytes[at..],
                 };
-                let count = step(self.stream.write(rest))?;
+                let count = moved_bytes(self.stream.write(rest))?;
                 *sent += count;
                 if *sent == size.len() + bytes.len() {
                     return Ok(true);
@@ -318,79 +331,79 @@
             }
         };
         if moved > 0 {
-            self.due = now + STALL;
+            self.deadline = now + STALL_TIMEOUT;
         }
-        ensure!(now < self.due, StalledSnafu);
+        ensure!(now < self.deadline, StalledSnafu);
         Ok(false)
     }
 }
 
-/// A connection by which another instance is asked for a picture.
+/// A connection on which this instance pulls an update from another one.
 struct Pull {
     from: SocketAddrV4,
     stream: TcpStream,
-    /// What is still to be said of what is known here.
-    known: Option<[u8; KNOWN]>,
-    answer: Answer,
-    due: Instant,
+    /// The request, until it is sent.
+    request: Option<[u8; REQUEST_SIZE]>,
+    response: Response,
+    deadline: Instant,
 }
 
-/// How much has come of an answer.
-enum Answer {
+/// The part of a response that is being received.
+enum Response {
     Size { bytes: [u8; 4], filled: usize },
-    Picture { bytes: Vec<u8>, filled: usize },
+    Body { bytes: Vec<u8>, filled: usize },
 }
 
 impl Pull {
     fn begin(from: SocketAddrV4, known: Revision, now: Instant) -> io::Result<Pull> {
-        let known = Some(encode_known(known));
+        let request = Some(encode_known(known));
         let stream = connect(from)?;
-        let answer = Answer::Size { bytes: [0; 4], filled: 0 };
-        Ok(Pull { from, stream, known, answer, due: now + CONNECT })
+        let response = Response::Size { bytes: [0; 4], filled: 0 };
+        Ok(Pull { from, stream, request, response, deadline: now + CONNECT_TIMEOUT })
     }
 
-    fn awaits(&self) -> PollFlags {
-        if self.known.is_some() { PollFlags::POLLOUT } else { PollFlags::POLLIN }
+    fn poll_flags(&self) -> PollFlags {
+        if self.request.is_some() { PollFlags::POLLOUT } else { PollFlags::POLLIN }
     }
 
-    /// Does what can be done by now; tells the news once all of it is there.
-    fn advance(&mut self, now: Instant) -> Result<Option<Update>, PictureError> {
-        if let Some(known) = self.known {
+    /// Makes progress without blocking. Returns the update when it is complete.
+    fn advance(&mut self, now: Instant) -> Result<Option<Update>, TransferError> {
+        if let Some(request) = self.request {
             if is_decided(&self.stream) {
                 if let Some(error) = self.stream.take_error().context(ConnectionSnafu)? {
                     return Err(error).context(ConnectionSnafu);
                 }
-                self.stream.write_all(&known).context(ConnectionSnafu)?;
-                self.known = None;
-                self.due = now + STALL;
+                self.stream.write_all(&request).context(ConnectionSnafu)?;
+                self.request = None;
+                self.deadline = now + STALL_TIMEOUT;
             }
-        } else if self.take()? > 0 {
-            self.due = now + STALL;
+        } else if self.receive()? > 0 {
+            self.deadline = now + STALL_TIMEOUT;
         }
-        if let Answer::Picture { bytes, filled } = &self.answer
+        if let Response::Body { bytes, filled } = &self.response
             && *filled == bytes.len()
         {
             return message::decode_update(bytes).context(MessageSnafu).map(Some);
         }
-        ensure!(now < self.due, StalledSnafu);
+        ensure!(now < self.deadline, StalledSnafu);
         Ok(None)
     }
 
-    /// Takes what has come of the answer.
-    fn take(&mut self) -> Result<usize, PictureError> {
-        match &mut self.answer {
-            Answer::Size { bytes, filled } => {
-                let count = step(self.stream.read(&mut bytes[*filled..]))?;
+    /// Receives a part of the response. Returns the number of bytes received.
+    fn receive(&mut self) -> Result<usize, TransferError> {
+        match &mut self.response {
+            Response::Size { bytes, filled } => {
+                let count = moved_bytes(self.stream.read(&mut bytes[*filled..]))?;
                 *filled += count;
                 if *filled == bytes.len() {
                     let size = u32::from_be_bytes(*bytes);
-                    ensure!(size <= MAX_PICTURE, OversizeSnafu { size });
-                    self.answer = Answer::Picture { bytes: vec![0; size as usize], filled: 0 };
+                    ensure!(size <= MAX_UPDATE_SIZE, OversizeSnafu { size });
+                    self.response = Response::Body { bytes: vec![0; size as usize], filled: 0 };
                 }
                 Ok(count)
             }
-            Answer::Picture { bytes, filled } => {
-                let count = step(self.stream.read(&mut bytes[*filled..]))?;
+            Response::Body { bytes, filled } => {
+                let count = moved_bytes(self.stream.read(&mut bytes[*filled..]))?;
                 *filled += count;
                 Ok(count)
             }
@@ -398,20 +411,20 @@
     }
 }
 
-fn encode_known(known: Revision) -> [u8; KNOWN] {
-    let mut bytes = [0; KNOWN];
+fn encode_known(known: Revision) -> [u8; REQUEST_SIZE] {
+    let mut bytes = [0; REQUEST_SIZE];
     bytes[..4].copy_from_slice(&known.era.to_be_bytes());
     bytes[4..].copy_from_slice(&known.count.to_be_bytes());
     bytes
 }
 
-fn decode_known(bytes: [u8; KNOWN]) -> Revision {
+fn decode_known(bytes: [u8; REQUEST_SIZE]) -> Revision {
     let [a, b, c, d, count @ ..] = bytes;
     Revision::new(u32::from_be_bytes([a, b, c, d]), u64::from_be_bytes(count))
 }
 
-/// How many bytes were moved; none if that would have blocked.
-fn step(result: io::Result<usize>) -> Result<usize, PictureError> {
+/// Returns the number of bytes read or written, 0 if the operation would have blocked.
+fn moved_bytes(result: io::Result<usize>) -> Result<usize, TransferError> {
     match result {
         Ok(0) => Err(io::Error::from(ErrorKind::UnexpectedEof)).context(ConnectionSnafu),
         Ok(count) => Ok(count),
