--- a/lib/examples/table_cost.rs
+++ b/lib/examples/table_cost.rs
@@ -31,14 +31,14 @@
 }
 
 /// Lets each target leave in turn.
-fn row(method: &str, size: usize, deal: fn(&Service) -> Vec<usize>) {
+fn row(method: &str, size: usize, assign: fn(&Service) -> Vec<usize>) {
     let service = service(size);
-    let before = deal(&service);
+    let before = assign(&service);
     let mut moved = Vec::new();
     for leaver in 0..size {
         let mut less = service.clone();
         less.targets[leaver].state = TargetState::Leaving;
-        let after = deal(&less);
+        let after = assign(&less);
         moved.push(before.iter().zip(&after).filter(|(a, b)| a != b).count());
     }
     let share = |count: usize| count as f64 * 100.0 / f64::from(BUCKETS);
@@ -51,8 +51,8 @@
 }
 
 fn maglev(service: &Service) -> Vec<usize> {
-    let dealt = table::assign_buckets(service).unwrap_or_default();
-    dealt.into_iter().map(|target| usize::from(target.0)).collect()
+    let assigned = table::assign_buckets(service).unwrap_or_default();
+    assigned.into_iter().map(|target| usize::from(target.0)).collect()
 }
 
 /// The target with the best score, a logarithm of a hash by its weight.
--- a/lib/src/bundle/check.rs
+++ b/lib/src/bundle/check.rs
@@ -13,11 +13,11 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 /// Notes everything that must be unique among the services and is not.
-pub(super) fn unique(services: &[Node<'_>]) {
+pub(super) fn record_duplicates(services: &[Node<'_>]) {
     let mut seen = Seen::default();
     for service in services {
         if let Some(fields) = service.peek_fields() {
-            seen.service(&fields);
+            seen.add_service(&fields);
         }
     }
 }
@@ -31,25 +31,25 @@
 }
 
 impl Seen {
-    fn service(&mut self, service: &Fields<'_>) {
-        if let Some((node, name)) = peek(service, "name") {
+    fn add_service(&mut self, service: &Fields<'_>) {
+        if let Some((node, name)) = peek_text(service, "name") {
             self.services.insert("the service name", name.to_owned(), name, &node);
         }
-        let address = peek(service, "address").and_then(|(_, text)| text.parse().ok());
-        for port in items(service, "ports") {
-            self.port(address, &port);
+        let address = peek_text(service, "address").and_then(|(_, text)| text.parse().ok());
+        for port in peek_items(service, "ports") {
+            self.add_port(address, &port);
         }
-        for target in items(service, "targets") {
-            self.target(&target);
+        for target in peek_items(service, "targets") {
+            self.add_target(&target);
         }
     }
 
-    fn port(&mut self, address: Option<Ipv4Addr>, port: &Node<'_>) {
+    fn add_port(&mut self, address: Option<Ipv4Addr>, port: &Node<'_>) {
         let Some(fields) = port.peek_fields() else { return };
         let number = fields.optional("number").and_then(|node| node.peek_integer());
         let (Some(address), Some(number)) = (address, number) else { return };
-        let protocol = peek(&fields, "protocol").map_or("tcp", |(_, text)| text);
-        if parse::protocol(protocol).is_none() {
+        let protocol = peek_text(&fields, "protocol").map_or("tcp", |(_, text)| text);
+        if parse::parse_protocol(protocol).is_none() {
             return;
         }
         let shown = format!("{protocol} {address}:{number}");
@@ -57,12 +57,12 @@
         self.listeners.insert("the address and port", listener, &shown, port);
     }
 
-    fn target(&mut self, target: &Node<'_>) {
+    fn add_target(&mut self, target: &Node<'_>) {
         let Some(fields) = target.peek_fields() else { return };
-        if let Some((node, name)) = peek(&fields, "name") {
+        if let Some((node, name)) = peek_text(&fields, "name") {
             self.targets.insert("the target name", name.to_owned(), name, &node);
         }
-        let Some((node, text)) = peek(&fields, "address") else { return };
+        let Some((node, text)) = peek_text(&fields, "address") else { return };
         if let Ok(address) = text.parse::<SocketAddrV4>() {
             self.addresses.insert("the target address", address, text, &node);
         }
@@ -89,12 +89,12 @@
     }
 }
 
-fn peek<'d>(fields: &Fields<'d>, name: &str) -> Option<(Node<'d>, &'d str)> {
+fn peek_text<'d>(fields: &Fields<'d>, name: &str) -> Option<(Node<'d>, &'d str)> {
     let node = fields.optional(name)?;
     let text = node.peek_text()?;
     Some((node, text))
 }
 
-fn items<'d>(fields: &Fields<'d>, name: &str) -> Vec<Node<'d>> {
+fn peek_items<'d>(fields: &Fields<'d>, name: &str) -> Vec<Node<'d>> {
     fields.optional(name).and_then(|node| node.peek_items()).unwrap_or_default()
 }
--- a/lib/src/bundle/diff.rs
+++ b/lib/src/bundle/diff.rs
@@ -85,25 +85,26 @@
 
 /// Every difference from `old` to `new`, in the order of the services.
 pub fn diff(old: &Bundle, new: &Bundle) -> Vec<Change> {
-    let mut changes = Changes::default();
-    changes.field("version", old.version, new.version);
-    changes.field("site", &old.site, &new.site);
-    changes.field("seed", old.seed, new.seed);
-    changes.field("evacuated", domains(old), domains(new));
-    changes.limits(&old.limits, &new.limits);
+    let mut comparison = Comparison::default();
+    comparison.compare("version", old.version, new.version);
+    comparison.compare("site", &old.site, &new.site);
+    comparison.compare("seed", old.seed, new.seed);
+    comparison.compare("evacuated", domains(old), domains(new));
+    comparison.compare_limits(&old.limits, &new.limits);
     for service in &old.services {
-        match find(new, &service.name) {
-            Some(later) => changes.service(service, later),
-            None => changes.gone(&service.name, None, summary(service)),
+        match find_service(new, &service.name) {
+            Some(later) => comparison.compare_service(service, later),
+            None => comparison.push_removed(&service.name, None, summary(service)),
         }
     }
-    for service in new.services.iter().filter(|service| find(old, &service.name).is_none()) {
-        changes.came(&service.name, None, summary(service));
+    for service in new.services.iter().filter(|service| find_service(old, &service.name).is_none())
+    {
+        comparison.push_added(&service.name, None, summary(service));
     }
-    changes.found
+    comparison.changes
 }
 
-fn find<'b>(bundle: &'b Bundle, name: &ServiceName) -> Option<&'b Service> {
+fn find_service<'b>(bundle: &'b Bundle, name: &ServiceName) -> Option<&'b Service> {
     bundle.services.iter().map(|service| &**service).find(|service| service.name == *name)
 }
 
@@ -117,18 +118,18 @@
 }
 
 #[derive(Default)]
-struct Changes {
-    found: Vec<Change>,
+struct Comparison {
+    changes: Vec<Change>,
     service: Option<ServiceName>,
     target: Option<TargetName>,
 }
 
-impl Changes {
-    fn field<T: PartialEq + fmt::Display>(&mut self, field: &'static str, old: T, new: T) {
+impl Comparison {
+    fn compare<T: PartialEq + fmt::Display>(&mut self, field: &'static str, old: T, new: T) {
         if old == new {
             return;
         }
-        self.found.push(Change {
+        self.changes.push(Change {
             service: self.service.clone(),
             target: self.target.clone(),
             field: Some(field),
@@ -137,15 +138,15 @@
         });
     }
 
-    fn gone(&mut self, service: &ServiceName, target: Option<&TargetName>, what: String) {
-        self.whole(service, target, Some(what), None);
+    fn push_removed(&mut self, service: &ServiceName, target: Option<&TargetName>, what: String) {
+        self.push_whole(service, target, Some(what), None);
     }
 
-    fn came(&mut self, service: &ServiceName, target: Option<&TargetName>, what: String) {
-        self.whole(service, target, None, Some(what));
+    fn push_added(&mut self, service: &ServiceName, target: Option<&TargetName>, what: String) {
+        self.push_whole(service, target, None, Some(what));
     }
 
-    fn whole(
+    fn push_whole(
         &mut self,
         service: &ServiceName,
         target: Option<&TargetName>,
@@ -153,51 +154,53 @@
         to: Option<String>,
     ) {
         let (service, target) = (Some(service.clone()), target.cloned());
-        self.found.push(Change { service, target, field: None, from, to });
+        self.changes.push(Change { service, target, field: None, from, to });
     }
 
-    fn limits(&mut self, old: &Limits, new: &Limits) {
-        self.field("limits.reserve", show(old.reserve), show(new.reserve));
-        self.field("limits.caller", show(old.caller), show(new.caller));
-        self.field("limits.network", show(old.network), show(new.network));
-        self.field("limits.booking", show(old.booking), show(new.booking));
-        self.field(
+    fn compare_limits(&mut self, old: &Limits, new: &Limits) {
+        self.compare("limits.reserve", or_none(old.reserve), or_none(new.reserve));
+        self.compare("limits.caller", or_none(old.caller), or_none(new.caller));
+        self.compare("limits.network", or_none(old.network), or_none(new.network));
+        self.compare("limits.booking", or_none(old.booking), or_none(new.booking));
+        self.compare(
             "limits.patience",
-            show(old.patience.map(HumanDuration)),
-            show(new.patience.map(HumanDuration)),
+            or_none(old.patience.map(HumanDuration)),
+            or_none(new.patience.map(HumanDuration)),
         );
-        self.field("limits.retries", show(old.retries), show(new.retries));
+        self.compare("limits.retries", or_none(old.retries), or_none(new.retries));
     }
 
-    fn service(&mut self, old: &Service, new: &Service) {
+    fn compare_service(&mut self, old: &Service, new: &Service) {
         self.service = Some(old.name.clone());
-        self.field("ports", ports(old), ports(new));
-        self.field("buckets", old.buckets, new.buckets);
-        self.field("keepalive", HumanDuration(old.keepalive), HumanDuration(new.keepalive));
-        self.field("refusal", refusal(old), refusal(new));
-        self.field("balance", old.balance, new.balance);
+        self.compare("ports", ports(old), ports(new));
+        self.compare("buckets", old.buckets, new.buckets);
+        self.compare("keepalive", HumanDuration(old.keepalive), HumanDuration(new.keepalive));
+        self.compare("refusal", refusal(old), refusal(new));
+        self.compare("balance", old.balance, new.balance);
         for target in &old.targets {
             match new.targets.iter().find(|other| other.name == target.name) {
-                Some(later) => self.target(target, later),
-                None => self.gone(&old.name, Some(&target.name), target.address.to_string()),
+                Some(later) => self.compare_target(target, later),
+                None => {
+                    self.push_removed(&old.name, Some(&target.name), target.address.to_string())
+                }
             }
         }
         let known = |target: &&Target| old.targets.iter().all(|other| other.name != target.name);
         for target in new.targets.iter().filter(known) {
-            self.came(&new.name, Some(&target.name), target.address.to_string());
+            self.push_added(&new.name, Some(&target.name), target.address.to_string());
         }
         self.service = None;
     }
 
-    fn target(&mut self, old: &Target, new: &Target) {
+    fn compare_target(&mut self, old: &Target, new: &Target) {
         self.target = Some(old.name.clone());
-        self.field("address", old.address, new.address);
-        self.field("domain", &old.domain, &new.domain);
-        self.field("weight", old.weight, new.weight);
-        self.field("slots", old.slots, new.slots);
-        self.field("connections", old.connections, new.connections);
-        self.field("state", old.state, new.state);
-        self.field("probe", show(old.probe), show(new.probe));
+        self.compare("address", old.address, new.address);
+        self.compare("domain", &old.domain, &new.domain);
+        self.compare("weight", old.weight, new.weight);
+        self.compare("slots", old.slots, new.slots);
+        self.compare("connections", old.connections, new.connections);
+        self.compare("state", old.state, new.state);
+        self.compare("probe", or_none(old.probe), or_none(new.probe));
         self.target = None;
     }
 }
@@ -211,6 +214,6 @@
     service.refusal.as_ref().map_or_else(|| "none".to_owned(), |text| format!("{text:?}"))
 }
 
-fn show<T: fmt::Display>(value: Option<T>) -> String {
+fn or_none<T: fmt::Display>(value: Option<T>) -> String {
     value.map_or_else(|| "none".to_owned(), |value| value.to_string())
 }
--- a/lib/src/bundle/parse.rs
+++ b/lib/src/bundle/parse.rs
@@ -15,23 +15,23 @@
 /// larger values.
 pub const MAX_BUNDLE_SIZE: usize = 1 << 20;
 /// The buckets of a service that names no number.
-const BUCKETS: u16 = 1024;
+const DEFAULT_BUCKETS: u16 = 1024;
 /// The most buckets of a service; bounds an instance's tables.
 const MAX_BUCKETS: u64 = 1 << 15;
 /// The fewest buckets to a target: with fewer, one bucket too many is more
 /// than an eighth of a target's share.
-const BUCKETS_PER_TARGET: u64 = 8;
+const MIN_BUCKETS_PER_TARGET: u64 = 8;
 /// The longest silence of a flow in a service that names none.
-const KEEPALIVE: Millis = Millis::secs(30);
+const DEFAULT_KEEPALIVE: Millis = Millis::secs(30);
 /// The longest answer for refused callers, so that it fits one segment.
 const MAX_REFUSAL: usize = 1024;
 /// Broken flows and imbalance weigh alike if a service says nothing.
-const BALANCE: u8 = 50;
+const DEFAULT_BALANCE: u8 = 50;
 /// A full share of new flows.
-const WEIGHT: u16 = 100;
+const DEFAULT_WEIGHT: u16 = 100;
 /// Slots and connections of a target that names none.
-const SLOTS: u16 = 2;
-const CONNECTIONS: u32 = 2000;
+const DEFAULT_SLOTS: u16 = 2;
+const DEFAULT_CONNECTIONS: u32 = 2000;
 
 const BUNDLE_FIELDS: &[&str] = &["version", "site", "seed", "services", "limits", "evacuated"];
 const LIMIT_FIELDS: &[&str] = &["reserve", "caller", "network", "booking", "patience", "retries"];
@@ -48,7 +48,7 @@
     ///
     /// Returns every fault of the text, each with its line and what to do.
     pub fn parse(text: &str) -> Result<Bundle, Report> {
-        document::read(text, MAX_BUNDLE_SIZE, Lines::Find, bundle)
+        document::read(text, MAX_BUNDLE_SIZE, Lines::Find, parse_bundle)
     }
 
     /// As [`Bundle::parse`], but faults have no lines, which costs as much as
@@ -58,21 +58,21 @@
     ///
     /// Returns every fault of the text.
     pub fn parse_without_lines(text: &str) -> Result<Bundle, Report> {
-        document::read(text, MAX_BUNDLE_SIZE, Lines::Skip, bundle)
+        document::read(text, MAX_BUNDLE_SIZE, Lines::Skip, parse_bundle)
     }
 }
 
-fn bundle(top: &Node<'_>) -> Option<Bundle> {
+fn parse_bundle(top: &Node<'_>) -> Option<Bundle> {
     let fields = top.fields(BUNDLE_FIELDS)?;
     let version = fields.required("version").and_then(|node| node.integer(1..=u64::MAX));
     let site = fields.required("site").and_then(|node| node.name());
-    let seed = fields.required("seed").and_then(|node| seed(&node));
-    let services = fields.required("services").and_then(|node| services(&node));
-    let limits = fields.parse_or("limits", Limits::default(), limits);
-    let known = services.as_deref().unwrap_or_default();
-    let evacuated = fields.parse_or("evacuated", Vec::new(), |node| evacuated(node, known));
+    let seed = fields.required("seed").and_then(|node| parse_seed(&node));
+    let services = fields.required("services").and_then(|node| parse_services(&node));
+    let limits = fields.parse_or("limits", Limits::default(), parse_limits);
+    let parsed = services.as_deref().unwrap_or_default();
+    let evacuated = fields.parse_or("evacuated", Vec::new(), |node| parse_evacuated(node, parsed));
     let evacuated = evacuated?;
-    let services = services?.into_iter().map(|service| evacuate(service, &evacuated));
+    let services = services?.into_iter().map(|service| evacuate_targets(service, &evacuated));
     Some(Bundle {
         version: Version(version?),
         site: SiteName::new(site?),
@@ -84,7 +84,7 @@
 }
 
 /// The failure domains that get nothing new. A misspelt one would leave the right one in use.
-fn evacuated(node: &Node<'_>, services: &[Arc<Service>]) -> Option<Vec<DomainName>> {
+fn parse_evacuated(node: &Node<'_>, services: &[Arc<Service>]) -> Option<Vec<DomainName>> {
     let targets = || services.iter().flat_map(|service| &service.targets);
     let mut found = Vec::<DomainName>::new();
     for item in node.items()? {
@@ -103,7 +103,7 @@
 }
 
 /// Has targets of evacuated domains take no new flows. Those that leave do so anyway.
-fn evacuate(service: Arc<Service>, evacuated: &[DomainName]) -> Arc<Service> {
+fn evacuate_targets(service: Arc<Service>, evacuated: &[DomainName]) -> Arc<Service> {
     let is_evacuated =
         |target: &Target| target.state == TargetState::Active && evacuated.contains(&target.domain);
     if !service.targets.iter().any(is_evacuated) {
@@ -116,7 +116,7 @@
     Arc::new(service)
 }
 
-fn limits(node: &Node<'_>) -> Option<Limits> {
+fn parse_limits(node: &Node<'_>) -> Option<Limits> {
     let fields = node.fields(LIMIT_FIELDS)?;
     let reserve = fields.parse_optional("reserve", |node| node.integer_as(0..=90));
     let caller = fields.parse_optional("caller", |node| node.integer_as(1..=100));
@@ -135,40 +135,40 @@
     })
 }
 
-fn seed(node: &Node<'_>) -> Option<Seed> {
+fn parse_seed(node: &Node<'_>) -> Option<Seed> {
     node.parse_with("32 hexadecimal digits", |text| {
         let mut seed = [0; 16];
         hex::decode_to_slice(text, &mut seed).ok().map(|()| Seed(seed))
     })
 }
 
-fn services(node: &Node<'_>) -> Option<Vec<Arc<Service>>> {
+fn parse_services(node: &Node<'_>) -> Option<Vec<Arc<Service>>> {
     let nodes = node.non_empty_items()?;
     if nodes.len() > usize::from(u16::MAX) {
         let max = u16::MAX.to_string();
         let found = format!("{} services", nodes.len());
         return node.fail(Fault::OutOfRange { found, min: "1".into(), max });
     }
-    check::unique(&nodes);
-    all(nodes.iter().map(|node| service(node).map(Arc::new)))
+    check::record_duplicates(&nodes);
+    collect_all(nodes.iter().map(|node| parse_service(node).map(Arc::new)))
 }
 
-fn service(node: &Node<'_>) -> Option<Service> {
+fn parse_service(node: &Node<'_>) -> Option<Service> {
     let fields = node.fields(SERVICE_FIELDS)?;
     let name = fields.required("name").and_then(|node| node.name());
-    let address = fields.required("address").and_then(|node| unicast(&node));
-    let ports = fields.required("ports").and_then(|node| ports(&node));
-    let targets = fields.required("targets").and_then(|node| targets(&node));
+    let address = fields.required("address").and_then(|node| parse_unicast(&node));
+    let ports = fields.required("ports").and_then(|node| parse_ports(&node));
+    let targets = fields.required("targets").and_then(|node| parse_targets(&node));
     let count = targets.as_ref().map_or(0, Vec::len);
     let buckets = match fields.optional("buckets") {
-        Some(node) => buckets(&node, count),
+        Some(node) => parse_buckets(&node, count),
         None => default_buckets(node, count),
     };
-    let keepalive = fields.parse_or("keepalive", KEEPALIVE, |node| {
+    let keepalive = fields.parse_or("keepalive", DEFAULT_KEEPALIVE, |node| {
         node.duration(Millis::secs(1)..=Millis::secs(3600))
     });
-    let refusal = fields.parse_optional("refusal", refusal);
-    let balance = fields.parse_or("balance", BALANCE, |node| node.integer_as(0..=100));
+    let refusal = fields.parse_optional("refusal", parse_refusal);
+    let balance = fields.parse_or("balance", DEFAULT_BALANCE, |node| node.integer_as(0..=100));
     Some(Service {
         name: ServiceName::new(name?),
         address: address?,
@@ -181,7 +181,7 @@
     })
 }
 
-fn unicast(node: &Node<'_>) -> Option<Ipv4Addr> {
+fn parse_unicast(node: &Node<'_>) -> Option<Ipv4Addr> {
     node.parse_with("an IPv4 address of one host, such as 10.70.0.1", |text| {
         text.parse().ok().filter(is_unicast)
     })
@@ -191,31 +191,31 @@
     !address.is_unspecified() && !address.is_multicast() && !address.is_broadcast()
 }
 
-fn least_buckets(targets: usize) -> u64 {
-    (targets as u64).saturating_mul(BUCKETS_PER_TARGET).next_power_of_two()
+fn min_buckets(targets: usize) -> u64 {
+    (targets as u64).saturating_mul(MIN_BUCKETS_PER_TARGET).next_power_of_two()
 }
 
-fn buckets(node: &Node<'_>, targets: usize) -> Option<u16> {
-    let found = node.integer(BUCKETS_PER_TARGET..=MAX_BUCKETS)?;
+fn parse_buckets(node: &Node<'_>, targets: usize) -> Option<u16> {
+    let found = node.integer(MIN_BUCKETS_PER_TARGET..=MAX_BUCKETS)?;
     if !found.is_power_of_two() {
         return node.fail(Fault::NotPowerOfTwo { found });
     }
-    few_buckets(node, found, targets)
+    check_buckets(node, found, targets)
 }
 
 fn default_buckets(service: &Node<'_>, targets: usize) -> Option<u16> {
-    few_buckets(service, u64::from(BUCKETS), targets)
+    check_buckets(service, u64::from(DEFAULT_BUCKETS), targets)
 }
 
-fn few_buckets(node: &Node<'_>, found: u64, targets: usize) -> Option<u16> {
-    let min = least_buckets(targets);
+fn check_buckets(node: &Node<'_>, found: u64, targets: usize) -> Option<u16> {
+    let min = min_buckets(targets);
     if found < min {
         return node.fail(Fault::TooFewBuckets { found, targets, min });
     }
     u16::try_from(found).ok()
 }
 
-fn refusal(node: &Node<'_>) -> Option<Arc<str>> {
+fn parse_refusal(node: &Node<'_>) -> Option<Arc<str>> {
     let text = node.text()?;
     if text.is_empty() || text.len() > MAX_REFUSAL {
         let found = format!("{} bytes", text.len());
@@ -225,22 +225,23 @@
     Some(text.into())
 }
 
-fn ports(node: &Node<'_>) -> Option<Vec<Port>> {
+fn parse_ports(node: &Node<'_>) -> Option<Vec<Port>> {
     let nodes = node.non_empty_items()?;
-    all(nodes.iter().map(port))
+    collect_all(nodes.iter().map(parse_port))
 }
 
-fn port(node: &Node<'_>) -> Option<Port> {
+fn parse_port(node: &Node<'_>) -> Option<Port> {
     let fields = node.fields(PORT_FIELDS)?;
     let number = fields.required("number").and_then(|node| node.integer_as(1..=65535));
-    let protocol =
-        fields.parse_or("protocol", Protocol::Tcp, |node| node.parse_with("tcp or udp", protocol));
-    let class =
-        fields.required("class").and_then(|node| node.parse_with("feed, request or upload", class));
+    let protocol = fields
+        .parse_or("protocol", Protocol::Tcp, |node| node.parse_with("tcp or udp", parse_protocol));
+    let class = fields
+        .required("class")
+        .and_then(|node| node.parse_with("feed, request or upload", parse_class));
     Some(Port { number: number?, protocol: protocol?, class: class? })
 }
 
-pub(super) fn protocol(text: &str) -> Option<Protocol> {
+pub(super) fn parse_protocol(text: &str) -> Option<Protocol> {
     match text {
         "tcp" => Some(Protocol::Tcp),
         "udp" => Some(Protocol::Udp),
@@ -248,7 +249,7 @@
     }
 }
 
-fn class(text: &str) -> Option<Class> {
+fn parse_class(text: &str) -> Option<Class> {
     match text {
         "feed" => Some(Class::Feed),
         "request" => Some(Class::Request),
@@ -257,23 +258,24 @@
     }
 }
 
-fn targets(node: &Node<'_>) -> Option<Vec<Target>> {
+fn parse_targets(node: &Node<'_>) -> Option<Vec<Target>> {
     let nodes = node.non_empty_items()?;
-    all(nodes.iter().map(target))
+    collect_all(nodes.iter().map(parse_target))
 }
 
-fn target(node: &Node<'_>) -> Option<Target> {
+fn parse_target(node: &Node<'_>) -> Option<Target> {
     let fields = node.fields(TARGET_FIELDS)?;
     let name = fields.required("name").and_then(|node| node.name());
-    let address = fields.required("address").and_then(|node| socket(&node));
+    let address = fields.required("address").and_then(|node| parse_socket(&node));
     let domain = fields.required("domain").and_then(|node| node.name());
-    let weight = fields.parse_or("weight", WEIGHT, |node| node.integer_as(1..=1000));
-    let slots = fields.parse_or("slots", SLOTS, |node| node.integer_as(1..=65535));
+    let weight = fields.parse_or("weight", DEFAULT_WEIGHT, |node| node.integer_as(1..=1000));
+    let slots = fields.parse_or("slots", DEFAULT_SLOTS, |node| node.integer_as(1..=65535));
     let connections =
-        fields.parse_or("connections", CONNECTIONS, |node| node.integer_as(1..=10_000_000));
-    let state = fields
-        .parse_or("state", TargetState::Active, |node| node.parse_with("active or leaving", state));
-    let probe = fields.parse_optional("probe", socket);
+        fields.parse_or("connections", DEFAULT_CONNECTIONS, |node| node.integer_as(1..=10_000_000));
+    let state = fields.parse_or("state", TargetState::Active, |node| {
+        node.parse_with("active or leaving", parse_state)
+    });
+    let probe = fields.parse_optional("probe", parse_socket);
     Some(Target {
         name: TargetName::new(name?),
         address: address?,
@@ -286,14 +288,14 @@
     })
 }
 
-pub(super) fn socket(node: &Node<'_>) -> Option<SocketAddrV4> {
+pub(super) fn parse_socket(node: &Node<'_>) -> Option<SocketAddrV4> {
     node.parse_with("an IPv4 address and port, such as 10.1.0.1:6080", |text| {
         let address: SocketAddrV4 = text.parse().ok()?;
         (is_unicast(address.ip()) && address.port() != 0).then_some(address)
     })
 }
 
-fn state(text: &str) -> Option<TargetState> {
+fn parse_state(text: &str) -> Option<TargetState> {
     match text {
         "active" => Some(TargetState::Active),
         "leaving" => Some(TargetState::Leaving),
@@ -303,7 +305,7 @@
 
 /// All values, or none if one is missing; visits each one either way, so that
 /// the faults of all are noted.
-fn all<T>(values: impl Iterator<Item = Option<T>>) -> Option<Vec<T>> {
+fn collect_all<T>(values: impl Iterator<Item = Option<T>>) -> Option<Vec<T>> {
     let values: Vec<Option<T>> = values.collect();
     values.into_iter().collect()
 }
--- a/lib/src/bundle/sign.rs
+++ b/lib/src/bundle/sign.rs
@@ -15,10 +15,10 @@
 use std::sync::Arc;
 
 /// What the last line begins with.
-const MARK: &str = "# signed ";
+const SIGNATURE_PREFIX: &str = "# signed ";
 /// Goes before the text into the signature, so that no signature that the key
 /// gave to anything else can pass for one of a bundle.
-const CONTEXT: &[u8] = b"medlarspur bundle 1\n";
+const SIGNATURE_CONTEXT: &[u8] = b"medlarspur bundle 1\n";
 
 /// Why a bundle is not taken. The one in force stays.
 #[derive(Debug, Snafu)]
@@ -129,10 +129,10 @@
     ) -> Result<SignedBundle, BundleError> {
         ensure!(bytes.len() <= MAX_BUNDLE_SIZE, TooLargeSnafu { size: bytes.len() });
         let text = std::str::from_utf8(bytes).context(NotTextSnafu)?;
-        let (content, line) = split(text).context(NoSignatureSnafu)?;
+        let (content, line) = split_signature(text).context(NoSignatureSnafu)?;
         let key = keys.get(line.key).context(UnknownKeySnafu { key: line.key })?;
-        let fits = key.verify(&message(content), &line.signature);
-        ensure!(fits, BadSignatureSnafu { key: line.key });
+        let is_valid = key.verify(&signed_message(content), &line.signature);
+        ensure!(is_valid, BadSignatureSnafu { key: line.key });
         let bundle = Bundle::parse_without_lines(content).context(FaultsSnafu)?;
         ensure!(
             bundle.site == *site,
@@ -146,14 +146,14 @@
         })
     }
 
-    /// Whether this one may follow the bundle `present` in force.
+    /// Whether this one may follow the bundle `current` in force.
     ///
     /// # Errors
     ///
     /// Returns why it may not; order by version is the caller's matter.
-    pub fn check_can_replace(&self, present: &Bundle) -> Result<(), BundleError> {
+    pub fn check_can_replace(&self, current: &Bundle) -> Result<(), BundleError> {
         let version = self.bundle.version;
-        ensure!(self.bundle.seed == present.seed, SeedChangedSnafu { version });
+        ensure!(self.bundle.seed == current.seed, SeedChangedSnafu { version });
         Ok(())
     }
 
@@ -169,34 +169,34 @@
     if !signed.ends_with('\n') {
         signed.push('\n');
     }
-    let signature = key.sign(&message(&signed));
+    let signature = key.sign(&signed_message(&signed));
     let digits = hex::encode(signature.to_bytes());
-    signed.push_str(&format!("{MARK}{} {digits}\n", key.public().id()));
+    signed.push_str(&format!("{SIGNATURE_PREFIX}{} {digits}\n", key.public().id()));
     signed
 }
 
 /// The text of a bundle without its signature line, if it has one.
 pub fn strip_signature(text: &str) -> &str {
-    split(text).map_or(text, |(content, _)| content)
+    split_signature(text).map_or(text, |(content, _)| content)
 }
 
 /// What a signature line says.
-struct Line {
+struct SignatureLine {
     key: KeyId,
     signature: Signature,
 }
 
-fn message(content: &str) -> Vec<u8> {
-    [CONTEXT, content.as_bytes()].concat()
+fn signed_message(content: &str) -> Vec<u8> {
+    [SIGNATURE_CONTEXT, content.as_bytes()].concat()
 }
 
-fn split(text: &str) -> Option<(&str, Line)> {
+fn split_signature(text: &str) -> Option<(&str, SignatureLine)> {
     let body = text.strip_suffix('\n').unwrap_or(text);
     let start = body.rfind('\n')? + 1;
     let (content, last) = body.split_at(start);
-    let (id, digits) = last.strip_prefix(MARK)?.split_once(' ')?;
+    let (id, digits) = last.strip_prefix(SIGNATURE_PREFIX)?.split_once(' ')?;
     let (mut key, mut signature) = ([0; 8], [0; 64]);
     hex::decode_to_slice(id, &mut key).ok()?;
     hex::decode_to_slice(digits, &mut signature).ok()?;
-    Some((content, Line { key: KeyId(key), signature: Signature::from_bytes(&signature) }))
+    Some((content, SignatureLine { key: KeyId(key), signature: Signature::from_bytes(&signature) }))
 }
--- a/lib/src/bundle/warning.rs
+++ b/lib/src/bundle/warning.rs
@@ -25,11 +25,11 @@
 impl Bundle {
     /// What may not be meant.
     pub fn warnings(&self) -> Vec<Warning> {
-        let closed = self.services.iter().filter(|service| is_closed(service));
-        closed.map(|it| Warning::NoActiveTarget { service: it.name.clone() }).collect()
+        let without_active = self.services.iter().filter(|service| has_no_active_target(service));
+        without_active.map(|it| Warning::NoActiveTarget { service: it.name.clone() }).collect()
     }
 }
 
-fn is_closed(service: &Service) -> bool {
+fn has_no_active_target(service: &Service) -> bool {
     service.targets.iter().all(|target| target.state != TargetState::Active)
 }
--- a/lib/src/document/fault.rs
+++ b/lib/src/document/fault.rs
@@ -153,7 +153,7 @@
 }
 
 /// How many faults a report shows as text; a log would drown in thousands.
-const SHOWN: usize = 64;
+const MAX_SHOWN: usize = 64;
 
 /// Every fault of a document, in the order of their lines. Never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -166,11 +166,11 @@
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (ix, problem) in self.problems.iter().take(SHOWN).enumerate() {
+        for (ix, problem) in self.problems.iter().take(MAX_SHOWN).enumerate() {
             let start = if ix > 0 { "\n" } else { "" };
             write!(f, "{start}{problem}")?;
         }
-        match self.problems.len().saturating_sub(SHOWN) {
+        match self.problems.len().saturating_sub(MAX_SHOWN) {
             0 => Ok(()),
             more => write!(f, "\nand {more} more"),
         }
--- a/lib/src/document/locate.rs
+++ b/lib/src/document/locate.rs
@@ -11,62 +11,62 @@
 
 /// What ends a line for the YAML library; a carriage return and a line feed
 /// after it end one line together.
-const BREAKS: [char; 5] = ['\n', '\r', '\u{85}', '\u{2028}', '\u{2029}'];
+const LINE_BREAKS: [char; 5] = ['\n', '\r', '\u{85}', '\u{2028}', '\u{2029}'];
 
 /// The line on which the value at `path` begins, counted from 1.
 pub(super) fn line(text: &str, path: &Path) -> Option<usize> {
-    let probe = Probe { steps: path.steps() };
-    let error = probe.deserialize(Deserializer::from_str(text)).err()?;
-    error.location().map(|location| shown(text, location.line()))
+    let locator = Locator { steps: path.steps() };
+    let error = locator.deserialize(Deserializer::from_str(text)).err()?;
+    error.location().map(|location| editor_line(text, location.line()))
 }
 
 /// The line, counted from 1, of what made the text unreadable. An error without
 /// a place is about the whole text, which begins on the first line, or about a
 /// second document, which a top that is indented deeper than what follows it
 /// brings about.
-pub(super) fn line_of_error(text: &str, error: &serde_norway::Error) -> usize {
-    let place = error.location().or_else(|| second(text));
-    place.map_or(1, |location| shown(text, location.line()))
+pub(super) fn error_line(text: &str, error: &serde_norway::Error) -> usize {
+    let place = error.location().or_else(|| second_document(text));
+    place.map_or(1, |location| editor_line(text, location.line()))
 }
 
 /// Where the second document of a text begins, or is broken.
-fn second(text: &str) -> Option<Location> {
+fn second_document(text: &str) -> Option<Location> {
     let document = Deserializer::from_str(text).nth(1)?;
-    let error = Probe { steps: &[] }.deserialize(document).err()?;
+    let error = Locator { steps: &[] }.deserialize(document).err()?;
     error.location()
 }
 
 /// The line of the text, as editors count, on which a line of the YAML library
-/// begins. The library ends lines at each of [`BREAKS`] too. With its count, a
+/// begins. The library ends lines at each of [`LINE_BREAKS`] too. With its count, a
 /// stray carriage return would send the author to a line too far down, or past
 /// the end of the text.
-fn shown(text: &str, line: usize) -> usize {
+fn editor_line(text: &str, line: usize) -> usize {
     let mut passed = 1;
-    let mut shown = 1;
+    let mut editor_line = 1;
     let mut rest = text.chars().peekable();
     while passed < line
         && let Some(found) = rest.next()
     {
         let pair = found == '\r' && rest.peek() == Some(&'\n');
-        passed += usize::from(!pair && BREAKS.contains(&found));
-        shown += usize::from(found == '\n');
+        passed += usize::from(!pair && LINE_BREAKS.contains(&found));
+        editor_line += usize::from(found == '\n');
     }
-    shown
+    editor_line
 }
 
 /// Fails at the value to which the steps lead.
 #[derive(Clone, Copy)]
-struct Probe<'p> {
+struct Locator<'p> {
     steps: &'p [Step],
 }
 
-impl Probe<'_> {
+impl Locator<'_> {
     fn fail<E: Error>(self) -> Result<(), E> {
         Err(E::custom("found"))
     }
 }
 
-impl<'de> DeserializeSeed<'de> for Probe<'_> {
+impl<'de> DeserializeSeed<'de> for Locator<'_> {
     type Value = ();
 
     fn deserialize<D: de::Deserializer<'de>>(self, source: D) -> Result<(), D::Error> {
@@ -74,7 +74,7 @@
     }
 }
 
-impl<'de> Visitor<'de> for Probe<'_> {
+impl<'de> Visitor<'de> for Locator<'_> {
     type Value = ();
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -124,7 +124,7 @@
         for _ in 0..*wanted {
             items.next_element::<IgnoredAny>()?;
         }
-        items.next_element_seed(Probe { steps })?;
+        items.next_element_seed(Locator { steps })?;
         self.fail()
     }
 
@@ -134,7 +134,7 @@
         };
         while let Some(key) = entries.next_key::<Value>()? {
             if key.as_str() == Some(wanted) {
-                return entries.next_value_seed(Probe { steps });
+                return entries.next_value_seed(Locator { steps });
             }
             entries.next_value::<IgnoredAny>()?;
         }
--- a/lib/src/document/reader.rs
+++ b/lib/src/document/reader.rs
@@ -12,11 +12,11 @@
 /// How many faults get a line where lines are asked for. Each costs one more
 /// read of the text, and no author works through more at once; without the
 /// bound a broken document of a megabyte would take minutes.
-const LOCATED: usize = 64;
+const MAX_LOCATED: usize = 64;
 /// How many brackets may be open at once. The YAML library looks at all open
 /// ones for each further token, so a few hundred thousand, as a broken file
 /// may have, would keep it busy for minutes.
-const DEPTH: usize = 1000;
+const MAX_DEPTH: usize = 1000;
 
 /// Whether faults get the lines on which they stand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,9 +29,9 @@
 }
 
 /// How much of a wrong text a fault repeats, in characters.
-const QUOTED: usize = 60;
+const MAX_QUOTED: usize = 60;
 /// The greatest length of a name; that of a label in DNS.
-const NAME_LENGTH: usize = 63;
+const MAX_NAME_LENGTH: usize = 63;
 
 /// Reads `text` by `walk`, which notes faults in the [`Sink`] and returns
 /// `None` only after it noted one.
@@ -50,11 +50,12 @@
         sink.record(Path::default(), Fault::TooLarge { size: text.len(), limit });
         return Err(sink.report(text, Lines::Skip));
     }
-    if is_deep(text) {
-        sink.record(Path::default(), Fault::TooDeep { limit: DEPTH });
+    if is_too_deep(text) {
+        sink.record(Path::default(), Fault::TooDeep { limit: MAX_DEPTH });
         return Err(sink.report(text, Lines::Skip));
     }
-    let document: Value = serde_norway::from_str(text).map_err(|error| syntax(text, &error))?;
+    let document: Value =
+        serde_norway::from_str(text).map_err(|error| syntax_error(text, &error))?;
     let top = Node { value: &document, path: Path::default(), sink: &sink };
     match walk(&top) {
         Some(found) if sink.is_empty() => Ok(found),
@@ -64,7 +65,7 @@
 
 /// Whether too many brackets are open at once. Brackets in quotes count too:
 /// no sound document comes near the limit by them.
-fn is_deep(text: &str) -> bool {
+fn is_too_deep(text: &str) -> bool {
     let mut depth = 0usize;
     for byte in text.bytes() {
         match byte {
@@ -72,15 +73,15 @@
             b']' | b'}' => depth = depth.saturating_sub(1),
             _ => {}
         }
-        if depth > DEPTH {
+        if depth > MAX_DEPTH {
             return true;
         }
     }
     false
 }
 
-fn syntax(text: &str, error: &serde_norway::Error) -> Report {
-    let line = Some(locate::line_of_error(text, error));
+fn syntax_error(text: &str, error: &serde_norway::Error) -> Report {
+    let line = Some(locate::error_line(text, error));
     let fault = Fault::Syntax { detail: error.to_string() };
     Report { problems: vec![Problem { line, path: Path::default(), fault }] }
 }
@@ -101,7 +102,7 @@
 
     fn report(self, text: &str, lines: Lines) -> Report {
         let mut problems = self.0.into_inner();
-        let located = if lines == Lines::Find { LOCATED } else { 0 };
+        let located = if lines == Lines::Find { MAX_LOCATED } else { 0 };
         for problem in problems.iter_mut().take(located) {
             problem.line = locate::line(text, &problem.path);
         }
@@ -136,7 +137,7 @@
 
     fn wrong_format<T>(&self, expected: &'static str) -> Option<T> {
         let found = match self.value {
-            Value::String(text) => text.chars().take(QUOTED).collect(),
+            Value::String(text) => text.chars().take(MAX_QUOTED).collect(),
             _ => type_name(self.value).to_owned(),
         };
         self.fail(Fault::WrongFormat { found, expected })
@@ -214,7 +215,7 @@
     }
 
     fn out_of_range<T>(&self, found: &str, min: &impl ToString, max: &impl ToString) -> Option<T> {
-        let found = found.chars().take(QUOTED).collect();
+        let found = found.chars().take(MAX_QUOTED).collect();
         self.fail(Fault::OutOfRange { found, min: min.to_string(), max: max.to_string() })
     }
 
@@ -334,7 +335,7 @@
 
 fn is_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    text.len() <= NAME_LENGTH
+    text.len() <= MAX_NAME_LENGTH
         && text.starts_with(allowed)
         && text.chars().all(|c| allowed(c) || c == '-' || c == '.')
 }
--- a/lib/src/packet/craft.rs
+++ b/lib/src/packet/craft.rs
@@ -1,13 +1,13 @@
 //! Packets that an instance makes itself: refusals towards a caller.
 
-use super::{ACK, FIN, IP_HEADER, Packet, RST, SYN, TCP_HEADER};
+use super::{ACK, FIN, IP_HEADER_SIZE, Packet, RST, SYN, TCP_HEADER_SIZE};
 use std::net::SocketAddrV4;
 
 const TIME_TO_LIVE: u8 = 64;
 const DONT_FRAGMENT: u8 = 0x40;
-const HEADERS: usize = IP_HEADER + TCP_HEADER;
+const HEADERS_SIZE: usize = IP_HEADER_SIZE + TCP_HEADER_SIZE;
 const WINDOW: u16 = 4096;
-const PUSH: u8 = 0x08;
+const PSH: u8 = 0x08;
 
 /// A TCP segment from a service to a caller.
 struct Segment<'a> {
@@ -52,7 +52,7 @@
     let (sequence, acknowledged) = packet.sequence_numbers()?;
     let key = packet.key();
     let (from, to) = (key.service, key.caller);
-    let flags = FIN | ACK | PUSH;
+    let flags = FIN | ACK | PSH;
     let next = sequence.wrapping_add(packet.sequence_length());
     Some(build(&Segment { from, to, sequence: acknowledged, acknowledged: next, flags, payload }))
 }
@@ -76,7 +76,7 @@
 }
 
 fn build(segment: &Segment<'_>) -> Vec<u8> {
-    let total = HEADERS + segment.payload.len();
+    let total = HEADERS_SIZE + segment.payload.len();
     let mut bytes = vec![0; total];
     bytes[0] = 0x45;
     bytes[2..4].copy_from_slice(&(total as u16).to_be_bytes());
@@ -85,17 +85,17 @@
     bytes[9] = super::PROTOCOL_TCP;
     bytes[12..16].copy_from_slice(&segment.from.ip().octets());
     bytes[16..20].copy_from_slice(&segment.to.ip().octets());
-    let sum = checksum(0, &bytes[..IP_HEADER]);
+    let sum = checksum(0, &bytes[..IP_HEADER_SIZE]);
     bytes[10..12].copy_from_slice(&sum.to_be_bytes());
-    let tcp = &mut bytes[IP_HEADER..];
+    let tcp = &mut bytes[IP_HEADER_SIZE..];
     tcp[0..2].copy_from_slice(&segment.from.port().to_be_bytes());
     tcp[2..4].copy_from_slice(&segment.to.port().to_be_bytes());
     tcp[4..8].copy_from_slice(&segment.sequence.to_be_bytes());
     tcp[8..12].copy_from_slice(&segment.acknowledged.to_be_bytes());
-    tcp[12] = ((TCP_HEADER / 4) as u8) << 4;
+    tcp[12] = ((TCP_HEADER_SIZE / 4) as u8) << 4;
     tcp[13] = segment.flags;
     tcp[14..16].copy_from_slice(&WINDOW.to_be_bytes());
-    tcp[TCP_HEADER..].copy_from_slice(segment.payload);
+    tcp[TCP_HEADER_SIZE..].copy_from_slice(segment.payload);
     let sum = checksum(pseudo_header(segment, tcp.len()), tcp);
     tcp[16..18].copy_from_slice(&sum.to_be_bytes());
     bytes
--- a/lib/src/packet/mod.rs
+++ b/lib/src/packet/mod.rs
@@ -14,10 +14,10 @@
 use snafu::Snafu;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-const VERSION_4: u8 = 4;
-const IP_HEADER: usize = 20;
-const TCP_HEADER: usize = 20;
-const UDP_HEADER: usize = 8;
+const IP_VERSION_4: u8 = 4;
+const IP_HEADER_SIZE: usize = 20;
+const TCP_HEADER_SIZE: usize = 20;
+const UDP_HEADER_SIZE: usize = 8;
 const PROTOCOL_TCP: u8 = 6;
 const PROTOCOL_UDP: u8 = 17;
 /// The bits of the fragment field that tell that this is a part of a packet:
@@ -87,7 +87,7 @@
     bytes: &'a [u8],
     key: FlowKey,
     kind: PacketKind,
-    transport: usize,
+    transport_offset: usize,
 }
 
 impl<'a> Packet<'a> {
@@ -95,22 +95,22 @@
     /// because a link may have padded it.
     #[inline]
     pub fn parse(bytes: &'a [u8]) -> Result<Packet<'a>, PacketError> {
-        let Some(ip) = bytes.first_chunk::<IP_HEADER>() else {
+        let Some(ip) = bytes.first_chunk::<IP_HEADER_SIZE>() else {
             return TruncatedSnafu.fail();
         };
-        if ip[0] >> 4 != VERSION_4 {
+        if ip[0] >> 4 != IP_VERSION_4 {
             return NotIpv4Snafu.fail();
         }
         let header = usize::from(ip[0] & 0x0f) * 4;
         let total = usize::from(u16::from_be_bytes([ip[2], ip[3]]));
-        if header < IP_HEADER || total < header || bytes.len() < total {
+        if header < IP_HEADER_SIZE || total < header || bytes.len() < total {
             return TruncatedSnafu.fail();
         }
         if u16::from_be_bytes([ip[6], ip[7]]) & FRAGMENT_BITS != 0 {
             return FragmentSnafu.fail();
         }
         let bytes = &bytes[..total];
-        let (protocol, kind) = transport(ip[9], &bytes[header..])?;
+        let (protocol, kind) = parse_transport(ip[9], &bytes[header..])?;
         let port = |at| u16::from_be_bytes([bytes[header + at], bytes[header + at + 1]]);
         let source = Ipv4Addr::new(ip[12], ip[13], ip[14], ip[15]);
         let destination = Ipv4Addr::new(ip[16], ip[17], ip[18], ip[19]);
@@ -119,7 +119,7 @@
             caller: SocketAddrV4::new(source, port(0)),
             service: SocketAddrV4::new(destination, port(2)),
         };
-        Ok(Packet { bytes, key, kind, transport: header })
+        Ok(Packet { bytes, key, kind, transport_offset: header })
     }
 
     /// The whole packet.
@@ -143,7 +143,7 @@
     /// The TCP header and what follows; empty for UDP.
     fn segment(&self) -> &'a [u8] {
         match self.key.protocol {
-            Protocol::Tcp => &self.bytes[self.transport..],
+            Protocol::Tcp => &self.bytes[self.transport_offset..],
             Protocol::Udp => &[],
         }
     }
@@ -158,7 +158,7 @@
     /// How many bytes of the sequence space a TCP segment takes.
     pub fn sequence_length(&self) -> u32 {
         let segment = self.segment();
-        let Some(head) = segment.first_chunk::<TCP_HEADER>() else {
+        let Some(head) = segment.first_chunk::<TCP_HEADER_SIZE>() else {
             return 0;
         };
         let offset = usize::from(head[12] >> 4) * 4;
@@ -177,21 +177,21 @@
 const RST: u8 = 0x04;
 const ACK: u8 = 0x10;
 
-fn transport(protocol: u8, bytes: &[u8]) -> Result<(Protocol, PacketKind), PacketError> {
+fn parse_transport(protocol: u8, bytes: &[u8]) -> Result<(Protocol, PacketKind), PacketError> {
     match protocol {
-        PROTOCOL_TCP => Ok((Protocol::Tcp, tcp_kind(bytes)?)),
-        PROTOCOL_UDP if bytes.len() >= UDP_HEADER => Ok((Protocol::Udp, PacketKind::Continue)),
+        PROTOCOL_TCP => Ok((Protocol::Tcp, parse_tcp_kind(bytes)?)),
+        PROTOCOL_UDP if bytes.len() >= UDP_HEADER_SIZE => Ok((Protocol::Udp, PacketKind::Continue)),
         PROTOCOL_UDP => TruncatedSnafu.fail(),
         _ => TransportSnafu.fail(),
     }
 }
 
-fn tcp_kind(bytes: &[u8]) -> Result<PacketKind, PacketError> {
-    let Some(head) = bytes.first_chunk::<TCP_HEADER>() else {
+fn parse_tcp_kind(bytes: &[u8]) -> Result<PacketKind, PacketError> {
+    let Some(head) = bytes.first_chunk::<TCP_HEADER_SIZE>() else {
         return TruncatedSnafu.fail();
     };
     let offset = usize::from(head[12] >> 4) * 4;
-    if offset < TCP_HEADER || bytes.len() < offset {
+    if offset < TCP_HEADER_SIZE || bytes.len() < offset {
         return TruncatedSnafu.fail();
     }
     match head[13] & (FIN | SYN | RST | ACK) {
--- a/lib/src/settings/marked.rs
+++ b/lib/src/settings/marked.rs
@@ -1,6 +1,6 @@
 //! The settings of an instance whose fabric returns marks.
 
-use super::parse::{distinct, log_form, peers, remote, socket};
+use super::parse::{check_distinct, parse_log_form, parse_peers, parse_remote, parse_socket};
 use crate::{
     document::{self, Fault, Lines, Node, Report},
     ids::{DomainName, InstanceName, RegionName},
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 
 /// The greatest length of the settings in bytes; far above any real ones.
-const MAX_TEXT: usize = 1 << 16;
+const MAX_SETTINGS_SIZE: usize = 1 << 16;
 const FIELDS: &[&str] = &[
     "agreement",
     "name",
@@ -31,7 +31,7 @@
 const MARKS: &str = "marks";
 /// How long an instance that was told to leave is let live if the settings
 /// don't say; that of the users' platform.
-const GRACE: Millis = Millis::secs(6);
+const DEFAULT_GRACE: Millis = Millis::secs(6);
 
 value! {
     /// The checked settings of an instance whose fabric returns marks.
@@ -88,30 +88,30 @@
     ///
     /// Returns every fault of the text, each with its line and what to do.
     pub fn parse(text: &str) -> Result<MarkedSettings, Report> {
-        document::read(text, MAX_TEXT, Lines::Find, settings)
+        document::read(text, MAX_SETTINGS_SIZE, Lines::Find, parse_settings)
     }
 }
 
-fn settings(top: &Node<'_>) -> Option<MarkedSettings> {
+fn parse_settings(top: &Node<'_>) -> Option<MarkedSettings> {
     let fields = top.fields(FIELDS)?;
     let agreement = fields.required("agreement");
     let agreement =
         agreement.and_then(|node| node.parse_with("marks", |text| (text == MARKS).then_some(())));
     let name = |field| fields.required(field).and_then(|node| node.name());
     let (instance, domain) = (name("name"), name("domain"));
-    let listen = |field| fields.required(field).and_then(|node| socket(&node));
+    let listen = |field| fields.required(field).and_then(|node| parse_socket(&node));
     let (packets, ready) = (listen("packets"), listen("ready"));
-    let metrics = fields.parse_optional("metrics", socket);
-    distinct(&fields, "metrics", ready, metrics.flatten(), "ready");
+    let metrics = fields.parse_optional("metrics", parse_socket);
+    check_distinct(&fields, "metrics", ready, metrics.flatten(), "ready");
     let callers = fields.parse_optional("callers", |node| node.integer_as(1..=65_535));
-    let store = fields.required("store").and_then(|node| remote(&node));
-    let control = fields.parse_optional("control", socket);
-    let peers = fields.parse_or("peers", Vec::new(), peers);
-    let regions = fields.parse_or("regions", Vec::new(), regions);
-    let grace =
-        fields.parse_or("grace", GRACE, |node| node.duration(Millis(100)..=Millis::secs(600)));
-    let log =
-        fields.parse_or("log", LogForm::Text, |node| node.parse_with("text or json", log_form));
+    let store = fields.required("store").and_then(|node| parse_remote(&node));
+    let control = fields.parse_optional("control", parse_socket);
+    let peers = fields.parse_or("peers", Vec::new(), parse_peers);
+    let regions = fields.parse_or("regions", Vec::new(), parse_regions);
+    let grace = fields
+        .parse_or("grace", DEFAULT_GRACE, |node| node.duration(Millis(100)..=Millis::secs(600)));
+    let log = fields
+        .parse_or("log", LogForm::Text, |node| node.parse_with("text or json", parse_log_form));
     agreement?;
     Some(MarkedSettings {
         name: InstanceName::new(instance?),
@@ -129,7 +129,7 @@
     })
 }
 
-fn regions(node: &Node<'_>) -> Option<Vec<DomainRegion>> {
+fn parse_regions(node: &Node<'_>) -> Option<Vec<DomainRegion>> {
     let mut known = Vec::<DomainRegion>::new();
     for item in node.items()? {
         let fields = item.fields(REGION_FIELDS)?;
--- a/lib/tests/product/mutate.rs
+++ b/lib/tests/product/mutate.rs
@@ -42,7 +42,7 @@
 
 /// Whether a report names faults, each with what to do about it and with a
 /// line of the text, as far as lines are looked for.
-pub fn whole(report: &Report, text: &str) -> bool {
+pub fn is_complete(report: &Report, text: &str) -> bool {
     let lines = text.lines().count().max(1);
     let located = report.problems.iter().filter_map(|problem| problem.line);
     !report.problems.is_empty()
--- a/lib/tests/product/test_bundle.rs
+++ b/lib/tests/product/test_bundle.rs
@@ -8,15 +8,15 @@
     time::Millis,
 };
 
-fn faults(text: &str, expected: Expect) {
+fn assert_faults(text: &str, expected: Expect) {
     let report = Bundle::parse(text).expect_err("the text has faults");
     expected.assert_eq(&report.to_string());
 }
 
-fn faults_with(from: &str, to: &str, expected: Expect) {
+fn assert_faults_with(from: &str, to: &str, expected: Expect) {
     let text = bundle_text();
     assert!(text.contains(from), "the fixture lost {from:?}");
-    faults(&text.replacen(from, to, 1), expected);
+    assert_faults(&text.replacen(from, to, 1), expected);
 }
 
 #[test]
@@ -60,7 +60,7 @@
 fn limits_out_of_range_are_refused() {
     let text = bundle_text() + "limits: {reserve: 91, booking: 99, patience: 6s, callers: 5}\n";
 
-    faults(
+    assert_faults(
         &text,
         expect![[r#"
         line 28: limits.callers: unknown field; remove it, or use one of reserve, caller, network, booking, patience, retries
@@ -72,7 +72,7 @@
 
 #[test]
 fn all_faults_come_in_one_report() {
-    faults(
+    assert_faults(
         "\
 version: 0
 site: Sofia
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_service_without_targets_is_refused() {
-    faults_with(
+    assert_faults_with(
         "targets: [{name: in-1, address: 10.1.0.3:6080, domain: obelya, slots: 3, connections: 10}]",
         "targets: []",
         expect!["line 27: services[1].targets: the list is empty; add at least one item"],
@@ -117,7 +117,7 @@
 /// only its name changed. Packets for alert delivery would reach ingestion.
 #[test]
 fn an_address_and_port_in_two_services_is_refused() {
-    faults_with(
+    assert_faults_with(
         "address: 10.70.0.2",
         "address: 10.70.0.1",
         expect![
@@ -130,7 +130,7 @@
 /// would get packets of a service that it does not serve.
 #[test]
 fn a_target_in_two_services_is_refused() {
-    faults_with(
+    assert_faults_with(
         "in-1, address: 10.1.0.3:6080",
         "alert-1, address: 10.1.0.1:6080",
         expect![[r#"
@@ -141,7 +141,7 @@
 
 #[test]
 fn a_service_name_that_stands_twice_is_refused() {
-    faults_with(
+    assert_faults_with(
         "name: ingest",
         "name: alertdesk",
         expect![
@@ -152,7 +152,7 @@
 
 #[test]
 fn too_few_buckets_are_refused() {
-    faults_with(
+    assert_faults_with(
         "state: leaving",
         "state: leaving\n    buckets: 8",
         expect![
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_key_that_stands_twice_is_refused() {
-    faults_with(
+    assert_faults_with(
         "site: sofia",
         "site: sofia\nsite: plovdiv",
         expect![[
@@ -174,12 +174,12 @@
 
 #[test]
 fn text_that_is_no_mapping_is_refused() {
-    faults("- 1", expect!["line 1: (top): found a list; write a mapping"]);
+    assert_faults("- 1", expect!["line 1: (top): found a list; write a mapping"]);
 }
 
 #[test]
 fn a_text_over_the_limit_is_refused_unread() {
-    faults(
+    assert_faults(
         &"#".repeat(MAX_BUNDLE_SIZE + 1),
         expect![
             "(top): 1048577 bytes long, where at most 1048576 are taken; leave out fields that have their default, or use the short form `{a: b}`"
@@ -252,13 +252,13 @@
 #[test]
 fn evacuated_domains_are_checked() {
     let text = bundle_text() + "evacuated: [lozenets, lozenetz, lozenets]\n";
-    faults(
+    assert_faults(
         &text,
         expect![
             "line 28: evacuated[1]: no target is in the failure domain `lozenetz`; remove it, or write it as targets name it"
         ],
     );
-    faults(
+    assert_faults(
         &(bundle_text() + "evacuated: lozenets\n"),
         expect!["line 28: evacuated: found text; write a list"],
     );
--- a/lib/tests/product/test_outdated.rs
+++ b/lib/tests/product/test_outdated.rs
@@ -7,9 +7,9 @@
 use std::{cell::Cell, convert::Infallible, rc::Rc};
 
 /// Takes any text for a bundle whose version is its length, and counts.
-struct Counting(Rc<Cell<u32>>);
+struct CountingCheck(Rc<Cell<u32>>);
 
-impl Check for Counting {
+impl Check for CountingCheck {
     type Error = Infallible;
 
     fn check(&self, text: &str) -> Result<Version, Infallible> {
@@ -24,7 +24,7 @@
 #[test]
 fn an_old_bundle_is_checked_once_however_often_it_is_served() {
     let checks = Rc::new(Cell::new(0));
-    let mut spread = Spread::new(Counting(checks.clone()));
+    let mut spread = Spread::new(CountingCheck(checks.clone()));
 
     for _ in 0..1000 {
         spread.offer("new bundle").expect("sound");
--- a/lib/tests/product/test_pages.rs
+++ b/lib/tests/product/test_pages.rs
@@ -19,7 +19,7 @@
 }
 
 /// The fields that a reader knows, from what it says of unknown ones.
-fn known(report: &Report) -> Vec<&'static str> {
+fn known_fields(report: &Report) -> Vec<&'static str> {
     let known = report.problems.iter().filter_map(|problem| match problem.fault {
         Fault::UnknownField { known } => Some(known),
         _ => None,
@@ -27,8 +27,8 @@
     known.flatten().copied().collect()
 }
 
-fn undescribed(page: &str, report: &Report) -> Vec<&'static str> {
-    let mut fields = known(report);
+fn undescribed_fields(page: &str, report: &Report) -> Vec<&'static str> {
+    let mut fields = known_fields(report);
     fields.retain(|field| !page.contains(&format!("| `{field}` |")));
     fields
 }
@@ -49,8 +49,8 @@
 
     let report = Bundle::parse(text).expect_err("unknown fields");
 
-    assert!(known(&report).len() > 28);
-    assert_eq!(undescribed(&page, &report), Vec::<&str>::new());
+    assert!(known_fields(&report).len() > 28);
+    assert_eq!(undescribed_fields(&page, &report), Vec::<&str>::new());
 }
 
 #[test]
@@ -66,8 +66,8 @@
 
     let report = Settings::parse("x: 1").expect_err("an unknown field");
 
-    assert!(known(&report).len() > 10);
-    assert_eq!(undescribed(&page, &report), Vec::<&str>::new());
+    assert!(known_fields(&report).len() > 10);
+    assert_eq!(undescribed_fields(&page, &report), Vec::<&str>::new());
 }
 
 #[test]
@@ -85,5 +85,5 @@
 
     let report = MarkedSettings::parse("unknown: 1\n").expect_err("a fault");
 
-    assert_eq!(undescribed(&page, &report), Vec::<&str>::new());
+    assert_eq!(undescribed_fields(&page, &report), Vec::<&str>::new());
 }
--- a/lib/tests/product/test_random.rs
+++ b/lib/tests/product/test_random.rs
@@ -2,7 +2,7 @@
 
 use super::{
     fixtures::{bundle_text, key, keys, site},
-    mutate::{edit, mutated, whole},
+    mutate::{edit, is_complete, mutated},
 };
 use medlarspur_lib::bundle::{Bundle, SignedBundle, sign};
 use proptest::{collection::vec, prelude::*};
@@ -18,7 +18,7 @@
     for text in [indented, second] {
         let report = Bundle::parse(&text).expect_err("two documents");
 
-        assert!(whole(&report, &text), "{report}");
+        assert!(is_complete(&report, &text), "{report}");
     }
 }
 
@@ -53,7 +53,7 @@
         let text = String::from_utf8_lossy(&bytes);
         match Bundle::parse(&text) {
             Ok(bundle) => prop_assert!(!bundle.services.is_empty()),
-            Err(report) => prop_assert!(whole(&report, &text)),
+            Err(report) => prop_assert!(is_complete(&report, &text)),
         }
     }
 }
--- a/lib/tests/product/test_settings.rs
+++ b/lib/tests/product/test_settings.rs
@@ -2,13 +2,13 @@
 
 use super::{
     fixtures::{key, settings_text},
-    mutate::{edit, mutated, whole},
+    mutate::{edit, is_complete, mutated},
 };
 use expect_test::{Expect, expect};
 use medlarspur_lib::settings::{LogForm, Settings};
 use proptest::{collection::vec, prelude::*};
 
-fn faults(text: &str, expected: Expect) {
+fn assert_faults(text: &str, expected: Expect) {
     let report = Settings::parse(text).expect_err("the text has faults");
     expected.assert_eq(&report.to_string());
 }
@@ -29,7 +29,7 @@
 
 #[test]
 fn all_faults_come_in_one_report_without_the_secret() {
-    faults(
+    assert_faults(
         "\
 site: sofia
 name: entry_1
@@ -81,7 +81,7 @@
     for at in 0..=sound.len() {
         let text = format!("{}\r{}", &sound[..at], &sound[at..]);
         if let Err(report) = Settings::parse(&text) {
-            assert!(whole(&report, &text), "at {at}: {report}");
+            assert!(is_complete(&report, &text), "at {at}: {report}");
         }
     }
 }
@@ -95,7 +95,7 @@
 
         let text = String::from_utf8_lossy(&bytes);
         if let Err(report) = Settings::parse(&text) {
-            prop_assert!(whole(&report, &text));
+            prop_assert!(is_complete(&report, &text));
         }
     }
 }
