--- a/lib/src/document/fault.rs
+++ b/lib/src/document/fault.rs
@@ -1,110 +1,110 @@
-//! What can be wrong with a document, and the report that lists it all.
+//! Faults of a document and the report that lists them.
 
 use super::path::Path;
 use snafu::Snafu;
 use std::fmt;
 
-/// One fault of one value. [`Fault::advice`] says what its author does.
+/// A fault of one value. [`Fault::advice`] says how to fix it.
 #[derive(Debug, Clone, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub))]
 pub enum Fault {
-    /// The text is no YAML at all, or has a key twice in one mapping.
+    /// The text is not valid YAML, or has a key twice in one mapping.
     #[snafu(display("not readable as YAML: {detail}"))]
     Syntax {
-        /// What the YAML library says.
+        /// Message of the YAML library.
         detail: String,
     },
-    /// The text is longer than any reader takes.
+    /// The text is too long.
     #[snafu(display("{size} bytes long, where at most {limit} are taken"))]
     TooLarge {
-        /// Its length in bytes.
+        /// Length in bytes.
         size: usize,
-        /// The greatest length in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// More brackets are open at once than any reader takes.
+    /// Too many brackets are open at once.
     #[snafu(display("more than {limit} brackets are open at once"))]
     TooDeep {
-        /// The greatest number of open brackets.
+        /// Maximum number of open brackets.
         limit: usize,
     },
-    /// A field that must be there is not.
+    /// A required field is missing.
     #[snafu(display("the field `{field}` is missing"))]
     MissingField {
-        /// Its name.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A field that nothing reads, most often a misspelt one.
+    /// A field is not known, usually because it is misspelt.
     #[snafu(display("unknown field"))]
     UnknownField {
-        /// The fields that would be read there.
+        /// Known fields of the mapping.
         known: &'static [&'static str],
     },
-    /// A value of the wrong kind.
+    /// A value has the wrong type.
     #[snafu(display("found {found}"))]
     WrongType {
-        /// The kind that belongs there.
+        /// Expected type.
         expected: &'static str,
-        /// The kind that was found.
+        /// Type that was found.
         found: &'static str,
     },
-    /// A text that does not have the form that it needs.
+    /// A text doesn't have the required format.
     #[snafu(display("`{found}` does not fit"))]
     WrongFormat {
-        /// The text, cut if it is long.
+        /// The text, shortened if it is long.
         found: String,
-        /// The form that belongs there.
+        /// Required format.
         expected: &'static str,
     },
-    /// A number or span outside of its range.
+    /// A number or duration is out of range.
     #[snafu(display("{found} is out of range"))]
     OutOfRange {
-        /// The value, with its unit.
+        /// The value with its unit.
         found: String,
-        /// The least value, with its unit.
+        /// Minimum with its unit.
         min: String,
-        /// The greatest value, with its unit.
+        /// Maximum with its unit.
         max: String,
     },
-    /// A list that needs an item has none.
+    /// A list that needs at least one item is empty.
     #[snafu(display("the list is empty"))]
     EmptyList,
-    /// Something that must be unique stands at another place already.
+    /// A value that must be unique is already used elsewhere.
     #[snafu(display("{what} `{found}` stands at {other} already"))]
     Duplicate {
-        /// What must be unique.
+        /// Kind of value.
         what: &'static str,
         /// The value.
         found: String,
-        /// Where it stood first.
+        /// Path of its first use.
         other: Path,
     },
-    /// A failure domain in which there is no target.
+    /// A failure domain has no target.
     #[snafu(display("no target is in the failure domain `{found}`"))]
     NoTargetInDomain {
-        /// Its name.
+        /// Name of the failure domain.
         found: String,
     },
-    /// The number of buckets is no power of two.
+    /// The number of buckets is not a power of two.
     #[snafu(display("{found} buckets are not a power of two"))]
     NotPowerOfTwo {
-        /// The number that was found.
+        /// Number that was found.
         found: u64,
     },
-    /// Too few buckets to share flows evenly over the targets.
+    /// There are too few buckets to distribute flows evenly over the targets.
     #[snafu(display("{found} buckets are too few for {targets} targets"))]
     TooFewBuckets {
-        /// The number that was found.
+        /// Number that was found.
         found: u64,
-        /// How many targets there are.
+        /// Number of targets.
         targets: usize,
-        /// The least number that does.
+        /// Minimum number of buckets for these targets.
         min: u64,
     },
 }
 
 impl Fault {
-    /// What the author of the document does about it.
+    /// Returns advice for the author on how to fix the fault.
     pub fn advice(&self) -> String {
         match self {
             Fault::Syntax { .. } => "mend the YAML at this place, often its indentation".into(),
@@ -132,14 +132,14 @@
     }
 }
 
-/// A fault and where it stands.
+/// A fault and its place in the document.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// The line, counted from 1, where it could be found.
+    /// Line, counted from 1, if it was looked up and found.
     pub line: Option<usize>,
-    /// The value that has the fault.
+    /// Path of the faulty value.
     pub path: Path,
-    /// What is wrong with it.
+    /// The fault.
     pub fault: Fault,
 }
 
@@ -152,10 +152,11 @@
     }
 }
 
-/// How many faults a report shows as text; a log would drown in thousands.
+/// Maximum number of faults that a report shows as text. A document may have
+/// thousands, which would flood a log.
 const MAX_SHOWN: usize = 64;
 
-/// Every fault of a document, in the order of their lines. Never empty.
+/// All faults of a document, in the order of their lines. It is never empty.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The faults.
--- a/lib/src/document/locate.rs
+++ b/lib/src/document/locate.rs
@@ -1,45 +1,46 @@
-//! Finds the line of a value.
+//! Finding the line of a value.
 //!
-//! The YAML library keeps no positions in the values that it reads, but puts
-//! one into each error. So the text is read once more, along the path to the
-//! value, and the read fails there on purpose.
+//! The YAML library doesn't keep positions in the values that it parses, but
+//! its errors have them. To find a line, the text is parsed again along the
+//! path to the value, with a visitor that fails on purpose at that value.
 
 use super::path::{Path, Step};
 use serde::de::{self, DeserializeSeed, Error, IgnoredAny, MapAccess, SeqAccess, Visitor};
 use serde_norway::{Deserializer, Location, Value};
 use std::fmt;
 
-/// What ends a line for the YAML library; a carriage return and a line feed
-/// after it end one line together.
+/// Characters that end a line for the YAML library. A carriage return followed
+/// by a line feed counts as one line break.
 const LINE_BREAKS: [char; 5] = ['\n', '\r', '\u{85}', '\u{2028}', '\u{2029}'];
 
-/// The line on which the value at `path` begins, counted from 1.
+/// Returns the line on which the value at `path` begins, counted from 1.
 pub(super) fn line(text: &str, path: &Path) -> Option<usize> {
     let locator = Locator { steps: path.steps() };
     let error = locator.deserialize(Deserializer::from_str(text)).err()?;
     error.location().map(|location| editor_line(text, location.line()))
 }
 
-/// The line, counted from 1, of what made the text unreadable. An error without
-/// a place is about the whole text, which begins on the first line, or about a
-/// second document, which a top that is indented deeper than what follows it
-/// brings about.
+/// Returns the line, counted from 1, of a syntax error. An error without a
+/// location concerns the whole text, which begins on the first line, or a
+/// second document. A second document arises if the first line is indented
+/// deeper than the following ones.
 pub(super) fn error_line(text: &str, error: &serde_norway::Error) -> usize {
     let place = error.location().or_else(|| second_document(text));
     place.map_or(1, |location| editor_line(text, location.line()))
 }
 
-/// Where the second document of a text begins, or is broken.
+/// Returns the location of the second document of a text, or of the error in
+/// it.
 fn second_document(text: &str) -> Option<Location> {
     let document = Deserializer::from_str(text).nth(1)?;
     let error = Locator { steps: &[] }.deserialize(document).err()?;
     error.location()
 }
 
-/// The line of the text, as editors count, on which a line of the YAML library
-/// begins. The library ends lines at each of [`LINE_BREAKS`] too. With its count, a
-/// stray carriage return would send the author to a line too far down, or past
-/// the end of the text.
+/// Converts a line number of the YAML library into that of an editor, which
+/// ends lines at line feeds only, while the library ends them at any of
+/// [`LINE_BREAKS`]. Otherwise a stray carriage return would give a line too far
+/// down, or past the end of the text.
 fn editor_line(text: &str, line: usize) -> usize {
     let mut passed = 1;
     let mut editor_line = 1;
@@ -54,7 +55,7 @@
     editor_line
 }
 
-/// Fails at the value to which the steps lead.
+/// Visitor that fails at the value to which the steps lead.
 #[derive(Clone, Copy)]
 struct Locator<'p> {
     steps: &'p [Step],
--- a/lib/src/document/mod.rs
+++ b/lib/src/document/mod.rs
@@ -1,8 +1,8 @@
-//! Checked reading of YAML documents, for the bundle and the settings.
+//! Parsing and checking of YAML documents, for the bundle and the settings.
 //!
-//! A document is first read into plain values and then walked field by field.
-//! The walk goes on after a fault, so that an author sees all of them in one
-//! [`Report`] and does not mend a file one run at a time.
+//! A document is first parsed into plain YAML values and then read field by
+//! field. Reading goes on after a fault, so that one [`Report`] lists all
+//! faults and the author doesn't have to fix them one run at a time.
 
 mod fault;
 mod locate;
--- a/lib/src/document/path.rs
+++ b/lib/src/document/path.rs
@@ -1,33 +1,33 @@
-//! Where in a document a value stands.
+//! Paths to values in a document.
 
 use std::fmt;
 
 /// One step from a value to a part of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step {
-    /// Into the field of a mapping.
+    /// To the field of a mapping.
     Field(String),
-    /// Into an item of a list, counted from zero.
+    /// To an item of a list, counted from zero.
     Index(usize),
 }
 
-/// The steps from the top of a document to a value, shown as
+/// Path from the top of a document to a value, displayed as
 /// `services[1].targets[0].address`.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Path(Vec<Step>);
 
 impl Path {
-    /// The path of the field `name` under this one.
+    /// Returns the path of the field `name` under this one.
     pub fn field(&self, name: &str) -> Path {
         self.step(Step::Field(name.to_owned()))
     }
 
-    /// The path of the item `index` under this one.
+    /// Returns the path of the item `index` under this one.
     pub fn index(&self, index: usize) -> Path {
         self.step(Step::Index(index))
     }
 
-    /// The steps from the top.
+    /// Returns the steps from the top.
     pub fn steps(&self) -> &[Step] {
         &self.0
     }
--- a/lib/src/document/reader.rs
+++ b/lib/src/document/reader.rs
@@ -1,4 +1,4 @@
-//! Walks the values of a document and notes every fault on the way.
+//! Reading the values of a document and recording all faults.
 
 use super::{
     fault::{Fault, Problem, Report},
@@ -9,36 +9,37 @@
 use serde_norway::{Mapping, Value};
 use std::{cell::RefCell, ops::RangeInclusive, str::FromStr};
 
-/// How many faults get a line where lines are asked for. Each costs one more
-/// read of the text, and no author works through more at once; without the
-/// bound a broken document of a megabyte would take minutes.
+/// Maximum number of faults whose lines are looked up. Each lookup parses the
+/// text once more, so without a limit a faulty document of a megabyte would
+/// take minutes. No author works through more faults at once.
 const MAX_LOCATED: usize = 64;
-/// How many brackets may be open at once. The YAML library looks at all open
-/// ones for each further token, so a few hundred thousand, as a broken file
-/// may have, would keep it busy for minutes.
+/// Maximum number of open brackets. The YAML library examines all open brackets
+/// for each token, so a broken file with a few hundred thousand of them would
+/// take minutes.
 const MAX_DEPTH: usize = 1000;
 
-/// Whether faults get the lines on which they stand.
+/// Whether the lines of faults are looked up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lines {
-    /// For authors: the first faults do.
+    /// Looked up for the first faults; for authors.
     Find,
-    /// For instances: none does. The reads for the lines of a large document
-    /// take seconds, in which an instance would miss its heartbeats.
+    /// Not looked up; for instances. In a large document the lookup takes
+    /// seconds, in which an instance would miss its heartbeats.
     Skip,
 }
 
-/// How much of a wrong text a fault repeats, in characters.
+/// Maximum number of characters of a faulty text that a fault quotes.
 const MAX_QUOTED: usize = 60;
-/// The greatest length of a name; that of a label in DNS.
+/// Maximum length of a name in bytes, the same as for a DNS label.
 const MAX_NAME_LENGTH: usize = 63;
 
-/// Reads `text` by `walk`, which notes faults in the [`Sink`] and returns
-/// `None` only after it noted one.
+/// Parses `text` and reads its values with `walk`, which records faults in the
+/// [`Sink`] and returns `None` only if it has recorded one. `limit` is the
+/// maximum length of the text in bytes.
 ///
 /// # Errors
 ///
-/// Returns all faults of the text if there is any.
+/// Returns all faults of the text if there are any.
 pub fn read<T>(
     text: &str,
     limit: usize,
@@ -63,8 +64,8 @@
     }
 }
 
-/// Whether too many brackets are open at once. Brackets in quotes count too:
-/// no sound document comes near the limit by them.
+/// Returns whether too many brackets are open at once. Brackets in quotes count
+/// too; no valid document has enough of them to reach the limit.
 fn is_too_deep(text: &str) -> bool {
     let mut depth = 0usize;
     for byte in text.bytes() {
@@ -91,7 +92,7 @@
 pub struct Sink(RefCell<Vec<Problem>>);
 
 impl Sink {
-    /// Notes a fault of the value at `path`.
+    /// Records a fault of the value at `path`.
     pub fn record(&self, path: Path, fault: Fault) {
         self.0.borrow_mut().push(Problem { line: None, path, fault });
     }
@@ -111,7 +112,7 @@
     }
 }
 
-/// A value of the document, with its place.
+/// A value of the document and its path.
 #[derive(Clone)]
 pub struct Node<'d> {
     value: &'d Value,
@@ -120,12 +121,12 @@
 }
 
 impl<'d> Node<'d> {
-    /// Where the value stands.
+    /// Returns the path of the value.
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Notes a fault of this value.
+    /// Records a fault of this value and returns `None`.
     pub fn fail<T>(&self, fault: Fault) -> Option<T> {
         self.sink.record(self.path.clone(), fault);
         None
@@ -143,7 +144,8 @@
         self.fail(Fault::WrongFormat { found, expected })
     }
 
-    /// The value as a mapping that has no other fields than `known`.
+    /// Returns the value as a mapping and records a fault for each field that
+    /// is not in `known`.
     pub fn fields(&self, known: &'static [&'static str]) -> Option<Fields<'d>> {
         let Value::Mapping(entries) = self.value else {
             return self.wrong_type("a mapping");
@@ -157,7 +159,7 @@
         Some(Fields { entries, node: self.clone() })
     }
 
-    /// The value as a list.
+    /// Returns the value as a list.
     pub fn items(&self) -> Option<Vec<Node<'d>>> {
         let Value::Sequence(values) = self.value else {
             return self.wrong_type("a list");
@@ -166,7 +168,7 @@
         Some(values.iter().enumerate().map(node).collect())
     }
 
-    /// The value as a list of at least one item.
+    /// Returns the value as a list with at least one item.
     pub fn non_empty_items(&self) -> Option<Vec<Node<'d>>> {
         let items = self.items()?;
         if items.is_empty() {
@@ -175,7 +177,7 @@
         Some(items)
     }
 
-    /// The value as text.
+    /// Returns the value as text.
     pub fn text(&self) -> Option<&'d str> {
         match self.value {
             Value::String(text) => Some(text),
@@ -183,7 +185,7 @@
         }
     }
 
-    /// The value as a whole number in a range.
+    /// Returns the value as a whole number within `range`.
     pub fn integer(&self, range: RangeInclusive<u64>) -> Option<u64> {
         let Value::Number(number) = self.value else {
             return self.wrong_type("a whole number");
@@ -194,12 +196,14 @@
         }
     }
 
-    /// The value as a whole number in a range that fits a small type.
+    /// Returns the value as a whole number within `range`, which has to fit
+    /// into `T`.
     pub fn integer_as<T: TryFrom<u64>>(&self, range: RangeInclusive<u64>) -> Option<T> {
         self.integer(range).and_then(|found| T::try_from(found).ok())
     }
 
-    /// The value as a span of time, such as `500ms`, `30s`, `5m` or `1h`.
+    /// Returns the value as a duration within `range`. It is written such as
+    /// `500ms`, `30s`, `5m` or `1h`.
     pub fn duration(&self, range: RangeInclusive<Millis>) -> Option<Millis> {
         const EXPECTED: &str = "a span of time with its unit, such as 500ms, 30s, 5m or 1h";
         let Value::String(text) = self.value else {
@@ -219,13 +223,14 @@
         self.fail(Fault::OutOfRange { found, min: min.to_string(), max: max.to_string() })
     }
 
-    /// The value as a text that parses, such as an address.
+    /// Parses the value's text, such as an address. `expected` describes the
+    /// format.
     pub fn parse<T: FromStr>(&self, expected: &'static str) -> Option<T> {
         let text = self.text()?;
         text.parse().ok().or_else(|| self.wrong_format(expected))
     }
 
-    /// The value as a text that `check` turns into something.
+    /// Parses the value's text with `check`. `expected` describes the format.
     pub fn parse_with<T>(
         &self,
         expected: &'static str,
@@ -234,7 +239,7 @@
         check(self.text()?).or_else(|| self.wrong_format(expected))
     }
 
-    /// As [`Node::parse_with`], for a text that no report may repeat.
+    /// Like [`Node::parse_with`], but the fault doesn't quote the text.
     pub fn parse_secret<T>(
         &self,
         expected: &'static str,
@@ -244,30 +249,30 @@
         check(self.text()?).or_else(|| self.fail(hidden()))
     }
 
-    /// The value as a mapping, noting no fault; for checks that look at the
-    /// same value as a walk that notes them.
+    /// Returns the value as a mapping without recording a fault. For checks of
+    /// values whose faults are recorded elsewhere.
     pub fn peek_fields(&self) -> Option<Fields<'d>> {
         let Value::Mapping(entries) = self.value else { return None };
         Some(Fields { entries, node: self.clone() })
     }
 
-    /// The value as a list, noting no fault.
+    /// Returns the value as a list without recording a fault.
     pub fn peek_items(&self) -> Option<Vec<Node<'d>>> {
         self.value.is_sequence().then(|| self.items()).flatten()
     }
 
-    /// The value as text, noting no fault.
+    /// Returns the value as text without recording a fault.
     pub fn peek_text(&self) -> Option<&'d str> {
         self.value.as_str()
     }
 
-    /// The value as a whole number, noting no fault.
+    /// Returns the value as a whole number without recording a fault.
     pub fn peek_integer(&self) -> Option<u64> {
         self.value.as_u64()
     }
 
-    /// The value as a name: lower-case letters, digits, `-` and `.`, from a
-    /// letter or digit on, as in a host name.
+    /// Returns the value as a name: lower-case letters, digits, `-` and `.`,
+    /// beginning with a letter or digit, as in a host name.
     pub fn name(&self) -> Option<&'d str> {
         let text = self.text()?;
         if is_name(text) {
@@ -286,19 +291,19 @@
 }
 
 impl<'d> Fields<'d> {
-    /// The field `name`, if it is there.
+    /// Returns the field `name` if it is present.
     pub fn optional(&self, name: &str) -> Option<Node<'d>> {
         let value = self.entries.get(name)?;
         Some(Node { value, path: self.node.path.field(name), sink: self.node.sink })
     }
 
-    /// The field `name`; notes a fault if it is not there.
+    /// Returns the field `name`. Records a fault if it is missing.
     pub fn required(&self, name: &'static str) -> Option<Node<'d>> {
         let found = self.optional(name);
         found.or_else(|| self.node.fail(Fault::MissingField { field: name }))
     }
 
-    /// What `get` makes of the field `name`, if it is there.
+    /// Parses the field `name` with `get` if it is present.
     pub fn parse_optional<T>(
         &self,
         name: &str,
@@ -307,7 +312,8 @@
         self.parse_or(name, None, |node| get(node).map(Some))
     }
 
-    /// What `get` makes of the field `name`, or `default` if it is not there.
+    /// Parses the field `name` with `get`, or returns `default` if it is
+    /// missing.
     pub fn parse_or<T>(
         &self,
         name: &str,
