--- a/lib/src/packet/craft.rs
+++ b/lib/src/packet/craft.rs
@@ -1,4 +1,4 @@
-//! Packets that an instance makes itself: refusals towards a caller.
+//! Packets that an instance builds itself to refuse a caller.
 
 use super::{ACK, FIN, IP_HEADER_SIZE, Packet, RST, SYN, TCP_HEADER_SIZE};
 use std::net::SocketAddrV4;
@@ -19,8 +19,9 @@
     payload: &'a [u8],
 }
 
-/// The reset that tells a caller at once that nothing was run. `None` if the
-/// packet is a reset itself or no TCP, which must not be answered.
+/// Builds a reset, which tells the caller at once that no work was done.
+/// Returns `None` if the packet is not TCP or is itself a reset, which must not
+/// be answered.
 pub fn build_reset(packet: &Packet<'_>) -> Option<Vec<u8>> {
     let (sequence, acknowledged) = packet.sequence_numbers()?;
     if packet.kind() == super::PacketKind::Abort {
@@ -36,8 +37,9 @@
     Some(build(&Segment { from, to, sequence, acknowledged, flags, payload: &[] }))
 }
 
-/// The answer to a SYN by which an instance completes the handshake itself, to
-/// turn the caller away in words. `cookie` becomes the sequence number.
+/// Builds the answer to a SYN with which the instance completes the handshake
+/// itself, in order to send the caller the refusal text. `cookie` becomes the
+/// sequence number.
 pub fn build_syn_ack(packet: &Packet<'_>, cookie: u32) -> Option<Vec<u8>> {
     let (sequence, _) = packet.sequence_numbers()?;
     let key = packet.key();
@@ -46,8 +48,8 @@
     Some(build(&Segment { from, to, sequence: cookie, acknowledged, flags, payload: &[] }))
 }
 
-/// The refusal in words and the end of the connection, in one segment, as the
-/// answer to the first segment with data or the bare ACK of the handshake.
+/// Builds the segment with the refusal text and the end of the connection. It
+/// answers the first segment with data or the bare ACK of the handshake.
 pub fn build_refusal(packet: &Packet<'_>, payload: &[u8]) -> Option<Vec<u8>> {
     let (sequence, acknowledged) = packet.sequence_numbers()?;
     let key = packet.key();
@@ -57,8 +59,8 @@
     Some(build(&Segment { from, to, sequence: acknowledged, acknowledged: next, flags, payload }))
 }
 
-/// The bare acknowledgement of what comes after an [`build_refusal`]. A reset would be
-/// shorter, but could make the caller drop the answer before it has read it.
+/// Builds the bare ACK of a segment that follows a refusal text. A reset would be
+/// shorter, but could make the caller drop the text before it has read it.
 pub fn build_ack(packet: &Packet<'_>) -> Option<Vec<u8>> {
     let (sequence, acknowledged) = packet.sequence_numbers()?;
     let key = packet.key();
@@ -101,7 +103,7 @@
     bytes
 }
 
-/// The part of TCP's checksum that covers the addresses.
+/// Returns the part of the TCP checksum that covers the pseudo-header.
 fn pseudo_header(segment: &Segment<'_>, length: usize) -> u32 {
     let halves = |address: u32| (address >> 16) + (address & 0xffff);
     let addresses = halves((*segment.from.ip()).into()) + halves((*segment.to.ip()).into());
--- a/lib/src/packet/flow.rs
+++ b/lib/src/packet/flow.rs
@@ -12,32 +12,32 @@
     str::FromStr,
 };
 
-/// The five-tuple that tells a flow from every other.
+/// Five-tuple that identifies a flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct FlowKey {
-    /// The transport protocol.
+    /// Transport protocol.
     pub protocol: Protocol,
-    /// The caller's address and port.
+    /// Address and port of the caller.
     pub caller: SocketAddrV4,
-    /// The service's address and port.
+    /// Address and port of the service.
     pub service: SocketAddrV4,
 }
 
-/// Why a text names no flow.
+/// Error from parsing a flow.
 #[derive(Debug, Snafu)]
 pub enum FlowKeyError {
-    /// Another shape than the expected one.
+    /// The text doesn't have the expected form.
     #[snafu(display("a flow is written tcp:CALLER-IP:PORT:SERVICE-IP:PORT, not {text:?}"))]
     Shape {
-        /// What was given.
+        /// The text.
         text: String,
     },
-    /// An address does not parse.
+    /// An address is not valid.
     #[snafu(display("{text:?} is no IPv4 address with a port"))]
     Address {
-        /// What was given.
+        /// The text.
         text: String,
-        /// What the parser says.
+        /// Error of the parser.
         source: AddrParseError,
     },
 }
@@ -47,7 +47,7 @@
 
     fn from_str(text: &str) -> Result<FlowKey, FlowKeyError> {
         let address = |text: &str| text.parse().context(AddressSnafu { text });
-        // As log lines write flows, where there is one protocol only.
+        // Log lines write flows in this form where TCP is the only protocol.
         if let Some((caller, service)) = text.split_once('>') {
             let (caller, service) = (address(caller)?, address(service)?);
             return Ok(FlowKey { protocol: Protocol::Tcp, caller, service });
@@ -75,22 +75,23 @@
     }
 }
 
-/// Hashes flows alike on every instance.
+/// Hashes flows, with the same result on all instances.
 ///
-/// Callers choose their ports, so a plain hash would let one aim all its flows
-/// at one bucket, and so at one target; the key from the bundle prevents that.
+/// Callers choose their ports. With a hash that has no key, a caller could
+/// direct all its flows to one bucket, and so to one target; the key from the
+/// bundle prevents that.
 #[derive(Debug, Clone, Copy)]
 pub struct FlowHasher {
     state: SipHasher13,
 }
 
 impl FlowHasher {
-    /// Makes the hasher of a site.
+    /// Creates the hasher of a site.
     pub fn new(seed: Seed) -> FlowHasher {
         FlowHasher { state: SipHasher13::new_with_key(&seed.0) }
     }
 
-    /// The id of a flow.
+    /// Returns the id of a flow.
     #[inline]
     pub fn id(&self, key: &FlowKey) -> FlowId {
         let caller = u64::from(u32::from(*key.caller.ip())) << 16 | u64::from(key.caller.port());
--- a/lib/src/packet/mod.rs
+++ b/lib/src/packet/mod.rs
@@ -1,8 +1,8 @@
-//! Callers' packets, read just as far as forwarding needs.
+//! Parsing of callers' packets, as far as forwarding needs it.
 //!
-//! Everything here comes from outside, so every length is checked before a
-//! byte is read, and a packet that does not fit is a [`PacketError`] to count,
-//! never a panic. Nothing is copied: [`Packet`] borrows what was received.
+//! The input is untrusted. Each length is checked before a byte is read, and an
+//! invalid packet results in a [`PacketError`] that is counted, never in a
+//! panic. [`Packet`] borrows the received bytes and copies nothing.
 
 mod craft;
 mod flow;
@@ -20,33 +20,33 @@
 const UDP_HEADER_SIZE: usize = 8;
 const PROTOCOL_TCP: u8 = 6;
 const PROTOCOL_UDP: u8 = 17;
-/// The bits of the fragment field that tell that this is a part of a packet:
-/// "more fragments" and the offset.
+/// Bits of the fragment field that are set in fragments only: "more fragments"
+/// and the offset.
 const FRAGMENT_BITS: u16 = 0x3fff;
 
-/// Why a datagram from the fabric is no packet that can be forwarded.
+/// Reason why a datagram from the fabric can't be forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Snafu)]
 pub enum PacketError {
-    /// Shorter than its headers say.
+    /// The packet is shorter than its headers say.
     #[snafu(display("the packet is shorter than its headers"))]
     Truncated,
-    /// Not IP version 4.
+    /// The packet is not IP version 4.
     #[snafu(display("the packet is not IPv4"))]
     NotIpv4,
-    /// A fragment: the ports are only in the first, so the others can't be
-    /// sent where the first went.
+    /// The packet is a fragment. Only the first fragment has the ports, so the
+    /// others can't be sent to the same target.
     #[snafu(display("the packet is a fragment"))]
     Fragment,
-    /// Neither TCP nor UDP.
+    /// The packet is neither TCP nor UDP.
     #[snafu(display("the packet is neither TCP nor UDP"))]
     Transport,
-    /// A TCP segment with flags that no well-formed one has.
+    /// The flags of the TCP segment contradict each other.
     #[snafu(display("the TCP flags contradict each other"))]
     Flags,
 }
 
 impl PacketError {
-    /// All of them, in the order of their values.
+    /// All errors, in the order of their values.
     pub const ALL: [PacketError; 5] = [
         PacketError::Truncated,
         PacketError::NotIpv4,
@@ -55,7 +55,7 @@
         PacketError::Flags,
     ];
 
-    /// The label under which it is counted.
+    /// Returns the label under which the error is counted.
     pub fn label(self) -> &'static str {
         match self {
             PacketError::Truncated => "truncated",
@@ -68,20 +68,20 @@
 }
 
 value! {
-    /// What a packet means for its flow.
+    /// What a packet does to its flow.
     pub enum PacketKind {
         /// Opens a flow: a SYN without an ACK.
         Open,
-        /// Belongs to a flow that is open, or to a UDP flow.
+        /// Belongs to an open flow or to a UDP flow.
         Continue,
-        /// The caller closes its half of the flow.
+        /// Closes the caller's half of the flow.
         Close,
-        /// The caller gives the flow up at once.
+        /// Aborts the flow (RST).
         Abort,
     }
 }
 
-/// A packet from a caller: a borrowed, well-formed IPv4 packet.
+/// A well-formed IPv4 packet from a caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Packet<'a> {
     bytes: &'a [u8],
@@ -91,8 +91,8 @@
 }
 
 impl<'a> Packet<'a> {
-    /// Reads the headers. Bytes behind the packet's own length are dropped,
-    /// because a link may have padded it.
+    /// Parses the headers. Bytes after the packet's own length are dropped,
+    /// since a link may have added padding.
     #[inline]
     pub fn parse(bytes: &'a [u8]) -> Result<Packet<'a>, PacketError> {
         let Some(ip) = bytes.first_chunk::<IP_HEADER_SIZE>() else {
@@ -122,25 +122,25 @@
         Ok(Packet { bytes, key, kind, transport_offset: header })
     }
 
-    /// The whole packet.
+    /// Returns the whole packet.
     #[inline]
     pub fn bytes(&self) -> &'a [u8] {
         self.bytes
     }
 
-    /// The flow that it belongs to.
+    /// Returns the flow that the packet belongs to.
     #[inline]
     pub fn key(&self) -> FlowKey {
         self.key
     }
 
-    /// What it means for its flow.
+    /// Returns what the packet does to its flow.
     #[inline]
     pub fn kind(&self) -> PacketKind {
         self.kind
     }
 
-    /// The TCP header and what follows; empty for UDP.
+    /// Returns the TCP header and its payload; empty for UDP.
     fn segment(&self) -> &'a [u8] {
         match self.key.protocol {
             Protocol::Tcp => &self.bytes[self.transport_offset..],
@@ -148,14 +148,15 @@
         }
     }
 
-    /// The sequence and acknowledgement numbers of a TCP segment.
+    /// Returns the sequence and acknowledgement numbers of a TCP segment.
     pub fn sequence_numbers(&self) -> Option<(u32, u32)> {
         let segment = self.segment();
         let word = |at: usize| segment.get(at..at + 4)?.try_into().ok().map(u32::from_be_bytes);
         Some((word(4)?, word(8)?))
     }
 
-    /// How many bytes of the sequence space a TCP segment takes.
+    /// Returns the length of a TCP segment in sequence space: its payload, SYN
+    /// and FIN.
     pub fn sequence_length(&self) -> u32 {
         let segment = self.segment();
         let Some(head) = segment.first_chunk::<TCP_HEADER_SIZE>() else {
@@ -166,7 +167,7 @@
         segment.len().saturating_sub(offset) as u32 + marks
     }
 
-    /// Whether a TCP segment acknowledges something.
+    /// Returns whether a TCP segment has the ACK flag.
     pub fn has_ack(&self) -> bool {
         self.segment().get(13).is_some_and(|flags| flags & ACK != 0)
     }
