--- a/lib/src/settings/marked.rs
+++ b/lib/src/settings/marked.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance whose fabric returns marks.
+//! Settings of an instance whose fabric returns marks.
 
 use super::parse::{check_distinct, parse_log_form, parse_peers, parse_remote, parse_socket};
 use crate::{
@@ -9,7 +9,7 @@
 };
 use std::net::SocketAddrV4;
 
-/// The greatest length of the settings in bytes; far above any real ones.
+/// Maximum length of the settings in bytes, far more than real settings need.
 const MAX_SETTINGS_SIZE: usize = 1 << 16;
 const FIELDS: &[&str] = &[
     "agreement",
@@ -27,45 +27,46 @@
     "log",
 ];
 const REGION_FIELDS: &[&str] = &["domain", "region"];
-/// The value of `agreement` that these settings have.
+/// Value of `agreement` in these settings.
 const MARKS: &str = "marks";
-/// How long an instance that was told to leave is let live if the settings
-/// don't say; that of the users' platform.
+/// Default grace period, the same as that of the users' platform.
 const DEFAULT_GRACE: Millis = Millis::secs(6);
 
 value! {
-    /// The checked settings of an instance whose fabric returns marks.
+    /// Checked settings of an instance whose fabric returns marks.
     pub struct MarkedSettings {
-        /// Its name, unique at the site.
+        /// Name of the instance, unique at the site.
         pub name: InstanceName,
-        /// Its failure domain.
+        /// Failure domain of the instance.
         pub domain: DomainName,
-        /// Where it takes callers' packets, by UDP.
+        /// UDP address at which it receives callers' packets.
         pub packets: SocketAddrV4,
-        /// Where it says whether it is ready, by HTTP.
+        /// HTTP address at which it reports whether it is ready.
         pub ready: SocketAddrV4,
-        /// Where it serves metrics, by HTTP; not at all without.
+        /// HTTP address at which it serves metrics. Without one it serves none.
         pub metrics: Option<SocketAddrV4>,
-        /// The port at which callers take packets; that of `packets` without.
+        /// Port to which callers send packets. Defaults to the port of
+        /// `packets`.
         pub callers: u16,
-        /// Where the store is that config and targets are read from, by HTTP.
+        /// HTTP address of the store from which config and targets are read.
         pub store: SocketAddrV4,
-        /// Where it talks to other instances, by UDP and TCP; it reads all by
-        /// itself without.
+        /// UDP and TCP address for communication with other instances. Without
+        /// one the instance reads everything from the store itself.
         pub control: Option<SocketAddrV4>,
-        /// Control addresses of some instances, by which to find the others.
+        /// Control addresses of some instances, through which the others are
+        /// found.
         pub peers: Vec<SocketAddrV4>,
-        /// The region of each failure domain, as far as it is known.
+        /// Regions of the failure domains, as far as they are known.
         pub regions: Vec<DomainRegion>,
-        /// How long after it was told to leave it is killed.
+        /// Time between the request to leave and the kill of the instance.
         pub grace: Millis,
-        /// The form of log lines.
+        /// Form of log lines.
         pub log: LogForm,
     }
 }
 
 value! {
-    /// Where a failure domain is.
+    /// Region of a failure domain.
     pub struct DomainRegion {
         /// The failure domain.
         pub domain: DomainName,
@@ -75,18 +76,18 @@
 }
 
 impl MarkedSettings {
-    /// Whether a text holds settings of this kind, and not those of an instance
-    /// whose fabric returns nothing.
+    /// Returns whether a text holds settings of this kind, rather than those of
+    /// an instance whose fabric doesn't return marks.
     pub fn is_declared_in(text: &str) -> bool {
         let line = text.lines().find_map(|line| line.strip_prefix("agreement:"));
         line.is_some_and(|value| value.trim().trim_matches(['"', '\'']) == MARKS)
     }
 
-    /// Reads and checks the text of settings.
+    /// Parses and checks the text of the settings.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the text, each with its line and what to do.
+    /// Returns all faults of the text, each with its line and advice.
     pub fn parse(text: &str) -> Result<MarkedSettings, Report> {
         document::read(text, MAX_SETTINGS_SIZE, Lines::Find, parse_settings)
     }
--- a/lib/src/settings/mod.rs
+++ b/lib/src/settings/mod.rs
@@ -1,7 +1,7 @@
-//! The settings of one instance: who it is and whom it talks to.
+//! Settings of an instance: its identity and the addresses that it uses.
 //!
-//! Everything else comes from the bundle. The fields are described for
-//! operators in `docs/settings.md`.
+//! All other configuration is in the bundle. `docs/settings.md` describes the
+//! fields for operators.
 
 mod marked;
 mod parse;
@@ -15,60 +15,61 @@
 use std::{fmt, net::SocketAddrV4, path::PathBuf};
 
 value! {
-    /// The checked settings of an instance.
+    /// Checked settings of an instance.
     pub struct Settings {
-        /// The site that it belongs to; bundles of others are refused.
+        /// Site of the instance. Bundles of other sites are refused.
         pub site: SiteName,
-        /// Its name, unique at the site.
+        /// Name of the instance, unique at the site.
         pub name: InstanceName,
-        /// Its failure domain.
+        /// Failure domain of the instance.
         pub domain: DomainName,
-        /// Where it takes packets from the fabric, by UDP.
+        /// UDP address at which it receives packets from the fabric.
         pub packets: SocketAddrV4,
-        /// Where it takes peers' questions about flows, by UDP.
+        /// UDP address at which it receives peers' questions about flows.
         pub questions: SocketAddrV4,
-        /// Where it takes control connections of peers, by TCP.
+        /// TCP address at which it accepts control connections from peers.
         pub control: SocketAddrV4,
-        /// Where operators read from it, by HTTP.
+        /// HTTP address for operators' reads.
         pub operator: SocketAddrV4,
-        /// Where it returns packets to callers through the fabric, by UDP.
+        /// UDP address of the fabric, which takes packets for callers.
         pub fabric: SocketAddrV4,
-        /// Where the platform's service is, by HTTP.
+        /// HTTP address of the platform's service.
         pub platform: SocketAddrV4,
-        /// The keys that may sign bundles.
+        /// Keys whose signatures on bundles are trusted.
         pub keys: TrustedKeys,
-        /// Control addresses of peers to ask when the platform is down.
+        /// Control addresses of peers to try while the platform is down.
         pub peers: Vec<SocketAddrV4>,
-        /// What the instances of the site share, to tell peers from others.
+        /// Secret shared by the instances of the site, which authenticates
+        /// peers.
         pub secret: Secret,
-        /// Certificates for control connections, if they are encrypted.
+        /// Certificates for control connections, if these are encrypted.
         pub tls: Option<Tls>,
-        /// The form of log lines.
+        /// Form of log lines.
         pub log: LogForm,
     }
 
-    /// The files of the certificates, in PEM.
+    /// Certificate files in PEM format.
     pub struct Tls {
-        /// The authority that peers' certificates must come from.
+        /// Certificate authority that must have issued peers' certificates.
         pub ca: PathBuf,
-        /// The certificate of this instance.
+        /// Certificate of this instance.
         pub certificate: PathBuf,
-        /// Its private key.
+        /// Private key of the certificate.
         pub key: PathBuf,
     }
 }
 
 value! {
-    /// The form of log lines.
+    /// Form of log lines.
     pub enum LogForm {
-        /// For people.
+        /// Text for people.
         Text,
-        /// One JSON object a line.
+        /// One JSON object per line.
         Json,
     }
 }
 
-/// A secret that the instances of a site share. Shown nowhere.
+/// Secret shared by the instances of a site. It is never displayed.
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(pub [u8; 32]);
 
--- a/lib/src/settings/parse.rs
+++ b/lib/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! From the YAML text of the settings to their values.
+//! Parsing and checking of the settings' YAML text.
 
 use super::{LogForm, Secret, Settings, Tls};
 use crate::{
@@ -8,7 +8,7 @@
 };
 use std::{net::SocketAddrV4, path::PathBuf};
 
-/// The greatest length of the settings in bytes; far above any real ones.
+/// Maximum length of the settings in bytes, far more than real settings need.
 const MAX_SETTINGS_SIZE: usize = 1 << 16;
 
 const FIELDS: &[&str] = &[
@@ -30,11 +30,11 @@
 const TLS_FIELDS: &[&str] = &["ca", "certificate", "key"];
 
 impl Settings {
-    /// Reads and checks the text of settings.
+    /// Parses and checks the text of the settings.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the text, each with its line and what to do.
+    /// Returns all faults of the text, each with its line and advice.
     pub fn parse(text: &str) -> Result<Settings, Report> {
         document::read(text, MAX_SETTINGS_SIZE, Lines::Find, parse_settings)
     }
@@ -75,8 +75,8 @@
     })
 }
 
-/// Two listeners of one protocol can't have one address; the daemon would
-/// start and fail only when it binds the second.
+/// Records a fault if two listeners of the same protocol have the same address.
+/// Otherwise the daemon would start and fail only when it binds the second one.
 pub(super) fn check_distinct(
     fields: &Fields<'_>,
     name: &str,
