--- a/lib/src/status/explanation.rs
+++ b/lib/src/status/explanation.rs
@@ -1,4 +1,4 @@
-//! Why a flow goes where it goes.
+//! Explanation of where a flow goes.
 
 use super::{BundleStatus, PlanStatus};
 use crate::{
@@ -11,31 +11,33 @@
 use std::fmt;
 
 value! {
-    /// What an instance would do with the next packet of a flow, and why.
+    /// The target that an instance would choose for a flow's next packet, and
+    /// why.
     #[derive(Serialize, Deserialize)]
     pub struct Explanation {
-        /// The flow that was asked about.
+        /// Flow of the request.
         #[serde(with = "super::text")]
         pub flow: FlowKey,
-        /// Its id in lists of flows, if a bundle is in force.
+        /// Id of the flow in lists of flows, if a bundle is in force.
         pub id: Option<String>,
-        /// Its service, if the bundle in force has one at that address and port.
+        /// Service at the flow's address and port, if the bundle in force has
+        /// one.
         pub service: Option<ServiceName>,
-        /// The class of the port.
+        /// Class of the port.
         pub class: Option<Class>,
-        /// The bucket that the flow hashes to.
+        /// Bucket that the flow hashes to.
         pub bucket: Option<Bucket>,
-        /// Where it goes, unless it is turned away.
+        /// Target of the flow, unless the flow is refused.
         pub target: Option<TargetName>,
-        /// What decided that.
+        /// Reason for that target.
         pub reason: Reason,
-        /// The bundle that decided.
+        /// Bundle in force.
         pub bundle: Option<BundleStatus>,
-        /// The plan that decided, if the service has one.
+        /// Plan of the service, if it has one.
         pub plan: Option<PlanStatus>,
-        /// The owners that the bucket had before and that may hold flows.
+        /// Earlier owners of the bucket that may still hold flows.
         pub history: Vec<Owner>,
-        /// The instances that keep the exceptions of the bucket.
+        /// Instances that keep the exceptions of the bucket.
         pub keepers: Vec<InstanceName>,
     }
 
@@ -44,13 +46,13 @@
     pub struct Owner {
         /// The target.
         pub target: TargetName,
-        /// Milliseconds since the bucket went elsewhere.
+        /// Milliseconds since the bucket moved to another owner.
         pub since: Millis,
     }
 }
 
 value! {
-    /// What decides where a flow goes.
+    /// Reason why a flow goes to its target.
     #[derive(Serialize, Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum Reason {
@@ -60,13 +62,14 @@
         NoService,
         /// This instance knows the flow.
         Known,
-        /// A keeper said that the flow is an exception.
+        /// A keeper answered that the flow is an exception.
         Exception,
-        /// The bucket goes there by the plan.
+        /// The plan assigns the bucket to the target.
         Plan,
-        /// The bucket goes there by the table.
+        /// The table assigns the bucket to the target.
         Table,
-        /// In doubt, the earlier owner of the bucket.
+        /// The bucket's earlier owners may still hold flows, so an unknown flow
+        /// goes to an earlier owner.
         History,
         /// No target takes new flows.
         NoTarget,
--- a/lib/src/status/flow.rs
+++ b/lib/src/status/flow.rs
@@ -1,4 +1,4 @@
-//! A flow as operators see it.
+//! A flow as shown to operators.
 
 use crate::{
     bundle::Class,
@@ -8,23 +8,25 @@
 use serde::{Deserialize, Serialize};
 
 value! {
-    /// One flow that an instance knows.
+    /// A flow that an instance knows.
     #[derive(Serialize, Deserialize)]
     pub struct FlowStatus {
-        /// The keyed hash of its five-tuple, in hexadecimal. An instance keeps
-        /// no five-tuples, so that hundreds of thousands of flows fit.
+        /// Keyed hash of the flow's five-tuple, in hexadecimal. An instance
+        /// doesn't keep five-tuples, so that hundreds of thousands of flows fit
+        /// into memory.
         pub id: String,
-        /// The service that it belongs to.
+        /// Service of the flow.
         pub service: ServiceName,
-        /// The class of its port.
+        /// Class of the flow's port.
         pub class: Class,
-        /// The target that it goes to.
+        /// Target of the flow.
         pub target: TargetName,
-        /// Milliseconds since this instance first heard of it.
+        /// Milliseconds since this instance learned of the flow.
         pub age: Millis,
-        /// Milliseconds since its last packet here.
+        /// Milliseconds since the flow's last packet at this instance.
         pub idle: Millis,
-        /// Whether it goes elsewhere than a new flow of its bucket would.
+        /// Whether the flow's target is not the one that a new flow of its
+        /// bucket would get.
         pub exception: bool,
     }
 }
--- a/lib/src/status/instance.rs
+++ b/lib/src/status/instance.rs
@@ -10,129 +10,129 @@
 use std::fmt;
 
 value! {
-    /// What an instance is, has and believes.
+    /// State of an instance and what it knows of the others.
     #[derive(Serialize, Deserialize)]
     pub struct Status {
-        /// The site that it belongs to.
+        /// Site of the instance.
         pub site: SiteName,
-        /// Its name.
+        /// Name of the instance.
         pub name: InstanceName,
-        /// Its failure domain.
+        /// Failure domain of the instance.
         pub domain: DomainName,
-        /// Which of its lives this is.
+        /// Incarnation of the instance.
         pub incarnation: Incarnation,
-        /// Where it is in its life.
+        /// Stage of its lifecycle.
         pub life: Life,
-        /// Milliseconds since it started.
+        /// Milliseconds since its start.
         pub uptime: Millis,
-        /// The bundle in force.
+        /// Bundle in force.
         pub bundle: Option<BundleStatus>,
-        /// Why it is not ready, if it is not.
+        /// Reason why it is not ready, if it is not.
         pub unready: Option<Unready>,
-        /// The flows that it knows.
+        /// Number of flows that it knows.
         pub flows: u64,
-        /// The instances that it knows, itself included.
+        /// Instances that it knows, itself included.
         pub members: Vec<MemberStatus>,
-        /// The services of the bundle in force.
+        /// Services of the bundle in force.
         pub services: Vec<ServiceStatus>,
     }
 
     /// A bundle in force.
     #[derive(Serialize, Deserialize)]
     pub struct BundleStatus {
-        /// Its version.
+        /// Version of the bundle.
         pub version: Version,
-        /// The digest of its text, in hexadecimal digits.
+        /// Digest of its text, in hexadecimal digits.
         pub digest: String,
-        /// The key that signed it.
+        /// Id of the key that signed it.
         pub key: String,
-        /// Milliseconds since it came into force here.
+        /// Milliseconds since it came into force at this instance.
         pub age: Millis,
-        /// Whether other contents were seen under the same version.
+        /// Whether other content was seen under the same version.
         pub conflict: bool,
     }
 
-    /// An instance as another one believes it to be.
+    /// An instance as seen by another one.
     #[derive(Serialize, Deserialize)]
     pub struct MemberStatus {
-        /// Its name.
+        /// Name of the instance.
         pub name: InstanceName,
         /// Its failure domain.
         pub domain: DomainName,
-        /// What is believed of it.
+        /// Its state in the membership.
         pub state: MemberState,
-        /// The bundle version that it last said to have in force.
+        /// Bundle version in force there, as last received.
         pub version: Version,
     }
 
     /// A service of the bundle in force.
     #[derive(Serialize, Deserialize)]
     pub struct ServiceStatus {
-        /// Its name.
+        /// Name of the service.
         pub name: ServiceName,
-        /// The flows of it that this instance knows.
+        /// Number of its flows that this instance knows.
         pub flows: u64,
-        /// The number of its buckets.
+        /// Number of its buckets.
         pub buckets: u16,
-        /// How many buckets have earlier owners that may hold flows.
+        /// Number of buckets with earlier owners that may still hold flows.
         pub moving: u16,
-        /// The plan in force, if it has one.
+        /// Plan in force, if the service has one.
         pub plan: Option<PlanStatus>,
-        /// Its targets.
+        /// Targets of the service.
         pub targets: Vec<TargetStatus>,
     }
 
     /// A plan in force.
     #[derive(Serialize, Deserialize)]
     pub struct PlanStatus {
-        /// Counts the plans of the service.
+        /// Sequence number among the plans of the service.
         pub sequence: u64,
-        /// The instance that made it.
+        /// Instance that made the plan.
         pub author: InstanceName,
-        /// How many buckets it moves.
+        /// Number of buckets that the plan moves.
         pub moves: u32,
     }
 
     /// A target of a service.
     #[derive(Serialize, Deserialize)]
     pub struct TargetStatus {
-        /// Its name.
+        /// Name of the target.
         pub name: TargetName,
         /// Its failure domain.
         pub domain: DomainName,
-        /// What the bundle says of it.
+        /// Its state according to the bundle.
         pub state: TargetState,
-        /// Whether this instance gives it new flows.
+        /// Whether this instance sends it new flows.
         pub open: bool,
-        /// The flows to it that this instance knows.
+        /// Number of flows to it that this instance knows.
         pub flows: u64,
-        /// The buckets that it owns.
+        /// Number of buckets that it owns.
         pub buckets: u16,
     }
 }
 
 value! {
-    /// Where an instance is in its life.
+    /// Stage of an instance's lifecycle.
     #[derive(Serialize, Deserialize)]
     #[serde(rename_all = "lowercase")]
     pub enum Life {
         /// Looks for the bundle in force.
         Starting,
-        /// Forwards.
+        /// Forwards packets.
         Serving,
-        /// Hands over and still forwards.
+        /// Hands its flows over and still forwards packets.
         Leaving,
-        /// Forwards no more.
+        /// No longer forwards packets.
         Stopped,
     }
 
-    /// Why an instance should get no packets.
+    /// Reason why an instance should get no packets.
     #[derive(Serialize, Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum Unready {
-        /// Neither the platform nor a peer gave it a bundle yet.
+        /// It has not yet got a bundle from the platform or a peer.
         NoBundle,
-        /// It leaves.
+        /// It is leaving.
         Leaving,
     }
 }
--- a/lib/src/status/marked.rs
+++ b/lib/src/status/marked.rs
@@ -1,5 +1,5 @@
-//! The state of an instance where the fabric returns marks, and why a flow goes where
-//! it goes there.
+//! The state of an instance whose fabric returns marks, and the explanation of where a
+//! flow goes there.
 
 use crate::{
     bundle::Class,
@@ -11,45 +11,48 @@
 use std::{fmt, net::SocketAddrV4};
 
 value! {
-    /// What an instance is, knows and believes.
+    /// State of an instance and what it knows.
     #[derive(Serialize, Deserialize)]
     pub struct MarkedStatus {
-        /// Its name.
+        /// Name of the instance.
         pub name: InstanceName,
-        /// Its failure domain.
+        /// Failure domain of the instance.
         pub domain: DomainName,
-        /// Milliseconds since it started.
+        /// Milliseconds since its start.
         pub uptime: Millis,
-        /// Whether routers should send to it.
+        /// Whether routers should send packets to it.
         pub ready: bool,
         /// Whether it reads the store for its failure domain.
         pub reading: bool,
-        /// How many instances it knows, itself included.
+        /// Number of instances that it knows, itself included.
         pub members: u64,
-        /// How many flows it has a record of.
+        /// Number of flows that it has a record of.
         pub flows: u64,
-        /// What decides at this moment.
+        /// State of the catalog by which it currently decides.
         pub picture: CatalogStatus,
-        /// The services that have targets.
+        /// Services that have targets.
         pub services: Vec<MarkedService>,
     }
 
-    /// Up to where an instance knows the config and the targets.
+    /// State of the catalog: the revision up to which an instance knows the config and
+    /// the targets.
     #[derive(Serialize, Deserialize)]
     pub struct CatalogStatus {
-        /// The version of the config in force, if there is one.
+        /// Version of the config in force, if there is one.
         pub version: Option<Version>,
-        /// How often the platform had come back from a copy when it gave that revision.
+        /// Number of times that the platform had been restored from a copy when it
+        /// returned this revision.
         #[serde(default)]
         pub era: u32,
-        /// The revision up to which all changes are known.
+        /// Revision up to which all changes are known.
         pub revision: u64,
-        /// Milliseconds since the store or a reader confirmed that, if either has.
+        /// Milliseconds since the store or a reader confirmed the revision, if either
+        /// has.
         pub age: Option<Millis>,
-        /// The failure domains that operators have emptied.
+        /// Failure domains that operators have evacuated.
         #[serde(default)]
         pub evacuated: Vec<EvacuatedDomain>,
-        /// How many published routes can't be served.
+        /// Number of published routes that can't be served.
         #[serde(default)]
         pub omitted: u32,
     }
@@ -57,62 +60,63 @@
     /// A failure domain whose targets get no new flows.
     #[derive(Serialize, Deserialize)]
     pub struct EvacuatedDomain {
-        /// Its name.
+        /// Name of the failure domain.
         pub domain: DomainName,
-        /// The revision that says so.
+        /// Revision at which it was evacuated.
         pub revision: u64,
     }
 
-    /// A service as this instance sees it.
+    /// A service as seen by this instance.
     #[derive(Serialize, Deserialize)]
     pub struct MarkedService {
-        /// Its name.
+        /// Name of the service.
         pub name: ServiceName,
-        /// How long answers take, in hundredths of their goals; 0 before the first.
+        /// Answer time relative to the latency objective, in percent; 0 before the
+        /// first answer.
         pub pressure: u32,
-        /// How many new flows wait for room.
+        /// Number of new flows that wait for capacity.
         pub waiting: u64,
-        /// Its targets, removed ones that may still have flows included.
+        /// Targets of the service, including removed ones that may still have flows.
         pub targets: Vec<MarkedTarget>,
     }
 
-    /// A target as this instance sees it.
+    /// A target as seen by this instance.
     #[derive(Serialize, Deserialize)]
     pub struct MarkedTarget {
-        /// The name under which it is listed, as in log lines; the same for all of its
-        /// starts.
+        /// Name under which the target is listed and logged. It stays the same when the
+        /// target restarts.
         pub name: TargetName,
-        /// When it started by its own clock, in milliseconds since 1970; 0 if the
-        /// platform doesn't say.
+        /// Start time of the target by its own clock, in milliseconds since 1970; 0 if
+        /// the platform doesn't report it.
         pub start: u64,
-        /// Where it takes packets.
+        /// Address at which it receives packets.
         pub address: SocketAddrV4,
         /// Its failure domain.
         pub domain: DomainName,
         /// Whether it takes new flows, and if not, why.
         #[serde(rename = "use")]
         pub usage: TargetUse,
-        /// Requests and openings of this instance under way there.
+        /// Number of this instance's requests and openings in progress there.
         pub work: u32,
-        /// Open feeds of this instance without a request under way.
+        /// Number of this instance's open feeds there without a request in progress.
         pub feeds: u32,
     }
 
-    /// Where a flow goes and why.
+    /// Explanation of where a flow goes.
     #[derive(Serialize, Deserialize)]
     pub struct MarkedExplanation {
-        /// The flow that was asked about.
+        /// Flow of the request.
         #[serde(with = "super::text")]
         pub flow: FlowKey,
-        /// What decides.
+        /// Reason for the decision.
         pub reason: MarkedReason,
-        /// The class of its route, if there is one.
+        /// Class of its route, if there is one.
         pub class: Option<Class>,
-        /// The target that it has, if it has one here.
+        /// Target of the flow, if this instance has a record of it.
         pub target: Option<MarkedTarget>,
-        /// The targets of its route's services, for a flow that is opened now.
+        /// Targets of the route's services, for a flow that is opened now.
         pub candidates: Vec<MarkedTarget>,
-        /// What decides at this moment.
+        /// State of the catalog by which the instance currently decides.
         pub picture: CatalogStatus,
     }
 }
@@ -122,34 +126,36 @@
     #[derive(Serialize, Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum TargetUse {
-        /// It does.
+        /// It takes new flows.
         Good,
-        /// It is not listed any more but answers: only if no good one is there.
+        /// It is no longer listed but answers. Used only if no good target exists.
         Unlisted,
-        /// Something got no answer lately: only if no better one is there.
+        /// Something sent to it was not answered lately. Used only if no better target
+        /// exists.
         Doubtful,
-        /// It takes no openings, or one at a time to try, and serves the flows that it has.
+        /// It takes no openings, or one at a time as a probe, and serves its existing
+        /// flows.
         Full,
-        /// Operators have emptied its failure domain: it takes none.
+        /// Its failure domain is evacuated, so it takes no new flows.
         Evacuated,
-        /// It is slow after its start and its service bounds what it gets meanwhile: none from
-        /// this instance now.
+        /// It is in slow start and its service limits the flows that it gets, so it
+        /// currently takes none from this instance.
         Warming,
-        /// It is outside of the regions in which the route's requests must stay.
+        /// It is outside the regions in which the route's requests must stay.
         Away,
-        /// Its entry was changed so that it names no target that could be used.
+        /// Its entry was changed and no longer describes a usable target.
         Unusable,
-        /// It has started again since: the later start takes new flows.
+        /// It has restarted. The later start takes new flows instead.
         Replaced,
-        /// It leaves and takes none.
+        /// It is leaving and takes no new flows.
         Leaving,
-        /// It does not answer and takes none.
+        /// It doesn't answer and takes no new flows.
         Lost,
-        /// It is not listed any more and takes none.
+        /// It is no longer listed and takes no new flows.
         Removed,
     }
 
-    /// What decides where a flow goes.
+    /// Reason why a flow goes where it goes.
     #[derive(Serialize, Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum MarkedReason {
@@ -157,12 +163,12 @@
         NoRoute,
         /// This instance has a record of the flow.
         Known,
-        /// It waits to be opened until its service has room.
+        /// The flow's opening waits until its service has capacity.
         Waiting,
-        /// No record: the mark in its packets decides, and an opening packet is given
-        /// one of the candidates.
+        /// There is no record. The mark in the flow's packets decides, and an opening
+        /// goes to one of the candidates.
         Unknown,
-        /// No record, and no target takes new flows.
+        /// There is no record, and no target takes new flows.
         NoTarget,
     }
 }
--- a/lib/src/status/mod.rs
+++ b/lib/src/status/mod.rs
@@ -1,7 +1,8 @@
-//! What an instance shows its operators, and what the command-line tool reads.
+//! The state that an instance shows to operators and to the command-line tool.
 //!
-//! These types are the JSON of the operator's HTTP interface. Fields are only
-//! ever added, so that a tool of one release reads instances of another.
+//! These types define the JSON of the operators' HTTP interface. Fields are
+//! only added, never removed or changed, so that the tool of one release can
+//! read instances of another.
 
 mod explanation;
 mod flow;
