--- a/lib/src/collections.rs
+++ b/lib/src/collections.rs
@@ -1,14 +1,14 @@
-//! Hash maps with a fast hasher.
+//! Hash maps with fast hashers.
 //!
-//! [`Map`] and [`Set`] are for keys that we or the operators choose. Where a
-//! caller chooses the key, an unseeded hash lets it pile its keys into one
-//! slot, and the packet thread slows down for everybody; [`SeededMap`] draws a
-//! fresh seed a process and takes that lever away.
+//! [`Map`] and [`Set`] are for keys that callers don't choose. If callers
+//! choose the keys, an unseeded hash lets one of them put all its keys into one
+//! slot of the table, which slows the packet thread down for all. [`SeededMap`]
+//! prevents that with a random seed per process.
 
-/// A map whose keys no caller chooses.
+/// A map for keys that callers don't choose.
 pub type Map<K, V> = rustc_hash::FxHashMap<K, V>;
-/// A set whose keys no caller chooses.
+/// A set for keys that callers don't choose.
 pub type Set<K> = rustc_hash::FxHashSet<K>;
-/// A map whose keys a caller may choose.
+/// A map for keys that callers may choose.
 #[allow(clippy::disallowed_types, reason = "this is the alias that the lint points to")]
 pub type SeededMap<K, V> = std::collections::HashMap<K, V, foldhash::fast::RandomState>;
--- a/lib/src/derives.rs
+++ b/lib/src/derives.rs
@@ -1,7 +1,7 @@
-//! The sets of derives that value types share, so that a new type cannot
-//! forget one of them.
+//! Macros that declare value types with a fixed set of derives, so that a new
+//! type doesn't lack one of them.
 
-/// Declares plain value types with the traits that every value type has.
+/// Declares plain value types with the derives that all value types have.
 macro_rules! value {
     ($($(#[$meta:meta])* $vis:vis struct $name:ident $body:tt $(;)?)+) => {
         $($(#[$meta])*
@@ -15,8 +15,8 @@
     };
 }
 
-/// Declares a name: a shared immutable string of its own type, so that the
-/// name of a service can't be passed where the name of a target is meant.
+/// Declares a name type: a shared immutable string of its own type, so that the
+/// name of a service can't be passed for the name of a target.
 macro_rules! name {
     ($($(#[$meta:meta])* $name:ident),+ $(,)?) => {
         $($(#[$meta])*
@@ -25,12 +25,12 @@
         pub struct $name(std::sync::Arc<str>);
 
         impl $name {
-            /// Makes the name from text that was checked already.
+            /// Creates the name from text that has been checked already.
             pub fn new(text: &str) -> Self {
                 Self(text.into())
             }
 
-            /// The text of the name.
+            /// Returns the text of the name.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -44,7 +44,7 @@
     };
 }
 
-/// Declares a small number of its own type, for ids, sequences and indexes.
+/// Declares a newtype of a small number, for ids, sequence numbers and indexes.
 macro_rules! number {
     ($($(#[$meta:meta])* $name:ident: $repr:ty),+ $(,)?) => {
         $($(#[$meta])*
--- a/lib/src/lib.rs
+++ b/lib/src/lib.rs
@@ -1,9 +1,9 @@
-//! The pure part of medlarspur: values, the bundle, the tables and the
-//! protocols between instances, all without I/O, threads or a clock.
+//! The core of medlarspur: values, the bundle, tables, and the protocols
+//! between instances. It does no I/O, starts no threads and reads no clock.
 //!
-//! Time enters as [`time::Millis`], messages enter as values, and every state
-//! machine answers with values that say what to do. The crates around this one
-//! do the I/O. See `docs/architecture.md` for the life of a packet.
+//! Time is passed in as [`time::Millis`] and messages as values. Each state
+//! machine returns values that say what to do; the other crates do the I/O.
+//! `docs/architecture.md` follows a packet through the system.
 
 #[macro_use]
 mod derives;
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as a value: milliseconds of a monotonic clock that the caller reads.
+//! Time as a value, in milliseconds of a monotonic clock that the caller reads.
 
 use std::{
     fmt,
@@ -7,17 +7,18 @@
 };
 
 number! {
-    /// Milliseconds since the process started, or a span of them.
+    /// Milliseconds since the process started, or a duration in milliseconds.
     Millis: u64,
 }
 
 impl Millis {
-    /// Makes a span from whole seconds.
+    /// Creates a duration from whole seconds.
     pub const fn secs(secs: u64) -> Millis {
         Millis(secs * 1000)
     }
 
-    /// The time from `earlier` to `self`, zero if `earlier` is the later one.
+    /// Returns the time from `earlier` to `self`, or zero if `earlier` is
+    /// later.
     pub fn since(self, earlier: Millis) -> Millis {
         Millis(self.0.saturating_sub(earlier.0))
     }
@@ -45,7 +46,8 @@
     }
 }
 
-/// A span as operators write it, such as `30s` or `500ms`.
+/// A duration that is displayed as operators write it, such as `30s` or
+/// `500ms`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HumanDuration(pub Millis);
 
