--- a/lib/examples/bundle_cost.rs
+++ b/lib/examples/bundle_cost.rs
@@ -1,5 +1,5 @@
-//! Measures what a bundle costs an instance: its size, and the time to check
-//! it and to report faults in it. `docs/MEASURES.md` says how to read it.
+//! Measures what a bundle costs an instance: its size, and the time to check it
+//! and to report its faults. `docs/MEASURES.md` explains the output.
 //!
 //! ```text
 //! cargo run --release -p medlarspur-lib --example bundle_cost
@@ -14,9 +14,9 @@
     time::{Duration, Instant},
 };
 
-/// Services of the bundles; the last is the target size, with 5,600 targets.
+/// Numbers of services. The last one is the target size, with 5,600 targets.
 const SIZES: [usize; 5] = [200, 400, 850, 1700, 3400];
-/// Targets of the target size for each of its services.
+/// Targets per service at the target size.
 const TARGETS: f64 = 5600.0 / 3400.0;
 const REPEATS: usize = 9;
 
@@ -46,7 +46,7 @@
     }
 }
 
-/// A bundle in the short form with the defaults left out.
+/// Returns a bundle in the short form, without fields that have their default.
 fn text(services: usize, targets: usize) -> String {
     let mut text =
         "version: 1\nsite: site\nseed: ab0123456789ab0123456789abcdefff\nservices:\n".to_owned();
--- a/lib/examples/fleet_slopes.rs
+++ b/lib/examples/fleet_slopes.rs
@@ -1,6 +1,9 @@
-//! Measures in virtual time what the control path costs against the number of
-//! instances and of services; see `docs/measures/fleet.md`.
-//! `cargo run --release -p medlarspur-lib --example fleet_slopes [NODES SERVICES]`
+//! Measures in virtual time how the cost of the control path grows with the
+//! number of instances and of services. See `docs/measures/fleet.md`.
+//!
+//! ```text
+//! cargo run --release -p medlarspur-lib --example fleet_slopes [NODES SERVICES]
+//! ```
 
 #[path = "../tests/fleet/net.rs"]
 #[allow(dead_code, reason = "shared with the tests")]
@@ -10,20 +13,20 @@
 use net::{Net, Traffic};
 use std::{fmt::Write, fs, sync::Arc, time::Instant};
 
-/// What gRPC and mutual TLS add to a call, as the example `call_cost` of
-/// `medlarspur-peer` measured it on the loopback, above TCP.
-const CALL: u64 = 181;
-/// Bytes of one service in a bundle of a megabyte with 3,400 services.
+/// Bytes that gRPC and mutual TLS add to a call above TCP, from the example
+/// `call_cost` of `medlarspur-peer` on the loopback interface.
+const CALL_BYTES: u64 = 181;
+/// Bytes per service in a bundle of one megabyte with 3,400 services.
 const SERVICE_BYTES: usize = 300;
 
 fn main() {
-    println!("bytes: messages / with {CALL} B a call; sent by a node, averaged over all");
+    println!("bytes: messages / with {CALL_BYTES} B a call; sent by a node, averaged over all");
     println!(
         "nodes  svcs |    steady B/s readers   us/s    KB |    change B mean ms  max ms | \
          join s dead s | cut B/s bundle s members s heal B/s"
     );
-    // One pair alone gives a true figure of memory; in a row, what the
-    // allocator keeps of the one before hides it.
+    // Memory figures are exact only if a single pair runs: otherwise they
+    // include memory that the allocator retains from the previous pair.
     let given: Vec<usize> = std::env::args().skip(1).filter_map(|arg| arg.parse().ok()).collect();
     if let [nodes, services] = given[..] {
         return measure(nodes, services);
@@ -40,19 +43,23 @@
     let before = resident();
     let mut net = fleet(nodes, services);
     let joined = until(&mut net, 300, |net| all_know_all(net, nodes));
-    // The rumours of a start of the whole fleet at once take that long to fade.
+    // Time until the updates from the start of all instances at once are no
+    // longer propagated.
     net.run(Millis::secs(30 + nodes as u64 / 4));
     let memory = resident().saturating_sub(before) / nodes as u64;
     let steady = steady(&mut net, nodes);
     let change = change(&mut net, nodes, services);
-    let fail = fail(&mut net, nodes, services);
+    let failures = failures(&mut net, nodes, services);
     print!("{nodes:>5} {services:>5} | {} {:>7} ", steady.sent, steady.readers);
     print!("{:>6.0} {:>5} | {} ", steady.cpu, memory / 1024, change.sent);
-    print!("{:>7} {:>7} | {joined:>6.1} {:>6.1} | ", change.mean, change.worst, fail.dead);
-    println!("{:>7} {:>8.1} {:>9.1} {:>8}", fail.cut, fail.bundle, fail.members, fail.heal);
+    print!("{:>7} {:>7} | {joined:>6.1} {:>6.1} | ", change.mean, change.worst, failures.dead);
+    println!(
+        "{:>7} {:>8.1} {:>9.1} {:>8}",
+        failures.cut, failures.bundle, failures.members, failures.heal
+    );
 }
 
-/// Four failure domains to ten, as the fleet grows.
+/// Creates a fleet with four failure domains, or ten from 128 instances on.
 fn fleet(nodes: usize, services: usize) -> Net {
     let domains = if nodes < 128 { 4 } else { 10 };
     let mut net = Net::new(nodes, domains, 7);
@@ -83,14 +90,14 @@
     cpu: f64,
 }
 
-const SPAN: u64 = 30;
+const STEADY_SECONDS: u64 = 30;
 
 fn steady(net: &mut Net, nodes: usize) -> Steady {
     let (sent, clock) = (total(net), Instant::now());
-    net.run(Millis::secs(SPAN));
-    let cpu = clock.elapsed().as_micros() as f64 / (nodes as u64 * SPAN) as f64;
+    net.run(Millis::secs(STEADY_SECONDS));
+    let cpu = clock.elapsed().as_micros() as f64 / (nodes as u64 * STEADY_SECONDS) as f64;
     Steady {
-        sent: rate(sent, total(net), nodes as u64 * SPAN, 13),
+        sent: rate(sent, total(net), nodes as u64 * STEADY_SECONDS, 13),
         readers: net.nodes.iter().filter(|n| n.reading).count(),
         cpu,
     }
@@ -102,8 +109,8 @@
     worst: u64,
 }
 
-/// Publishes changes of one service and sees how long after the first node
-/// each has them.
+/// Publishes changes of one service and measures the time from the first node
+/// that has a change to each of the others.
 fn change(net: &mut Net, nodes: usize, services: usize) -> Change {
     const CHANGES: u64 = 5;
     let (mut mean, mut worst) = (0, 0);
@@ -131,7 +138,7 @@
     Change { sent: rate(Traffic::default(), more, nodes as u64 * CHANGES, 11), mean, worst }
 }
 
-struct Fail {
+struct Failures {
     dead: f64,
     cut: u64,
     bundle: f64,
@@ -139,34 +146,34 @@
     heal: u64,
 }
 
-/// Kills one node, then cuts a failure domain off for a minute, in which a
-/// bundle is published that it doesn't hear of.
-fn fail(net: &mut Net, nodes: usize, services: usize) -> Fail {
-    const CUT: u64 = 60;
+/// Stops one node, then partitions a failure domain off for a minute. Meanwhile
+/// a bundle is published that the domain doesn't receive.
+fn failures(net: &mut Net, nodes: usize, services: usize) -> Failures {
+    const PARTITION_SECONDS: u64 = 60;
     net.nodes[5].up = false;
-    let dead = until(net, 60, |net| seen_dead(net, 5));
+    let dead = until(net, 60, |net| all_see_dead(net, 5));
     net.partitioned.insert(DomainName::new("d1"));
     net.platform = None;
     let text = bundle(100, services);
     net.event(0, Event::PlatformBundle(text.clone()));
     let before = total(net);
-    net.run(Millis::secs(CUT));
-    let cut = spent(before, total(net), CUT as f64, nodes);
+    net.run(Millis::secs(PARTITION_SECONDS));
+    let cut = bytes_per_second(before, total(net), PARTITION_SECONDS as f64, nodes);
 
     net.partitioned.clear();
     let (before, healed) = (total(net), net.now);
     let bundle = until(net, 60, |net| net.all_have(&text));
     let members = bundle + until(net, 300, |net| all_know_all(net, nodes - 1));
-    let heal = spent(before, total(net), net.now.since(healed).0 as f64 / 1000.0, nodes);
-    Fail { dead, cut, bundle, members, heal }
+    let heal = bytes_per_second(before, total(net), net.now.since(healed).0 as f64 / 1000.0, nodes);
+    Failures { dead, cut, bundle, members, heal }
 }
 
-fn spent(from: Traffic, to: Traffic, secs: f64, nodes: usize) -> u64 {
-    let bytes = to.bytes - from.bytes + CALL * (to.messages - from.messages);
+fn bytes_per_second(from: Traffic, to: Traffic, secs: f64, nodes: usize) -> u64 {
+    let bytes = to.bytes - from.bytes + CALL_BYTES * (to.messages - from.messages);
     (bytes as f64 / secs / nodes as f64) as u64
 }
 
-fn seen_dead(net: &Net, ix: usize) -> bool {
+fn all_see_dead(net: &Net, ix: usize) -> bool {
     let name = &net.nodes[ix].me.name;
     let others = net.nodes.iter().enumerate().filter(|(other, _)| *other != ix);
     let dead = |n: &net::Node| {
@@ -180,7 +187,8 @@
     net.nodes.iter().filter(|n| n.up).all(|n| live(n) == count)
 }
 
-/// Seconds until `done`, looked at ten times a second.
+/// Runs until `done`, checked ten times a second, and returns the elapsed
+/// seconds, or infinity after `limit` seconds.
 fn until(net: &mut Net, limit: u64, done: impl Fn(&Net) -> bool) -> f64 {
     let start = net.now;
     while !done(net) {
@@ -201,11 +209,11 @@
 
 fn rate(from: Traffic, to: Traffic, by: u64, width: usize) -> String {
     let bytes = to.bytes - from.bytes;
-    let whole = bytes + CALL * (to.messages - from.messages);
+    let whole = bytes + CALL_BYTES * (to.messages - from.messages);
     format!("{:>width$}", format!("{}/{}", bytes / by, whole / by))
 }
 
-/// Resident bytes of this process.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> u64 {
     let statm = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages = statm.split(' ').nth(1).and_then(|n| n.parse::<u64>().ok());
--- a/lib/examples/table_cost.rs
+++ b/lib/examples/table_cost.rs
@@ -1,6 +1,6 @@
-//! Measures the table: how far the shares are from the weights, and how many
-//! buckets move beyond those that have to when a target leaves, beside
-//! weighted rendezvous hashing. `docs/design/table.md` says how to read it.
+//! Measures the assignment of buckets beside weighted rendezvous hashing: how
+//! far the shares are from the weights, and how many more buckets move than
+//! necessary when a target leaves. `docs/design/table.md` explains the output.
 //!
 //! ```text
 //! cargo run --release -p medlarspur-lib --example table_cost
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lets each target leave in turn.
+/// Prints the figures of one method and size. Each target leaves in turn.
 fn row(method: &str, size: usize, assign: fn(&Service) -> Vec<usize>) {
     let service = service(size);
     let before = assign(&service);
@@ -55,7 +55,8 @@
     assigned.into_iter().map(|target| usize::from(target.0)).collect()
 }
 
-/// The target with the best score, a logarithm of a hash by its weight.
+/// Assigns each bucket to the target with the highest score, which is the
+/// logarithm of a hash scaled by the weight.
 fn rendezvous(service: &Service) -> Vec<usize> {
     let best = |bucket: u16| {
         let takers = service.targets.iter().enumerate();
