--- a/lib/tests/edge.rs
+++ b/lib/tests/edge.rs
@@ -1,4 +1,5 @@
-//! Tests of the view that the packet path follows and of what it reads.
+//! Tests of the view, on which the packet path relies, and of parsing untrusted
+//! input.
 
 mod edge {
     mod test_draft;
--- a/lib/tests/edge/test_draft.rs
+++ b/lib/tests/edge/test_draft.rs
@@ -46,7 +46,8 @@
     })
 }
 
-/// Two services; the second target of the first is in the given state.
+/// Returns a bundle with two services. The second target of the first one is in
+/// the given state.
 fn bundle(version: u64, state: TargetState) -> Arc<Bundle> {
     let services =
         vec![service("ajanvaraus", 1, state), service("todisteet", 2, TargetState::Active)];
@@ -78,7 +79,7 @@
     }
 }
 
-/// A draft that has waited for its first view.
+/// Returns a draft whose publish delay has passed.
 fn draft() -> Draft {
     let first = bundle(1, TargetState::Active);
     let mut draft = Draft::first(InstanceName::new("entry-1"), &first, NOW);
@@ -90,11 +91,12 @@
     view.services[0].keepers.all().iter().map(ToString::to_string).collect()
 }
 
-/// Operators publish thousands of changes a day, each for a few services. If
-/// each dealt all tables again, an instance of a large site would spend more
-/// on that than on all else, and a change would come into force late.
+/// Operators publish thousands of changes a day, each to a few services. Guards
+/// against assigning the tables of all services again with each change, which
+/// would cost an instance of a large site more than all its other work and
+/// delay the change.
 #[test]
-fn a_service_that_a_bundle_leaves_as_it_was_keeps_its_tables() {
+fn a_service_that_a_bundle_does_not_change_keeps_its_tables() {
     let mut draft = draft();
     let before = draft.commit().unwrap();
 
@@ -107,7 +109,7 @@
 }
 
 #[test]
-fn a_service_that_changes_is_dealt_again() {
+fn a_changed_service_is_assigned_again() {
     let mut draft = draft();
     draft.install(&bundle(2, TargetState::Leaving), NOW);
 
@@ -119,10 +121,11 @@
     assert!(view.services[0].buckets.iter().all(|state| state.owner == first));
 }
 
-/// Each change of the bundle makes every member say that it has it. Keepers
-/// that were chosen anew for each of these words cost more than the change.
+/// Each change of the bundle makes every member announce the new version.
+/// Guards against choosing the keepers again with each announcement, which
+/// would cost more than the change.
 #[test]
-fn news_of_a_version_is_published_and_keeps_the_services() {
+fn a_version_update_is_published_and_keeps_the_services() {
     let mut draft = draft();
     draft.set_members(vec![member("entry-2", MemberState::Live, 1)], NOW);
     let before = draft.commit().unwrap();
@@ -134,10 +137,11 @@
     assert!(Arc::ptr_eq(&before.services[0], &after.services[0]));
 }
 
-/// An instance dies while it keeps exceptions. If the others went on telling
-/// it, flows of moved buckets would be known to nobody and feeds would break.
+/// Guards against a dead instance that stays a keeper: the others would still
+/// advertise exceptions to it, no instance would know the flows of moved
+/// buckets, and feeds would break.
 #[test]
-fn a_member_that_dies_keeps_nothing_any_more() {
+fn a_dead_member_is_no_longer_a_keeper() {
     let mut draft = draft();
     let live = |name| member(name, MemberState::Live, 1);
     draft.set_members(vec![live("entry-2"), live("entry-3")], NOW);
@@ -152,8 +156,8 @@
     assert_eq!(after.departed.last(), Some(&departure));
 }
 
-/// A target moves to another host and back again. Flows that peers tell of it
-/// by its name would be sent to the host that it has left.
+/// Guards against flows that peers advertise by a target's name being sent to
+/// the host that the target has left, after it moved away and back.
 #[test]
 fn a_target_that_moves_back_is_found_at_its_old_address() {
     let mut draft = draft();
@@ -176,6 +180,6 @@
 }
 
 #[test]
-fn a_bucket_without_doubt_stays_at_16_bytes() {
+fn a_bucket_view_takes_16_bytes() {
     assert_eq!(size_of::<BucketView>(), 16);
 }
--- a/lib/tests/edge/test_input.rs
+++ b/lib/tests/edge/test_input.rs
@@ -1,4 +1,4 @@
-//! Whatever arrives at the sockets is read or counted, and nothing else.
+//! Input from sockets is either parsed or counted as an error.
 
 use medlarspur_lib::{
     bundle::Protocol,
@@ -12,7 +12,7 @@
 
 const SECRET: Secret = Secret([9; 32]);
 
-/// A TCP packet without options, from 10.0.0.1:40000 to 10.70.0.1:7001.
+/// Returns a TCP packet without options from 10.0.0.1:40000 to 10.70.0.1:7001.
 fn packet(flags: u8, payload: &[u8]) -> Vec<u8> {
     let mut bytes = vec![0; 40];
     bytes[0] = 0x45;
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_packet_is_read_as_far_as_forwarding_needs() {
+fn a_syn_is_parsed() {
     let bytes = packet(0x02, b"");
 
     let packet = Packet::parse(&bytes).expect("a SYN");
@@ -65,8 +65,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Anybody can send anything to the port that takes packets from the
-    /// fabric. A panic there would end the packet thread with all its flows.
+    /// Guards against a panic that ends the packet thread with all its flows.
+    /// The port for packets from the fabric accepts datagrams from anyone.
     #[test]
     fn any_bytes_are_a_packet_or_an_error(bytes in prop::collection::vec(any::<u8>(), 0..2100)) {
         if let Ok(packet) = Packet::parse(&bytes) {
@@ -75,8 +75,8 @@
         }
     }
 
-    /// Damaged and cut packets are more likely to get past the first checks
-    /// than random bytes.
+    /// Damaged and truncated packets pass the first checks more often than
+    /// random bytes.
     #[test]
     fn a_damaged_packet_is_a_packet_or_an_error(
         flags in any::<u8>(),
@@ -97,14 +97,14 @@
     }
 
     #[test]
-    fn a_peer_reads_what_a_peer_wrote(datagram in datagram()) {
+    fn an_encoded_datagram_decodes_to_itself(datagram in datagram()) {
         let bytes = datagram.encode(&SECRET);
 
         prop_assert_eq!(Datagram::decode(&bytes, &SECRET), Ok(datagram));
     }
 
-    /// Somebody outside the site answers a question. Believed, the answer
-    /// would send a caller's packets where the forger wants them.
+    /// Guards against forged answers from outside the site, which would send a
+    /// caller's packets to a place of the forger's choice.
     #[test]
     fn a_forged_or_damaged_datagram_is_refused(
         datagram in datagram(),
@@ -126,14 +126,14 @@
     }
 }
 
-/// Whoever is on call copies flows from log lines, which write them without a protocol
-/// where there is only one.
+/// Operators copy flows from log lines, which omit the protocol where TCP is
+/// the only one.
 #[test]
-fn a_flow_is_read_as_lines_write_it() {
-    let by_lines: Result<FlowKey, _> = "10.0.0.1:40000>10.70.0.1:7001".parse();
+fn a_flow_parses_in_the_form_of_log_lines() {
+    let in_log_form: Result<FlowKey, _> = "10.0.0.1:40000>10.70.0.1:7001".parse();
     let in_full: Result<FlowKey, _> = "tcp:10.0.0.1:40000:10.70.0.1:7001".parse();
 
-    assert_eq!(by_lines.expect("a flow"), in_full.expect("a flow"));
+    assert_eq!(in_log_form.expect("a flow"), in_full.expect("a flow"));
     for wrong in ["10.0.0.1>10.70.0.1:7001", ">", "10.0.0.1:1>", "tcp:10.0.0.1:1>2"] {
         assert!(wrong.parse::<FlowKey>().is_err(), "{wrong}");
     }
--- a/lib/tests/edge/test_rank.rs
+++ b/lib/tests/edge/test_rank.rs
@@ -4,10 +4,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Two ways to ask who has a duty must agree, or it would have two
-    /// instances or none.
+    /// Guards against two functions that disagree about which instance has a
+    /// duty, so that two instances or none would have it.
     #[test]
-    fn to_be_among_the_top_is_what_the_top_says(
+    fn is_top_agrees_with_top(
         names in prop::collection::btree_set("[a-d]{1,3}", 0..20),
         me in "[a-d]{1,3}",
         key in "[a-z]{0,4}",
--- a/lib/tests/product.rs
+++ b/lib/tests/product.rs
@@ -1,4 +1,4 @@
-//! Tests of what operators write: bundles, signatures and settings.
+//! Tests of the texts that operators write: bundles, signatures and settings.
 
 mod product {
     mod fixtures;
--- a/lib/tests/product/fixtures.rs
+++ b/lib/tests/product/fixtures.rs
@@ -5,7 +5,7 @@
     ids::SiteName,
 };
 
-/// A small bundle without any fault.
+/// Returns a small bundle without faults.
 pub fn bundle_text() -> String {
     "\
 version: 7
@@ -39,7 +39,7 @@
     .to_owned()
 }
 
-/// The settings of an instance without any fault.
+/// Returns settings of an instance without faults.
 pub fn settings_text() -> String {
     format!(
         "\
@@ -60,17 +60,17 @@
     )
 }
 
-/// The key pair number `seed`.
+/// Returns key pair number `seed`.
 pub fn key(seed: u8) -> SecretKey {
     hex_of(seed).parse().expect("any 32 bytes are a secret key")
 }
 
-/// Trusts the key pair number 1 only.
+/// Returns a set that trusts only key pair number 1.
 pub fn keys() -> TrustedKeys {
     TrustedKeys::new(vec![key(1).public()])
 }
 
-/// The site of [`bundle_text`].
+/// Returns the site of [`bundle_text`].
 pub fn site() -> SiteName {
     SiteName::new("sofia")
 }
--- a/lib/tests/product/mutate.rs
+++ b/lib/tests/product/mutate.rs
@@ -1,9 +1,9 @@
-//! Changes to valid texts, as a slip of the hand or a broken transfer makes them.
+//! Mutations of valid texts, such as typing errors and broken transfers cause.
 
 use medlarspur_lib::document::Report;
 use proptest::{prelude::*, sample::Index};
 
-/// What a mutation does at one place of a text.
+/// What a mutation does at one position of a text.
 #[derive(Debug, Clone)]
 pub enum Edit {
     Remove,
@@ -11,7 +11,7 @@
     Repeat(u8),
 }
 
-/// Any edit at any place.
+/// Generates any edit at any position.
 pub fn edit() -> impl Strategy<Value = (Index, Edit)> {
     let edit = prop_oneof![
         Just(Edit::Remove),
@@ -22,7 +22,7 @@
     (any::<Index>(), edit)
 }
 
-/// The text after the edits; perhaps no text any more.
+/// Returns the text after the edits; it may no longer be UTF-8.
 pub fn mutated(text: &str, edits: &[(Index, Edit)]) -> Vec<u8> {
     let mut bytes = text.as_bytes().to_vec();
     for (place, edit) in edits {
@@ -40,8 +40,8 @@
     bytes
 }
 
-/// Whether a report names faults, each with what to do about it and with a
-/// line of the text, as far as lines are looked for.
+/// Returns whether a report has faults, advice for each of them, and only line
+/// numbers within the text, with at least one.
 pub fn is_complete(report: &Report, text: &str) -> bool {
     let lines = text.lines().count().max(1);
     let located = report.problems.iter().filter_map(|problem| problem.line);
--- a/lib/tests/product/test_bundle.rs
+++ b/lib/tests/product/test_bundle.rs
@@ -1,4 +1,4 @@
-//! Reading and checking bundles.
+//! Tests of parsing and checking bundles.
 
 use super::fixtures::bundle_text;
 use expect_test::{Expect, expect};
@@ -20,8 +20,8 @@
 }
 
 #[test]
-fn a_sound_bundle_keeps_its_values() {
-    let bundle = Bundle::parse(&bundle_text()).expect("sound");
+fn a_valid_bundle_keeps_its_values() {
+    let bundle = Bundle::parse(&bundle_text()).expect("valid");
 
     assert_eq!(bundle.version, Version(7));
     let ingest = &bundle.services[1];
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn fields_left_out_have_their_defaults() {
-    let bundle = Bundle::parse(&bundle_text()).expect("sound");
+fn omitted_fields_have_their_defaults() {
+    let bundle = Bundle::parse(&bundle_text()).expect("valid");
 
     let desk = &bundle.services[0];
     assert_eq!((desk.buckets, desk.keepalive, desk.balance), (1024, Millis::secs(30), 50));
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn limits_are_read_one_by_one() {
+fn limits_are_optional() {
     let text = bundle_text() + "limits: {reserve: 40, patience: 100ms}\n";
 
-    let limits = Bundle::parse(&text).expect("sound").limits;
+    let limits = Bundle::parse(&text).expect("valid").limits;
 
     let (reserve, patience) = (Some(40), Some(Millis(100)));
     assert_eq!(limits, Limits { reserve, patience, ..Limits::default() });
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn all_faults_come_in_one_report() {
+fn one_report_lists_all_faults() {
     assert_faults(
         "\
 version: 0
@@ -113,8 +113,9 @@
     );
 }
 
-/// Two services get the same address and port, as when a block is copied and
-/// only its name changed. Packets for alert delivery would reach ingestion.
+/// Guards against two services with the same address and port, as when a block
+/// is copied and only its name changed. Packets for alert delivery would reach
+/// ingestion.
 #[test]
 fn an_address_and_port_in_two_services_is_refused() {
     assert_faults_with(
@@ -126,8 +127,8 @@
     );
 }
 
-/// A host is moved from one service to another and left in both lists. It
-/// would get packets of a service that it does not serve.
+/// Guards against a host that is moved to another service and stays in both
+/// lists. It would get packets of a service that it doesn't serve.
 #[test]
 fn a_target_in_two_services_is_refused() {
     assert_faults_with(
@@ -140,7 +141,7 @@
 }
 
 #[test]
-fn a_service_name_that_stands_twice_is_refused() {
+fn a_duplicate_service_name_is_refused() {
     assert_faults_with(
         "name: ingest",
         "name: alertdesk",
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_is_refused() {
+fn a_duplicate_key_is_refused() {
     assert_faults_with(
         "site: sofia",
         "site: sofia\nsite: plovdiv",
@@ -178,7 +179,7 @@
 }
 
 #[test]
-fn a_text_over_the_limit_is_refused_unread() {
+fn a_text_over_the_limit_is_refused_without_parsing() {
     assert_faults(
         &"#".repeat(MAX_BUNDLE_SIZE + 1),
         expect![
@@ -187,8 +188,8 @@
     );
 }
 
-/// A few lines of aliases stand for billions of values. A reader that follows
-/// them all runs out of memory, and the instance dies.
+/// A few lines of aliases can stand for billions of values. Guards against a
+/// parser that expands them all, runs out of memory and ends the instance.
 #[test]
 fn aliases_that_multiply_are_refused() {
     let mut text = "a: &a [x, x, x, x, x, x, x, x, x]\n".to_owned();
@@ -202,8 +203,9 @@
     assert!(report.to_string().contains("repetition limit"), "{report}");
 }
 
-/// A file of brackets only. A reader that goes one call deep for each runs out
-/// of stack, and one that looks at all open ones for each is busy for minutes.
+/// Guards against stack overflow in a parser that recurses for each bracket,
+/// and against minutes of work in one that examines all open brackets for each
+/// token.
 #[test]
 fn deep_nesting_is_refused() {
     let first_lines = |open: &str| {
@@ -219,10 +221,10 @@
     assert!(first_lines("? ").contains("recursion limit"));
 }
 
-/// A bundle with one mistake in thousands of places. Finding the line of each
-/// would take minutes, and the log would have a line for each.
+/// One mistake may occur in thousands of places. Guards against minutes spent
+/// on finding the line of each, and against one log line for each.
 #[test]
-fn thousands_of_faults_are_all_kept_and_some_are_shown() {
+fn thousands_of_faults_are_kept_and_the_first_ones_shown() {
     let target = "      - {name: A, address: x, domain: d}\n".repeat(2000);
     let text = bundle_text() + &target.replace("      - ", "  - ");
 
@@ -234,13 +236,13 @@
     assert_eq!(report.to_string().lines().count(), 65);
 }
 
-/// Operators empty a failure domain. Its targets take nothing new and keep what they have;
-/// one that leaves anyway is said to leave.
+/// Targets of an evacuated failure domain take no new flows and keep their
+/// existing ones. A target that is leaving anyway is reported as leaving.
 #[test]
 fn targets_of_an_evacuated_domain_take_no_new_flows() {
     let text = bundle_text() + "evacuated: [lozenets, druzhba]\n";
 
-    let bundle = Bundle::parse(&text).expect("sound");
+    let bundle = Bundle::parse(&text).expect("valid");
 
     let states: Vec<_> = bundle.services[0].targets.iter().map(|it| it.state).collect();
     assert_eq!(states, [TargetState::Evacuated, TargetState::Leaving]);
--- a/lib/tests/product/test_diff.rs
+++ b/lib/tests/product/test_diff.rs
@@ -1,4 +1,4 @@
-//! Differences between bundles.
+//! Tests of differences between bundles.
 
 use super::fixtures::bundle_text;
 use expect_test::expect;
@@ -10,7 +10,7 @@
         assert!(text.contains(from), "the fixture lost {from:?}");
         text = text.replacen(from, to, 1);
     }
-    Bundle::parse(&text).expect("sound")
+    Bundle::parse(&text).expect("valid")
 }
 
 fn changes(old: &Bundle, new: &Bundle) -> String {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_renamed_service_is_one_gone_and_one_new() {
+fn a_renamed_service_is_one_removed_and_one_added() {
     let new = bundle(&[("name: ingest", "name: sensors")]);
 
     expect![[r#"
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_instances_would_not_take_is_named() {
+fn changes_that_instances_do_not_accept_are_named() {
     let old = bundle(&[]);
     let later = bundle(&[("version: 7", "version: 8")]);
     let other = bundle(&[("site: sofia", "site: varna"), ("seed: 00", "seed: 01")]);
--- a/lib/tests/product/test_flows.rs
+++ b/lib/tests/product/test_flows.rs
@@ -1,4 +1,4 @@
-//! What a flow table tells operators of a flow, and what an entry costs.
+//! Tests of entries of the flow table: their age and size.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -9,18 +9,18 @@
 };
 
 #[test]
-fn an_entry_with_its_key_stays_at_24_bytes() {
+fn an_entry_with_its_key_takes_24_bytes() {
     assert_eq!(size_of::<(FlowId, Flow)>(), 24);
 }
 
 #[test]
-fn a_flow_keeps_its_age_when_its_target_becomes_surer() {
+fn a_flow_keeps_its_age_when_its_certainty_grows() {
     let mut flows = Flows::default();
     let flow = |certainty, at| Flow::new(TargetId(1), certainty, Class::Feed, at);
     flows.record(FlowId(9), flow(Certainty::Guessed, Millis::secs(10)));
     flows.record(FlowId(9), flow(Certainty::Observed, Millis::secs(40)));
 
-    let found = flows.get(FlowId(9)).expect("noted");
+    let found = flows.get(FlowId(9)).expect("recorded");
 
     assert_eq!(found.certainty, Certainty::Observed);
     assert_eq!(found.age(Millis::secs(70)), Millis::secs(60));
--- a/lib/tests/product/test_marked_settings.rs
+++ b/lib/tests/product/test_marked_settings.rs
@@ -1,9 +1,9 @@
-//! Settings of an instance whose fabric returns marks.
+//! Tests of the settings of an instance whose fabric returns marks.
 
 use expect_test::expect;
 use medlarspur_lib::settings::{DomainRegion, LogForm, MarkedSettings};
 
-const SOUND: &str = "\
+const VALID: &str = "\
 agreement: marks
 name: edge-north-1
 domain: north
@@ -14,8 +14,8 @@
 ";
 
 #[test]
-fn sound_settings_keep_their_values() {
-    let settings = MarkedSettings::parse(SOUND).expect("sound");
+fn valid_settings_keep_their_values() {
+    let settings = MarkedSettings::parse(VALID).expect("valid");
 
     assert_eq!((settings.name.as_str(), settings.domain.as_str()), ("edge-north-1", "north"));
     assert_eq!(settings.callers, 8172, "callers take packets at the same port");
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn all_faults_come_in_one_report() {
-    let text = SOUND.replace("grace: 6s", "grace: soon\nmetrics: 10.1.0.10:8167\ncolour: red");
+fn one_report_lists_all_faults() {
+    let text = VALID.replace("grace: 6s", "grace: soon\nmetrics: 10.1.0.10:8167\ncolour: red");
     let text =
         text.replace("10.200.1.7:8169", "store.example:1").replace("name: edge", "nam: edge");
 
@@ -42,10 +42,10 @@
 #[test]
 fn regions_of_failure_domains_are_read() {
     let text = format!(
-        "{SOUND}regions:\n  - domain: north\n    region: here\n  - domain: south\n    region: there\n"
+        "{VALID}regions:\n  - domain: north\n    region: here\n  - domain: south\n    region: there\n"
     );
 
-    let settings = MarkedSettings::parse(&text).expect("sound");
+    let settings = MarkedSettings::parse(&text).expect("valid");
 
     let names = |it: &DomainRegion| (it.domain.to_string(), it.region.to_string());
     let found: Vec<_> = settings.regions.iter().map(names).collect();
@@ -53,11 +53,12 @@
     assert_eq!(found, expected.map(|(domain, region)| (domain.to_owned(), region.to_owned())));
 }
 
-/// With two regions for one domain, requests that must stay in one of them might leave it.
+/// Guards against a failure domain in two regions: requests that must stay in
+/// one of them could leave it.
 #[test]
 fn a_failure_domain_has_one_region() {
     let text = format!(
-        "{SOUND}regions:\n  - domain: north\n    region: here\n  - domain: north\n    region: there\n"
+        "{VALID}regions:\n  - domain: north\n    region: here\n  - domain: north\n    region: there\n"
     );
 
     let report = MarkedSettings::parse(&text).expect_err("a fault");
@@ -66,8 +67,8 @@
 }
 
 #[test]
-fn the_kind_of_settings_is_told_by_one_field() {
-    assert!(MarkedSettings::is_declared_in(SOUND));
+fn the_agreement_field_declares_the_kind_of_settings() {
+    assert!(MarkedSettings::is_declared_in(VALID));
     assert!(MarkedSettings::is_declared_in("name: a\nagreement: \"marks\"\n"));
     assert!(!MarkedSettings::is_declared_in("site: sofia\nname: entry-1\n"));
 }
--- a/lib/tests/product/test_outdated.rs
+++ b/lib/tests/product/test_outdated.rs
@@ -1,4 +1,4 @@
-//! A platform that serves old bundles again.
+//! Test of a platform that serves old bundles again.
 
 use medlarspur_lib::{
     ids::Version,
@@ -6,7 +6,8 @@
 };
 use std::{cell::Cell, convert::Infallible, rc::Rc};
 
-/// Takes any text for a bundle whose version is its length, and counts.
+/// Accepts any text as a bundle whose version is its length, and counts the
+/// checks.
 struct CountingCheck(Rc<Cell<u32>>);
 
 impl Check for CountingCheck {
@@ -18,17 +19,17 @@
     }
 }
 
-/// Two copies of the platform's service serve different bundles in turns. If
-/// the old one were checked each time, readers would spend their processor on
-/// that, and an operator would see heartbeats missed and new flows waiting.
+/// Two replicas of the platform's service may serve different bundles in turns.
+/// Guards against checking the old one each time, which would take the readers'
+/// CPU time, so that they miss heartbeats and delay new flows.
 #[test]
 fn an_old_bundle_is_checked_once_however_often_it_is_served() {
     let checks = Rc::new(Cell::new(0));
     let mut spread = Spread::new(CountingCheck(checks.clone()));
 
     for _ in 0..1000 {
-        spread.offer("new bundle").expect("sound");
-        spread.offer("old").expect("sound");
+        spread.offer("new bundle").expect("valid");
+        spread.offer("old").expect("valid");
     }
 
     assert_eq!(checks.get(), 2);
--- a/lib/tests/product/test_pages.rs
+++ b/lib/tests/product/test_pages.rs
@@ -1,4 +1,4 @@
-//! The operators' pages say what the readers do.
+//! The operators' pages match the parsers.
 
 use medlarspur_lib::{
     bundle::Bundle,
@@ -12,13 +12,14 @@
     fs::read_to_string(path).expect("the page")
 }
 
-/// The first example of a page.
+/// Returns the first example of a page.
 fn example(page: &str) -> &str {
     let (_, rest) = page.split_once("```yaml\n").expect("an example");
     rest.split_once("```").expect("its end").0
 }
 
-/// The fields that a reader knows, from what it says of unknown ones.
+/// Returns the fields that a parser knows, taken from its faults about unknown
+/// ones.
 fn known_fields(report: &Report) -> Vec<&'static str> {
     let known = report.problems.iter().filter_map(|problem| match problem.fault {
         Fault::UnknownField { known } => Some(known),
@@ -34,10 +35,10 @@
 }
 
 #[test]
-fn the_example_of_a_bundle_is_sound() {
+fn the_example_of_a_bundle_is_valid() {
     let page = page("bundle.md");
 
-    let bundle = Bundle::parse(example(&page)).expect("sound");
+    let bundle = Bundle::parse(example(&page)).expect("valid");
 
     assert_eq!(bundle.services.len(), 2);
 }
@@ -54,10 +55,10 @@
 }
 
 #[test]
-fn the_example_of_settings_is_sound() {
+fn the_example_of_settings_is_valid() {
     let page = page("settings.md");
 
-    Settings::parse(example(&page)).expect("sound");
+    Settings::parse(example(&page)).expect("valid");
 }
 
 #[test]
@@ -71,10 +72,10 @@
 }
 
 #[test]
-fn the_example_of_settings_for_marks_is_sound() {
+fn the_example_of_settings_for_marks_is_valid() {
     let page = page("settings-marks.md");
 
-    let settings = MarkedSettings::parse(example(&page)).expect("sound");
+    let settings = MarkedSettings::parse(example(&page)).expect("valid");
 
     assert_eq!(settings.domain.as_str(), "lozenets");
 }
--- a/lib/tests/product/test_random.rs
+++ b/lib/tests/product/test_random.rs
@@ -1,4 +1,4 @@
-//! No bytes make a reader panic; they are taken or refused with a reason.
+//! No input makes a parser panic; it is accepted or refused with a reason.
 
 use super::{
     fixtures::{bundle_text, key, keys, site},
@@ -7,9 +7,10 @@
 use medlarspur_lib::bundle::{Bundle, SignedBundle, sign};
 use proptest::{collection::vec, prelude::*};
 
-/// A slip indents the first line, which ends the document after it: the rest
-/// is a second one to the YAML library, which names no line for that. The
-/// author would search all of the text.
+/// An indented first line ends the document after it, and the rest is a second
+/// document. The YAML library gives no line for that error. Guards against a
+/// report without a line, with which the author would have to search the whole
+/// text.
 #[test]
 fn a_second_document_is_reported_with_its_line() {
     let indented = format!(" {}", bundle_text());
@@ -27,7 +28,7 @@
 
     #[test]
     fn random_bytes_are_refused(bytes in vec(any::<u8>(), 0..600)) {
-        let refusal = SignedBundle::check(&bytes, &keys(), &site()).expect_err("not signed off");
+        let refusal = SignedBundle::check(&bytes, &keys(), &site()).expect_err("not signed");
 
         prop_assert!(["not-text", "no-signature"].contains(&refusal.reason()));
     }
@@ -40,14 +41,14 @@
 
         let found = SignedBundle::check(&bytes, &keys(), &site());
 
-        // The signature line has no signature of its own: its last line end
-        // may go, and its digits may change case.
+        // The signature doesn't cover its own line: the final line feed may be
+        // missing, and the digits may change case.
         let same = bytes.trim_ascii_end().eq_ignore_ascii_case(text.trim_end().as_bytes());
         prop_assert!(found.is_err() || same);
     }
 
     #[test]
-    fn mutated_bundles_are_taken_or_reported(edits in vec(edit(), 1..8)) {
+    fn mutated_bundles_are_accepted_or_reported(edits in vec(edit(), 1..8)) {
         let bytes = mutated(&bundle_text(), &edits);
 
         let text = String::from_utf8_lossy(&bytes);
--- a/lib/tests/product/test_settings.rs
+++ b/lib/tests/product/test_settings.rs
@@ -1,4 +1,4 @@
-//! Reading and checking settings.
+//! Tests of parsing and checking settings.
 
 use super::{
     fixtures::{key, settings_text},
@@ -14,10 +14,10 @@
 }
 
 #[test]
-fn sound_settings_keep_their_values() {
+fn valid_settings_keep_their_values() {
     let text = settings_text() + "peers: [127.0.0.1:5001]\nlog: json\n";
 
-    let settings = Settings::parse(&text).expect("sound");
+    let settings = Settings::parse(&text).expect("valid");
 
     assert_eq!((settings.site.as_str(), settings.name.as_str()), ("sofia", "entry-1"));
     assert_eq!(settings.packets.port(), 0);
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn all_faults_come_in_one_report_without_the_secret() {
+fn one_report_lists_all_faults_without_the_secret() {
     assert_faults(
         "\
 site: sofia
@@ -58,9 +58,9 @@
     );
 }
 
-/// A stray carriage return or a character of that kind ends a line for the YAML
-/// library and for no editor. Counted as the library does, the author would be
-/// sent past the end of the text.
+/// The YAML library ends lines at a stray carriage return and similar
+/// characters; editors don't. Guards against line numbers past the end of the
+/// text.
 #[test]
 fn a_stray_line_break_does_not_move_the_line_of_a_fault() {
     for stray in ["\r", "\u{85}", "\u{2028}", "\u{2029}"] {
@@ -73,13 +73,13 @@
     }
 }
 
-/// The shrunk case of the test below: with the text broken by a stray carriage
-/// return, the fault was on a line that the text does not have.
+/// Minimized case of the property test below: a stray carriage return gave a
+/// fault a line that the text doesn't have.
 #[test]
 fn a_stray_line_break_is_reported_within_the_text() {
-    let sound = settings_text();
-    for at in 0..=sound.len() {
-        let text = format!("{}\r{}", &sound[..at], &sound[at..]);
+    let valid = settings_text();
+    for at in 0..=valid.len() {
+        let text = format!("{}\r{}", &valid[..at], &valid[at..]);
         if let Err(report) = Settings::parse(&text) {
             assert!(is_complete(&report, &text), "at {at}: {report}");
         }
@@ -90,7 +90,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn mutated_settings_are_taken_or_reported(edits in vec(edit(), 1..8)) {
+    fn mutated_settings_are_accepted_or_reported(edits in vec(edit(), 1..8)) {
         let bytes = mutated(&settings_text(), &edits);
 
         let text = String::from_utf8_lossy(&bytes);
--- a/lib/tests/product/test_sign.rs
+++ b/lib/tests/product/test_sign.rs
@@ -1,4 +1,4 @@
-//! Signing bundles off and refusing others.
+//! Tests of signing bundles and verifying signatures.
 
 use super::fixtures::{bundle_text, key, keys, site};
 use medlarspur_lib::{
@@ -11,10 +11,10 @@
 }
 
 #[test]
-fn a_signed_bundle_is_taken() {
+fn a_signed_bundle_is_accepted() {
     let text = sign(&bundle_text(), &key(1));
 
-    let signed = SignedBundle::check(text.as_bytes(), &keys(), &site()).expect("signed off");
+    let signed = SignedBundle::check(text.as_bytes(), &keys(), &site()).expect("signed");
 
     assert_eq!(&*signed.text, text);
     assert_eq!(signed.key, key(1).public().id());
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn signing_again_replaces_the_line() {
+fn signing_again_replaces_the_signature() {
     let once = sign(&bundle_text(), &key(1));
     let other = sign(&bundle_text(), &key(2));
 
@@ -32,14 +32,14 @@
 }
 
 #[test]
-fn a_text_without_a_last_line_end_can_be_signed() {
+fn a_text_without_a_final_line_feed_can_be_signed() {
     let text = sign(bundle_text().trim_end(), &key(1));
 
     assert!(SignedBundle::check(text.as_bytes(), &keys(), &site()).is_ok());
 }
 
 #[test]
-fn each_way_not_to_be_signed_off_has_its_reason() {
+fn each_invalid_signature_has_its_reason() {
     let signed = sign(&bundle_text(), &key(1));
     let changed = signed.replacen("10.1.0.1:6080", "10.1.0.9:6080", 1);
     let appended = format!("{signed}site: plovdiv\n");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_signature_does_not_excuse_faults() {
+fn a_signed_bundle_with_faults_is_refused() {
     let text = sign("version: 1\nsite: sofia\n", &key(1));
 
     assert_eq!(refusal(text.as_bytes()), "faults");
@@ -70,19 +70,20 @@
     assert_eq!(refusal.reason(), "wrong-site");
 }
 
-/// An author draws a new seed by mistake. Every flow would hash to another
-/// bucket, and open feeds would reach targets that reset them.
+/// An author may replace the seed by mistake. Guards against accepting that:
+/// every flow would hash to another bucket, and open feeds would reach targets
+/// that reset them.
 #[test]
 fn a_changed_seed_is_refused() {
     let check = |text: &str| {
-        SignedBundle::check(sign(text, &key(1)).as_bytes(), &keys(), &site()).expect("signed off")
+        SignedBundle::check(sign(text, &key(1)).as_bytes(), &keys(), &site()).expect("signed")
     };
-    let present = check(&bundle_text());
+    let current = check(&bundle_text());
     let next = check(&bundle_text().replace("version: 7", "version: 8"));
     let reseeded = check(&bundle_text().replace("seed: 00", "seed: 01"));
 
-    assert!(next.check_can_replace(&present.bundle).is_ok());
-    let refusal = reseeded.check_can_replace(&present.bundle).expect_err("another seed");
+    assert!(next.check_can_replace(&current.bundle).is_ok());
+    let refusal = reseeded.check_can_replace(&current.bundle).expect_err("another seed");
     assert_eq!(refusal.reason(), "seed-changed");
-    assert!(next.rank() > present.rank());
+    assert!(next.rank() > current.rank());
 }
