--- a/lib/examples/bundle_cost.rs
+++ b/lib/examples/bundle_cost.rs
@@ -30,7 +30,7 @@
         let text = text(services, targets);
         let signed = sign(&text, &key);
         let check =
-            median(|| drop(SignedBundle::check(signed.as_bytes(), &keys, &site).expect("sound")));
+            median(|| drop(SignedBundle::check(signed.as_bytes(), &keys, &site).expect("valid")));
         let faulty = text.replace("class: feed", "class: feeds");
         let refuse = median(|| drop(Bundle::parse_without_lines(&faulty).expect_err("faulty")));
         let report = median(|| drop(Bundle::parse(&faulty).expect_err("faulty")));
--- a/lib/examples/fleet_slopes.rs
+++ b/lib/examples/fleet_slopes.rs
@@ -75,7 +75,7 @@
         let start = text.len();
         let mark = if ix == changed { version } else { 0 };
         write!(text, "  - name: s{ix}\n    balance: {mark}\n    note: ")
-            .expect("a string takes all");
+            .expect("writing to a string succeeds");
         while text.len() < start + SERVICE_BYTES {
             text.push('x');
         }
@@ -123,12 +123,12 @@
         net.platform = Some(bundle(version, services));
         net.run(Millis::secs(5));
         assert!(net.all_have(&bundle(version, services)), "it is in force everywhere");
-        let at =
+        let times =
             net.nodes.iter().filter(|n| n.up).filter_map(|n| n.accepted.last()).map(|(t, _)| *t);
-        let first = at.clone().min().unwrap_or_default();
-        let taken: Vec<u64> = at.map(|t| t.since(first).0).collect();
-        mean += taken.iter().sum::<u64>() / (nodes as u64 * CHANGES);
-        worst = worst.max(taken.into_iter().max().unwrap_or(0));
+        let first = times.clone().min().unwrap_or_default();
+        let delays: Vec<u64> = times.map(|t| t.since(first).0).collect();
+        mean += delays.iter().sum::<u64>() / (nodes as u64 * CHANGES);
+        worst = worst.max(delays.into_iter().max().unwrap_or(0));
     }
     let end = total(net);
     let more = Traffic {
@@ -209,8 +209,8 @@
 
 fn rate(from: Traffic, to: Traffic, by: u64, width: usize) -> String {
     let bytes = to.bytes - from.bytes;
-    let whole = bytes + CALL_BYTES * (to.messages - from.messages);
-    format!("{:>width$}", format!("{}/{}", bytes / by, whole / by))
+    let with_overhead = bytes + CALL_BYTES * (to.messages - from.messages);
+    format!("{:>width$}", format!("{}/{}", bytes / by, with_overhead / by))
 }
 
 /// Returns the resident memory of this process in bytes.
--- a/lib/src/bundle/check.rs
+++ b/lib/src/bundle/check.rs
@@ -53,9 +53,9 @@
         if parse::parse_protocol(protocol).is_none() {
             return;
         }
-        let shown = format!("{protocol} {address}:{number}");
+        let text = format!("{protocol} {address}:{number}");
         let listener = (address, number, protocol.to_owned());
-        self.listeners.insert("the address and port", listener, &shown, port);
+        self.listeners.insert("the address and port", listener, &text, port);
     }
 
     fn add_target(&mut self, target: &Node<'_>) {
@@ -80,9 +80,9 @@
 }
 
 impl<K: Eq + std::hash::Hash> Unique<K> {
-    fn insert(&mut self, what: &'static str, key: K, shown: &str, node: &Node<'_>) {
+    fn insert(&mut self, what: &'static str, key: K, text: &str, node: &Node<'_>) {
         if let Some(other) = self.0.get(&key) {
-            let found = shown.to_owned();
+            let found = text.to_owned();
             node.fail::<()>(Fault::Duplicate { what, found, other: other.clone() });
             return;
         }
--- a/lib/src/bundle/diff.rs
+++ b/lib/src/bundle/diff.rs
@@ -82,7 +82,7 @@
         (Obstacle::Site, new.site != old.site),
         (Obstacle::Seed, new.seed != old.seed),
     ];
-    all.into_iter().filter(|(_, holds)| *holds).map(|(obstacle, _)| obstacle).collect()
+    all.into_iter().filter(|(_, applies)| *applies).map(|(obstacle, _)| obstacle).collect()
 }
 
 /// Returns all differences from `old` to `new`, in the order of the services.
--- a/lib/src/bundle/parse.rs
+++ b/lib/src/bundle/parse.rs
@@ -95,7 +95,7 @@
             let (found, other) = (domain.to_string(), node.path().clone());
             return item.fail(Fault::Duplicate { what: "the failure domain", found, other });
         }
-        // The domains of services with a fault are not known.
+        // If a service has a fault, the list is empty and the domains are unknown.
         if !services.is_empty() && targets().all(|target| target.domain != domain) {
             return item.fail(Fault::NoTargetInDomain { found: domain.to_string() });
         }
--- a/lib/src/document/locate.rs
+++ b/lib/src/document/locate.rs
@@ -25,8 +25,8 @@
 /// second document. A second document arises if the first line is indented
 /// deeper than the following ones.
 pub(super) fn error_line(text: &str, error: &serde_norway::Error) -> usize {
-    let place = error.location().or_else(|| second_document(text));
-    place.map_or(1, |location| editor_line(text, location.line()))
+    let location = error.location().or_else(|| second_document(text));
+    location.map_or(1, |location| editor_line(text, location.line()))
 }
 
 /// Returns the location of the second document of a text, or of the error in
@@ -42,14 +42,14 @@
 /// [`LINE_BREAKS`]. Otherwise a stray carriage return would give a line too far
 /// down, or past the end of the text.
 fn editor_line(text: &str, line: usize) -> usize {
-    let mut passed = 1;
+    let mut library_line = 1;
     let mut editor_line = 1;
     let mut rest = text.chars().peekable();
-    while passed < line
+    while library_line < line
         && let Some(found) = rest.next()
     {
-        let pair = found == '\r' && rest.peek() == Some(&'\n');
-        passed += usize::from(!pair && LINE_BREAKS.contains(&found));
+        let is_crlf = found == '\r' && rest.peek() == Some(&'\n');
+        library_line += usize::from(!is_crlf && LINE_BREAKS.contains(&found));
         editor_line += usize::from(found == '\n');
     }
     editor_line
--- a/lib/tests/edge/test_input.rs
+++ b/lib/tests/edge/test_input.rs
@@ -85,9 +85,9 @@
         cut in any::<prop::sample::Index>(),
     ) {
         let mut bytes = packet(flags, &payload);
-        for (place, value) in damage {
-            let place = place.index(bytes.len());
-            bytes[place] = value;
+        for (position, value) in damage {
+            let position = position.index(bytes.len());
+            bytes[position] = value;
         }
         bytes.truncate(cut.index(bytes.len() + 1));
         if let Ok(packet) = Packet::parse(&bytes) {
@@ -108,15 +108,15 @@
     #[test]
     fn a_forged_or_damaged_datagram_is_refused(
         datagram in datagram(),
-        place in any::<prop::sample::Index>(),
+        position in any::<prop::sample::Index>(),
         bit in 0..8u32,
     ) {
         let other = Secret([8; 32]);
         let mut bytes = datagram.encode(&SECRET);
         prop_assert_eq!(Datagram::decode(&bytes, &other), Err(QuestionError::Checksum));
 
-        let place = place.index(bytes.len());
-        bytes[place] ^= 1 << bit;
+        let position = position.index(bytes.len());
+        bytes[position] ^= 1 << bit;
         prop_assert!(Datagram::decode(&bytes, &SECRET).is_err());
     }
 
--- a/lib/tests/product/mutate.rs
+++ b/lib/tests/product/mutate.rs
@@ -25,8 +25,8 @@
 /// Returns the text after the edits; it may no longer be UTF-8.
 pub fn mutated(text: &str, edits: &[(Index, Edit)]) -> Vec<u8> {
     let mut bytes = text.as_bytes().to_vec();
-    for (place, edit) in edits {
-        let at = place.index(bytes.len());
+    for (position, edit) in edits {
+        let at = position.index(bytes.len());
         match edit {
             Edit::Remove => drop(bytes.remove(at)),
             Edit::Insert(byte) => bytes.insert(at, *byte),
