--- a/daemon/src/sink.rs
+++ b/daemon/src/sink.rs
@@ -58,7 +58,7 @@
         self.lost.load(Relaxed)
     }
 
-    /// Waits until the queued lines have been written, for [`FLUSH_TIMEOUT`] at most.
+    /// Waits until the queued lines have been written, for `FLUSH_TIMEOUT` at most.
     pub fn flush(&self) {
         let (done, wait) = sync_channel(1);
         if self.lines.try_send(Item::Flush(done)).is_ok() {
