--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -11,9 +11,9 @@
 //! - A reader that knows two others with smaller addresses stops reading.
 //!
 //! Updates spread through a domain as a tree. The reader sends an update to a few instances, each
-//! of which forwards it to a part of the others, so that no instance sends more than [`FANOUT`]
-//! copies. An update names the revision that the receiver must already know; an instance that lacks
-//! changes pulls them.
+//! of which forwards it to a part of the others, so that no instance sends more than
+//! `FANOUT` copies ([`spread`]). An update names the revision that the receiver must already
+//! know; an instance that lacks changes pulls them.
 //!
 //! All knowledge is local. After a network partition within a domain, each part has its own
 //! readers, and later the parts merge their catalogs by revision.
