--- a/lib/src/forwarder/refusal.rs
+++ b/lib/src/forwarder/refusal.rs
@@ -58,10 +58,10 @@
         }
         let Some((_, acknowledged)) = packet.numbers() else { return false };
         let first = cookie(ctx).wrapping_add(1);
-        let words = self.refusal_text(text, ctx);
-        let last = first.wrapping_add(words.len() as u32 + 1);
+        let payload = self.refusal_text(text, ctx);
+        let last = first.wrapping_add(payload.len() as u32 + 1);
         if acknowledged == first && packet.mark() != Mark::Abort {
-            if let Some(bytes) = answer(packet, &words) {
+            if let Some(bytes) = answer(packet, &payload) {
                 sink.send_to_caller(bytes);
             }
             return true;
