--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -1,7 +1,7 @@
-//! Costs of an instance's duties against one size each, for `docs/measures/roles.md`.
+//! Costs of an instance's tasks as functions of a size, for `docs/measures/roles.md`.
 //!
-//! Each call measures one point in a process of its own, because memory that an
-//! earlier point gave back would hide what the next one takes.
+//! Each process measures a single point. Memory freed by an earlier point would hide the
+//! allocations of the next one.
 
 use crate::{
     memory,
@@ -42,20 +42,20 @@
 };
 
 const NOW: Millis = Millis(1_000);
-/// The services and members of the target size, for the slopes that depend on
-/// two sizes.
+/// Numbers of services and members of the largest supported site, for the slopes that depend
+/// on two sizes.
 const SERVICES: usize = 3_400;
 const MEMBERS: usize = 1_000;
-/// How often a short work is repeated; the median counts.
+/// Number of repetitions, of which the median is taken.
 const REPEATS: usize = 5;
 
-/// Measures one point; nothing if there is no slope of this name.
+/// Measures one point. Returns none if there is no slope of this name.
 pub fn measure(name: &str, size: usize) -> Option<f64> {
     Some(match name {
-        "flow-memory" => memory::held(size) as f64,
-        "hit-nanos" => memory::hit(size),
-        "kept-memory" => kept(size).0,
-        "kept-nanos" => kept(size).1,
+        "flow-memory" => memory::flow_memory(size) as f64,
+        "hit-nanos" => memory::hit_nanos(size),
+        "kept-memory" => keeper_cost(size).0,
+        "kept-nanos" => keeper_cost(size).1,
         "advert-bytes" => advert_bytes(size),
         "view-memory" => view_memory(size),
         "check-memory" => check_memory(size),
@@ -66,10 +66,10 @@
         "follow-micros" => follow_micros(size),
         "duties-micros" => duties_micros(size),
         "question-nanos" => question_nanos(size),
-        "probe-micros" => probe(size).0,
-        "probe-bytes" => probe(size).1,
-        "watch-micros" => watch(size).0,
-        "watch-bytes" => watch(size).1,
+        "probe-micros" => probe_cost(size).0,
+        "probe-bytes" => probe_cost(size).1,
+        "watch-micros" => watch_cost(size).0,
+        "watch-bytes" => watch_cost(size).1,
         _ => return None,
     })
 }
@@ -86,15 +86,15 @@
     start.elapsed()
 }
 
-/// What a keeper spends on flows that others tell it: bytes and nanoseconds.
-fn kept(flows: usize) -> (f64, f64) {
+/// Returns the cost of flows received by a keeper: bytes and nanoseconds.
+fn keeper_cost(flows: usize) -> (f64, f64) {
     let mut forwarder = Forwarder::new(AdmitAll, 0);
-    let mut sent = memory::Sent::default();
+    let mut sent = memory::SentPackets::default();
     forwarder.install(memory::view(), NOW);
     let before = resident();
     let mut time = Duration::ZERO;
-    for start in (0..flows).step_by(ADVERT) {
-        let advert = advert(start, ADVERT.min(flows - start));
+    for start in (0..flows).step_by(ADVERT_FLOWS) {
+        let advert = advert(start, ADVERT_FLOWS.min(flows - start));
         time += timed(|| forwarder.handle_advert(NOW, &advert));
     }
     sent.outbox = Outbox::new();
@@ -102,8 +102,8 @@
     (resident().saturating_sub(before) as f64, time.as_nanos() as f64)
 }
 
-/// How many flows an advert has at the pace of an instance.
-const ADVERT: usize = 128;
+/// Number of flows in an advert at an instance's usual rate of adverts.
+const ADVERT_FLOWS: usize = 128;
 
 fn advert(start: usize, count: usize) -> Advert {
     let target = |ix: usize| TargetName::new(&format!("alertdesk-{}", ix % 14));
@@ -120,7 +120,7 @@
     medlarspur_peer::encode(&Message::Advert(advert(0, flows))).encoded_len() as f64
 }
 
-/// A signed bundle with this many services of two targets each.
+/// Returns a signed bundle with this number of services of two targets each, and its keys.
 fn bundle(services: usize, version: u64, weight: u16) -> (String, Keys) {
     let key: SecretKey = "07".repeat(32).parse().expect("any 32 bytes are a key");
     let mut text = format!(
@@ -150,7 +150,7 @@
     median(|| timed(|| check(&text, &keys))) / 1e3
 }
 
-/// The memory of a bundle's values and text while they are in force.
+/// Returns the memory of a bundle in force, parsed and as text, in bytes.
 fn check_memory(services: usize) -> f64 {
     let (text, keys) = bundle(services, 1, 100);
     let before = resident();
@@ -162,52 +162,54 @@
 
 fn draft(services: usize) -> Draft {
     let (text, keys) = bundle(services, 1, 100);
-    begin(&check(&text, &keys).bundle)
+    start_draft(&check(&text, &keys).bundle)
 }
 
-fn begin(bundle: &Arc<Bundle>) -> Draft {
+fn start_draft(bundle: &Arc<Bundle>) -> Draft {
     let mut draft = Draft::first(InstanceName::new("entry-0"), bundle, NOW);
     draft.advance(NOW + PUBLISH_DELAY);
     draft
 }
 
 fn view_memory(services: usize) -> f64 {
-    let bundle = site::many(services);
+    let bundle = site::many_services(services);
     let before = resident();
-    let mut draft = begin(&bundle);
+    let mut draft = start_draft(&bundle);
     let view = draft.commit();
     let after = resident();
     black_box((view, draft));
     after.saturating_sub(before) as f64
 }
 
-/// The time to put a bundle in force in which one target's weight changed.
+/// Returns the time to put a bundle in force in which one target's weight has changed.
 fn install_micros(services: usize) -> f64 {
     let mut draft = draft(services);
     let (light, keys) = bundle(services, 2, 50);
     let (full, _) = bundle(services, 3, 100);
     let both = [check(&light, &keys).bundle, check(&full, &keys).bundle];
-    let mut turns = both.iter().cycle();
+    let mut alternating = both.iter().cycle();
     median(|| {
         timed(|| {
-            draft.install(turns.next().unwrap_or(&both[0]), NOW);
+            draft.install(alternating.next().unwrap_or(&both[0]), NOW);
             draft.commit()
         })
     }) / 1e3
 }
 
-/// The time that the packet thread stands still to take the next view.
+/// Returns the time for which the packet thread stops forwarding to install a view.
 fn follow_micros(services: usize) -> f64 {
     let mut draft = draft(services);
-    let mut forwarder =
-        Forwarder::new(LoadGate::new(1, Meters::new().expect("meters are registered once")), 0);
+    let mut forwarder = Forwarder::new(
+        LoadGate::new(1, Meters::new().expect("the metrics are registered once")),
+        0,
+    );
     let (light, keys) = bundle(services, 2, 50);
     let (full, _) = bundle(services, 3, 100);
     let both = [check(&light, &keys).bundle, check(&full, &keys).bundle];
-    let mut turns = both.iter().cycle();
+    let mut alternating = both.iter().cycle();
     median(|| {
-        draft.install(turns.next().unwrap_or(&both[0]), NOW);
-        let view = draft.commit().expect("the bundle is another");
+        draft.install(alternating.next().unwrap_or(&both[0]), NOW);
+        let view = draft.commit().expect("the bundle has changed");
         timed(|| forwarder.install(view, NOW))
     }) / 1e3
 }
@@ -225,7 +227,7 @@
     }
 }
 
-/// The time to take over that one of the members is another.
+/// Returns the time to apply the replacement of one member.
 fn members_micros(services: usize, members: usize) -> f64 {
     let mut draft = draft(services);
     let mut all: Vec<_> = (0..members).map(member).collect();
@@ -241,7 +243,7 @@
     }) / 1e3
 }
 
-/// The time to see for each service of the target size whether to plan for it.
+/// Returns the time to determine the services that an instance plans for.
 fn duties_micros(members: usize) -> f64 {
     let all: Vec<_> = (0..members).map(member).collect();
     let services: Vec<_> =
@@ -265,24 +267,24 @@
     })
 }
 
-/// An HTTP server that counts the bytes both ways.
+/// Starts an HTTP server that counts the bytes in both directions.
 fn serve(answer: String) -> (SocketAddrV4, Arc<AtomicU64>) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("loopback has free ports");
-    let SocketAddr::V4(address) = listener.local_addr().expect("it is bound") else {
-        unreachable!("it was bound to IPv4")
+    let SocketAddr::V4(address) = listener.local_addr().expect("the listener is bound") else {
+        unreachable!("the listener is bound to IPv4")
     };
     let bytes = Arc::new(AtomicU64::new(0));
     let counter = bytes.clone();
     thread::spawn(move || {
         for stream in listener.incoming().map_while(Result::ok) {
             let (answer, counter) = (answer.clone(), counter.clone());
-            thread::spawn(move || converse(stream, &answer, &counter));
+            thread::spawn(move || answer_requests(stream, &answer, &counter));
         }
     });
     (address, bytes)
 }
 
-fn converse(mut stream: TcpStream, answer: &str, bytes: &AtomicU64) {
+fn answer_requests(mut stream: TcpStream, answer: &str, bytes: &AtomicU64) {
     let _ = stream.set_nodelay(true);
     let Ok(reader) = stream.try_clone() else { return };
     for line in BufReader::new(reader).lines().map_while(Result::ok) {
@@ -294,9 +296,8 @@
     }
 }
 
-/// Runs `work` on a thread of its own and answers its processor time in
-/// microseconds.
-fn processor(work: impl FnOnce() + Send + 'static) -> f64 {
+/// Runs `work` on a separate thread and returns its processor time, in microseconds.
+fn thread_micros(work: impl FnOnce() + Send + 'static) -> f64 {
     const NAME: &str = "measured";
     let builder = thread::Builder::new().name(NAME.to_owned());
     let run = move || {
@@ -307,12 +308,12 @@
     builder.spawn(run).expect("there are threads left").join().expect("the work ends")
 }
 
-/// The cost of probes of a healthy target: microseconds and bytes above TCP.
-fn probe(count: usize) -> (f64, f64) {
+/// Returns the cost of probes of a healthy target: microseconds, and bytes above TCP.
+fn probe_cost(count: usize) -> (f64, f64) {
     let body = r#"{"slots":2,"connections":1999}"#;
     let answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
     let (address, bytes) = serve(answer);
-    let micros = processor(move || {
+    let micros = thread_micros(move || {
         let http = ProbeHttp::new();
         for _ in 0..count {
             assert!(http.probe(address).told.is_some(), "the target is healthy");
@@ -321,10 +322,10 @@
     (micros, bytes.load(Relaxed) as f64)
 }
 
-/// The cost of watches that bring nothing: microseconds and bytes above TCP.
-fn watch(count: usize) -> (f64, f64) {
+/// Returns the cost of watches without changes: microseconds, and bytes above TCP.
+fn watch_cost(count: usize) -> (f64, f64) {
     let (address, bytes) = serve("HTTP/1.1 204 No Content\r\n\r\n".to_owned());
-    let micros = processor(move || {
+    let micros = thread_micros(move || {
         let http = Http::new(address);
         let etag = Etag::new("0123456789abcdef");
         for _ in 0..count {
--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -1,16 +1,16 @@
-//! From checked settings to a running instance.
+//! Starts an instance from validated settings and runs it until a signal stops it.
 
 use crate::{
     checker::Checker,
     clock::Clock,
-    control::{self, Control},
+    control::{self, ControlParts},
     gate::LoadGate,
-    life::Life,
+    life::Lifecycle,
     meters,
-    packets::{self, Packets},
+    packets::{self, PacketParts},
     sample::Sampler,
-    shared::{RING, Shared},
-    status::Status,
+    shared::{RING_CAPACITY, Shared},
+    status::StatusSource,
 };
 use medlarspur_fabric::{Listener, SocketError};
 use medlarspur_lib::{
@@ -38,67 +38,68 @@
     time::{SystemTime, UNIX_EPOCH},
 };
 
-/// How many readings of the platform may wait for the control thread. Each is
-/// a whole bundle or list, and a newer one makes the older one worthless.
-const READINGS: usize = 8;
+/// Maximum number of platform events queued for the control thread, and of operators'
+/// queries queued for the packet thread. Each platform event is a whole bundle or list,
+/// which supersedes any older one.
+const PLATFORM_QUEUE: usize = 8;
 
-/// How many results of probes may wait for the control thread: more than come
-/// in one of its rounds.
-const PROBES: usize = 1024;
+/// Maximum number of probe results queued for the control thread: more than arrive
+/// during one of its rounds.
+const PROBE_QUEUE: usize = 1024;
 
-/// Why an instance can't run.
+/// Reasons why an instance can't start or run.
 #[derive(Debug, Snafu)]
 pub enum BootError {
-    /// A socket for packets or questions.
+    /// A socket for packets or questions can't be opened.
     #[snafu(display("cannot open a socket"))]
     Socket {
-        /// Which and why.
+        /// The socket's address and the cause.
         source: SocketError,
     },
-    /// The control connections.
+    /// The control connections can't be served.
     #[snafu(display("cannot serve peers"))]
     Peer {
-        /// Why.
+        /// The cause.
         source: PeerError,
     },
-    /// The platform's reader.
+    /// The platform's reader can't be started.
     #[snafu(display("cannot read the platform"))]
     Platform {
-        /// Why.
+        /// The cause.
         source: ReaderError,
     },
-    /// The probes of targets.
+    /// The prober of targets can't be started.
     #[snafu(display("cannot probe targets"))]
     Probe {
-        /// Why.
+        /// The cause.
         source: ProberError,
     },
-    /// The metrics.
+    /// The metrics can't be registered.
     #[snafu(display("cannot register the metrics"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetersError,
     },
-    /// The operators' server.
+    /// The operators' HTTP server can't be started.
     #[snafu(display("cannot serve operators"))]
     Operators {
-        /// Why.
+        /// The cause.
         source: OperatorError,
     },
-    /// A thread, a signal handler or the standard output.
+    /// A system call failed: for a thread, a signal handler, a TLS file or standard output.
     #[snafu(display("cannot {what}"))]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// What the system said.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// What an instance says of itself on its standard output once it listens, for
-/// whoever started it with ports left to the system.
+/// The line of JSON on standard output that reports the listening addresses, for a
+/// parent process that has left the choice of ports to the system.
 #[derive(Debug, Serialize)]
-struct Greeting<'a> {
+struct StartupInfo<'a> {
     name: &'a str,
     domain: &'a str,
     #[serde(flatten)]
@@ -106,60 +107,63 @@
     operator: SocketAddr,
 }
 
-/// Runs an instance until a signal ends it.
+/// Runs an instance until SIGTERM or SIGINT stops it.
 pub fn run(settings: &Settings) -> Result<(), BootError> {
     let clock = Clock::start();
     let shared = Arc::new(Shared::default());
-    let leave = leave_on_signal()?;
+    let shutdown = shutdown_on_signal()?;
     let fabric = Listener::bind(settings.packets).context(SocketSnafu)?;
     let questions = Listener::bind(settings.questions).context(SocketSnafu)?;
     let peers = Peers::start(peer_settings(settings)?).context(PeerSnafu)?;
     let addresses =
         Addresses { packets: fabric.local(), questions: questions.local(), control: peers.addr() };
-    let (send, readings) = sync_channel(READINGS);
+    let (send, platform_events) = sync_channel(PLATFORM_QUEUE);
     let reader = Reader::start(Http::new(settings.platform), send).context(PlatformSnafu)?;
-    let (send, probed) = sync_channel(PROBES);
+    let (send, probe_events) = sync_channel(PROBE_QUEUE);
     let prober = Prober::start(target::Http::new(), INTERVAL, send).context(ProbeSnafu)?;
-    let (commands, obeyed) = RingBuffer::new(RING);
-    let (adverts, outgoing) = RingBuffer::new(RING);
-    let (looks, looked) = sync_channel(READINGS);
+    let (commands, command_receiver) = RingBuffer::new(RING_CAPACITY);
+    let (adverts, advert_receiver) = RingBuffer::new(RING_CAPACITY);
+    let (queries, query_receiver) = sync_channel(PLATFORM_QUEUE);
     let meters = Meters::new().context(MetricsSnafu)?;
     meters::register(&meters, &shared);
-    let status = Status::new(settings, shared.clone(), looks, clock);
+    let status = StatusSource::new(settings, shared.clone(), queries, clock);
     let operator = Operator::start(settings.operator, Arc::new(status), meters.clone())
         .context(OperatorsSnafu)?;
-    greet(settings, &addresses, operator.address())?;
-    let life = Life::begin(shared.clone(), leave.clone(), clock);
-    let packets = Packets {
+    print_startup_info(settings, &addresses, operator.address())?;
+    let lifecycle = Lifecycle::start(shared.clone(), shutdown.clone(), clock);
+    let packets = PacketParts {
         fabric,
         questions,
-        returns: settings.fabric,
+        return_address: settings.fabric,
         secret: settings.secret.clone(),
-        commands: obeyed,
-        looks: looked,
+        commands: command_receiver,
+        queries: query_receiver,
         adverts,
         gate: LoadGate::new(seed(settings), meters.clone()),
         sampler: Sampler::new(meters.clone()),
         clock,
         shared: shared.clone(),
     };
-    let control = Control {
-        settings: ControlSettings { me: me(settings, addresses), seeds: settings.peers.clone() },
+    let control = ControlParts {
+        settings: ControlSettings {
+            me: local_member(settings, addresses),
+            seeds: settings.peers.clone(),
+        },
         checker: Checker::new(settings.keys.clone(), settings.site.clone(), meters),
         peers,
-        platform: (reader, readings),
-        probes: (prober, probed),
+        platform: (reader, platform_events),
+        probes: (prober, probe_events),
         commands,
-        adverts: outgoing,
-        leave,
+        adverts: advert_receiver,
+        shutdown,
         clock,
         shared,
     };
     let packets = spawn("packets", move || packets::run(packets))?;
     let control = spawn("control", move || control::run(control))?;
-    life.serve().leave().stop();
-    end("packets", packets);
-    end("control", control);
+    lifecycle.wait_for_bundle().wait_for_shutdown().drain();
+    join("packets", packets);
+    join("control", control);
     operator.stop();
     Ok(())
 }
@@ -181,46 +185,47 @@
     fs::read(path).context(SystemSnafu { what: "read a file of the TLS settings" })
 }
 
-/// Differs for each instance, so that no two spread their refusals alike.
+/// Returns a seed derived from the instance's name. Instances with different seeds
+/// spread refusals over different callers.
 fn seed(settings: &Settings) -> u64 {
     let mut hasher = DefaultHasher::new();
     settings.name.hash(&mut hasher);
     hasher.finish()
 }
 
-fn leave_on_signal() -> Result<Arc<AtomicBool>, BootError> {
-    let leave = Arc::new(AtomicBool::new(false));
+fn shutdown_on_signal() -> Result<Arc<AtomicBool>, BootError> {
+    let shutdown = Arc::new(AtomicBool::new(false));
     for signal in [SIGTERM, SIGINT] {
-        signal_hook::flag::register(signal, leave.clone())
+        signal_hook::flag::register(signal, shutdown.clone())
             .context(SystemSnafu { what: "handle signals" })?;
     }
-    Ok(leave)
+    Ok(shutdown)
 }
 
-fn greet(
+fn print_startup_info(
     settings: &Settings,
     addresses: &Addresses,
     operator: SocketAddr,
 ) -> Result<(), BootError> {
-    let greeting = Greeting {
+    let info = StartupInfo {
         name: settings.name.as_str(),
         domain: settings.domain.as_str(),
         addresses: addresses.clone(),
         operator,
     };
     let mut out = io::stdout().lock();
-    serde_json::to_writer(&mut out, &greeting)
+    serde_json::to_writer(&mut out, &info)
         .map_err(io::Error::from)
         .and_then(|()| writeln!(out))
         .and_then(|()| out.flush())
         .context(SystemSnafu { what: "write to the standard output" })
 }
 
-/// This instance for its peers. Its incarnation is the wall clock's, so that a
-/// restarted instance is told from its earlier life; a clock that is wrong is
-/// corrected when a peer holds a later incarnation against it.
-#[allow(clippy::disallowed_methods, reason = "nothing else of an earlier life lasts")]
-fn me(settings: &Settings, addresses: Addresses) -> Member {
+/// Returns this instance's own membership entry. The incarnation is the wall-clock
+/// time in milliseconds, which distinguishes a restarted instance from its previous
+/// run. If the clock is wrong, a peer that knows a later incarnation corrects it.
+#[allow(clippy::disallowed_methods, reason = "no other state survives a restart")]
+fn local_member(settings: &Settings, addresses: Addresses) -> Member {
     let wall = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     Member {
         name: settings.name.clone(),
@@ -241,7 +246,7 @@
     builder.spawn(run).context(SystemSnafu { what: "start a thread" })
 }
 
-fn end<T>(name: &str, thread: JoinHandle<T>) {
+fn join<T>(name: &str, thread: JoinHandle<T>) {
     if thread.join().is_err() {
         log::error!("thread {name} panicked");
     }
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -1,26 +1,26 @@
-//! The main thread of an instance: packets, news and what is due.
+//! The main thread of an instance: packets, updates and timers.
 
 mod report;
 
 use super::{
-    asker::Asker,
-    current::Current,
+    asker::Prober,
+    current::LiveSettings,
     inbox::{self, Delivery, Event, Inbox, Sender},
-    lines::Picture,
-    meters::{Numbers, Published},
-    output::Datagrams,
+    lines::CatalogState,
+    meters::{SharedStats, Stats},
+    output::RoundOutput,
     peers::Peers,
-    pictures::Order,
-    store::Reading,
+    pictures::Command,
+    store::StoreReader,
 };
-use crate::{clock::Clock, sink::Sink};
+use crate::{clock::Clock, sink::LogSink};
 use medlarspur_fabric::{Batch, Socket, SocketError, Wire, wait};
 use medlarspur_lib::{
     ids::{DomainName, InstanceName},
     settings::MarkedSettings,
     time::Millis,
 };
-use medlarspur_marked::{Fleet, Forwarder, Tuning, Update};
+use medlarspur_marked::{Fleet, Forwarder, ForwarderOptions, Update};
 use medlarspur_operator::MetersError;
 use medlarspur_platform::site::{packet, ready};
 use report::Metrics;
@@ -37,109 +37,115 @@
     time::Duration,
 };
 
-/// How many batches one round takes before it sends and looks at the inbox.
-const ROUND: usize = 4;
-/// How often packets that came before anything is known are dropped. A caller
-/// gives an opening up after 1.4 s; older packets would open flows that nobody
+/// Maximum number of batches of packets handled in a round before the inbox is read.
+const MAX_BATCHES: usize = 4;
+/// Interval at which queued packets are dropped while no routes and targets are known. A
+/// caller abandons an opening after 1.4 s; older packets would open flows that no caller
 /// waits for.
-const STALE: Millis = Millis(700);
-/// How long a leaving instance goes on at least: routers ask twice a second and
-/// take it out after two refusals.
-const LEAST: Millis = Millis(1_300);
-/// How long no packet may have come before a leaving instance is done.
-const QUIET: Millis = Millis(500);
-/// How long before it would be killed a leaving instance ends by itself.
-const MARGIN: Millis = Millis::secs(1);
+const DROP_INTERVAL: Millis = Millis(700);
+/// Minimum duration of leaving. Routers check readiness twice a second and remove an
+/// instance after two failed checks.
+const MIN_LEAVE_TIME: Millis = Millis(1_300);
+/// Time without packets after which a leaving instance may stop.
+const IDLE_TIME: Millis = Millis(500);
+/// Time before the end of the grace period, when the process is killed, at which a leaving
+/// instance stops by itself.
+const KILL_MARGIN: Millis = Millis::secs(1);
 
-/// Why an instance can't run.
+/// Reasons why an instance can't start or run.
 #[derive(Debug, Snafu)]
 pub enum RunError {
-    /// The socket for packets.
-    #[snafu(display("cannot take packets"))]
+    /// The socket for packets can't be bound or read.
+    #[snafu(display("cannot receive packets"))]
     Packets {
-        /// Why.
+        /// The cause.
         source: SocketError,
     },
-    /// The metrics.
+    /// The metrics can't be registered.
     #[snafu(display("cannot set up the metrics"))]
     Metrics {
-        /// Why.
+        /// The cause.
         source: MetersError,
     },
-    /// A thread, a pipe, a listener or a signal handler.
+    /// A system call failed: for a thread, a pipe, a listener or a signal handler.
     #[snafu(display("cannot {what}"))]
     System {
-        /// What was tried.
+        /// The operation that failed.
         what: &'static str,
-        /// Why it failed.
+        /// The cause.
         source: io::Error,
     },
 }
 
-/// Runs with the settings that were read from `path` until the process is told
-/// to end.
-pub fn run(path: &Path, settings: &MarkedSettings, sink: Option<Sink>) -> Result<(), RunError> {
+/// Runs an instance with the settings that were read from `path` until SIGTERM stops it.
+///
+/// # Errors
+///
+/// Fails if a socket, thread, pipe or signal handler can't be set up, or if the socket for
+/// packets can't be read.
+pub fn run(path: &Path, settings: &MarkedSettings, sink: Option<LogSink>) -> Result<(), RunError> {
     let system = |what| SystemSnafu { what };
-    let (sender, inbox) = inbox::channel().context(system("make the inbox"))?;
-    let told = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(SIGTERM, told.clone()).context(system("handle SIGTERM"))?;
-    let changed = Arc::new(AtomicBool::new(false));
-    signal_hook::flag::register(SIGHUP, changed.clone()).context(system("handle SIGHUP"))?;
+    let (sender, inbox) = inbox::channel().context(system("create the inbox"))?;
+    let shutdown = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(SIGTERM, shutdown.clone()).context(system("handle SIGTERM"))?;
+    let reload = Arc::new(AtomicBool::new(false));
+    signal_hook::flag::register(SIGHUP, reload.clone()).context(system("handle SIGHUP"))?;
     sender.wake_on(&[SIGTERM, SIGHUP]).context(system("handle signals"))?;
-    let current = Arc::new(Current::new(path, settings));
+    let live = Arc::new(LiveSettings::new(path, settings));
     let socket = Socket::bind(settings.packets).context(PacketsSnafu)?;
     let ready = Arc::new(AtomicBool::new(false));
-    let asked = ready::serve(settings.ready, ready.clone());
-    let asked = asked.context(system("tell whether it is ready"))?;
-    let reading = Reading::start(current.clone(), sender.clone(), settings.control.is_some());
-    let reading = reading.context(system("follow the store"))?;
+    let ready_address = ready::serve(settings.ready, ready.clone());
+    let ready_address = ready_address.context(system("serve readiness checks"))?;
+    let store_reader = StoreReader::start(live.clone(), sender.clone(), settings.control.is_some());
+    let store_reader = store_reader.context(system("follow the store"))?;
     let clock = Clock::start();
     let peers =
         settings.control.map(|control| Peers::join(control, settings, &sender, clock.now()));
-    let peers = peers.transpose().context(system("talk to other instances"))?;
+    let peers = peers.transpose().context(system("open the control address"))?;
     let control = peers.as_ref().map(|peers| peers.socket.local()).transpose();
-    let control = control.context(system("talk to other instances"))?;
+    let control = control.context(system("open the control address"))?;
     log::info!(
         name = settings.name.as_str(), domain = settings.domain.as_str(),
-        packets:% = socket.local(), ready:% = asked, store:% = settings.store,
+        packets:% = socket.local(), ready:% = ready_address, store:% = settings.store,
         control = control.map(|it| it.to_string());
         "start"
     );
     let regions = settings.regions.iter().map(|it| (it.domain.clone(), it.region.clone()));
     let regions = regions.collect();
-    let tuning = Tuning { domain: settings.domain.clone(), regions, seed: rand::random() };
+    let options =
+        ForwarderOptions { domain: settings.domain.clone(), regions, seed: rand::random() };
     let mut instance = Instance {
         name: settings.name.clone(),
         domain: settings.domain.clone(),
-        forwarder: Forwarder::new(tuning),
-        datagrams: Datagrams::new(Asker::new(sender.clone()), settings.callers, clock.now()),
+        forwarder: Forwarder::new(options),
+        output: RoundOutput::new(Prober::new(sender.clone()), settings.callers, clock.now()),
         peers,
-        reading,
+        store_reader,
         sender,
         batch: Batch::new(),
         socket,
         inbox,
         clock,
-        heard: Millis(0),
-        read: None,
-        numbers: Numbers::default(),
-        published: Published::default(),
+        last_packet: Millis(0),
+        last_read: None,
+        stats: Stats::default(),
+        published: SharedStats::default(),
         metrics: None,
-        told,
-        changed,
-        current,
+        shutdown,
+        reload,
+        settings: live,
         ready,
     };
     if let Some(address) = settings.metrics {
-        instance.show(address, sink)?;
+        instance.set_up_metrics(address, sink)?;
     }
-    instance.learn_first()?;
+    instance.wait_until_usable()?;
     log::info!(
         revision:% = instance.forwarder.revision(), after_ms = instance.clock.uptime().0;
         "ready"
     );
     instance.serve()?;
-    instance.leave(settings.grace - MARGIN)?;
+    instance.leave(settings.grace - KILL_MARGIN)?;
     log::info!(
         after_ms = instance.clock.uptime().0, counts:? = instance.forwarder.counts();
         "stop"
@@ -151,51 +157,52 @@
     name: InstanceName,
     domain: DomainName,
     forwarder: Forwarder,
-    datagrams: Datagrams,
-    /// The other instances, if the settings say where to talk to them.
+    output: RoundOutput,
+    /// The other instances, if the settings have a control address.
     peers: Option<Peers>,
-    reading: Reading,
+    store_reader: StoreReader,
     sender: Sender,
     batch: Batch,
     socket: Socket,
     inbox: Inbox,
     clock: Clock,
-    /// When the last packet came.
-    heard: Millis,
-    /// When the store answered last.
-    read: Option<Millis>,
-    numbers: Numbers,
-    published: Published,
+    /// Time of the last packet.
+    last_packet: Millis,
+    /// Time of the store's last answer.
+    last_read: Option<Millis>,
+    stats: Stats,
+    published: SharedStats,
     metrics: Option<Metrics>,
-    told: Arc<AtomicBool>,
-    /// Whether a signal says that the settings have changed.
-    changed: Arc<AtomicBool>,
-    current: Arc<Current>,
+    /// Set by SIGTERM.
+    shutdown: Arc<AtomicBool>,
+    /// Set by SIGHUP: the settings must be read again.
+    reload: Arc<AtomicBool>,
+    settings: Arc<LiveSettings>,
     ready: Arc<AtomicBool>,
 }
 
 impl Instance {
-    /// Waits until there are routes and targets. Packets wait in the socket
-    /// meanwhile: a caller whose packet is dropped repeats it only after 200 ms,
-    /// and the first answer of the store takes some ten.
-    fn learn_first(&mut self) -> Result<(), RunError> {
-        let mut dropped = self.clock.now();
-        self.take_messages();
-        while !self.forwarder.catalog().is_usable() && !self.is_told() {
+    /// Waits until routes and targets are known. Packets stay queued in the socket
+    /// meanwhile: a caller retransmits a dropped packet only after 200 ms, and the store's
+    /// first answer takes some 10 ms.
+    fn wait_until_usable(&mut self) -> Result<(), RunError> {
+        let mut last_drop = self.clock.now();
+        self.handle_messages();
+        while !self.forwarder.catalog().is_usable() && !self.should_stop() {
             let now = self.clock.now();
             let due = self.peers.as_ref().map(|peers| peers.fleet.deadline(now).since(now));
-            let limit = due.into_iter().chain([STALE]).min();
+            let limit = due.into_iter().chain([DROP_INTERVAL]).min();
             let limit = limit.map(|span| Duration::from_millis(span.0));
             match &self.peers {
-                Some(peers) => wait([self.inbox.waker(), peers.socket.as_fd()], limit),
-                None => wait([self.inbox.waker()], limit),
+                Some(peers) => wait([self.inbox.wake_fd(), peers.socket.as_fd()], limit),
+                None => wait([self.inbox.wake_fd()], limit),
             }
             .context(PacketsSnafu)?;
-            self.take_events();
-            self.take_messages();
+            self.handle_events();
+            self.handle_messages();
             let now = self.clock.now();
-            if now.since(dropped) >= STALE && !self.forwarder.catalog().is_usable() {
-                dropped = now;
+            if now.since(last_drop) >= DROP_INTERVAL && !self.forwarder.catalog().is_usable() {
+                last_drop = now;
                 while self.receive()? > 0 {}
             }
         }
@@ -203,93 +210,98 @@
     }
 
     fn serve(&mut self) -> Result<(), RunError> {
-        self.ready.store(!self.is_told(), Relaxed);
-        while !self.is_told() {
+        self.ready.store(!self.should_stop(), Relaxed);
+        while !self.should_stop() {
             self.round(None)?;
         }
         Ok(())
     }
 
-    /// Says that it is not ready and serves what still comes.
+    /// Reports that the instance isn't ready, and serves packets that still arrive.
     fn leave(&mut self, limit: Millis) -> Result<(), RunError> {
         self.ready.store(false, Relaxed);
         log::info!(flows = self.forwarder.len(), limit_ms = limit.0; "leave");
-        let began = self.clock.now();
+        let started = self.clock.now();
         loop {
             let now = self.clock.now();
-            let (spent, silence) = (now.since(began), now.since(self.heard));
-            if spent >= limit || spent >= LEAST && silence >= QUIET {
+            let (elapsed, idle) = (now.since(started), now.since(self.last_packet));
+            if elapsed >= limit || elapsed >= MIN_LEAVE_TIME && idle >= IDLE_TIME {
                 return Ok(());
             }
-            self.round(Some(QUIET))?;
+            self.round(Some(IDLE_TIME))?;
         }
     }
 
-    fn is_told(&self) -> bool {
-        self.told.load(Relaxed)
+    fn should_stop(&self) -> bool {
+        self.shutdown.load(Relaxed)
     }
 
-    /// Waits for something to do, `most` at most, and does it. Packets go
-    /// first: what is due may depend on an answer that waits in the socket.
-    fn round(&mut self, most: Option<Millis>) -> Result<(), RunError> {
+    /// Waits for input or a timer, for `max_wait` at most, and handles it. Packets are
+    /// handled first: a timer's action may depend on an answer queued in the socket.
+    fn round(&mut self, max_wait: Option<Millis>) -> Result<(), RunError> {
         let now = self.clock.now();
         let peers = self.peers.as_ref().map(|peers| peers.fleet.deadline(now));
         let due = self.forwarder.deadline().into_iter().chain(peers).map(|due| due.since(now));
-        let limit = due.chain(most).min().map(|span| Duration::from_millis(span.0));
-        let (packets, inbox) = (self.socket.as_fd(), self.inbox.waker());
+        let limit = due.chain(max_wait).min().map(|span| Duration::from_millis(span.0));
+        let (packets, inbox) = (self.socket.as_fd(), self.inbox.wake_fd());
         match &self.peers {
             Some(peers) => wait([packets, inbox, peers.socket.as_fd()], limit),
             None => wait([packets, inbox], limit),
         }
         .context(PacketsSnafu)?;
-        if self.changed.swap(false, Relaxed) {
-            self.current.reload();
+        if self.reload.swap(false, Relaxed) {
+            self.settings.reload();
             if let Some(peers) = &mut self.peers {
-                peers.fleet.set_seeds(&self.current.seeds());
+                peers.fleet.set_seeds(&self.settings.seeds());
             }
         }
-        self.begin();
-        let unknown = self.forwarder.counts().unknown;
-        self.take_packets()?;
-        if self.forwarder.counts().unknown > unknown {
+        self.begin_round();
+        let unknown = self.forwarder.counts().unknown_mark;
+        self.handle_packets()?;
+        if self.forwarder.counts().unknown_mark > unknown {
             self.catch_up();
         }
-        self.take_events();
-        self.take_messages();
-        self.forwarder.tick(self.clock.now(), &mut self.datagrams);
-        self.datagrams.outbox().flush(&mut self.socket);
+        self.handle_events();
+        self.handle_messages();
+        self.forwarder.tick(self.clock.now(), &mut self.output);
+        self.output.outbox().flush(&mut self.socket);
         self.publish();
         Ok(())
     }
 
-    /// Notes by what picture the decisions of this round are made.
-    fn begin(&mut self) {
+    /// Sets the catalog state that this round's decisions are logged with.
+    fn begin_round(&mut self) {
         let now = self.clock.now();
         let age = self.confirmed().map(|at| now.since(at));
-        self.datagrams.begin(Picture { revision: self.forwarder.revision(), age }, now);
+        self.output.begin_round(CatalogState { revision: self.forwarder.revision(), age }, now);
     }
 
-    fn take_packets(&mut self) -> Result<(), RunError> {
-        for _ in 0..ROUND {
+    fn handle_packets(&mut self) -> Result<(), RunError> {
+        for _ in 0..MAX_BATCHES {
             let count = self.receive()?;
             if count == 0 {
                 break;
             }
             let now = self.clock.now();
-            self.heard = now;
-            self.numbers.received += count as u64;
+            self.last_packet = now;
+            self.stats.received += count as u64;
             for received in self.batch.iter() {
                 match packet::parse(received.bytes) {
                     Ok(segment) => {
-                        self.forwarder.packet(&segment, received.bytes, now, &mut self.datagrams);
+                        self.forwarder.handle_packet(
+                            &segment,
+                            received.bytes,
+                            now,
+                            &mut self.output,
+                        );
                     }
                     Err(error) => {
-                        self.numbers.malformed[error as usize] += 1;
-                        log::debug!("packets: one is dropped: {error}");
+                        self.stats.malformed[error as usize] += 1;
+                        log::debug!("packets: malformed packet dropped: {error}");
                     }
                 }
             }
-            self.datagrams.outbox().flush(&mut self.socket);
+            self.output.outbox().flush(&mut self.socket);
             if count < medlarspur_fabric::BATCH {
                 break;
             }
@@ -301,68 +313,68 @@
         self.socket.receive(&mut self.batch, Duration::ZERO).context(PacketsSnafu)
     }
 
-    fn take_events(&mut self) {
+    fn handle_events(&mut self) {
         let now = self.clock.now();
         let events: Vec<Event> = self.inbox.drain().collect();
         for event in events {
             match event {
-                Event::Read { news, fell_back } => {
-                    self.read = Some(now);
+                Event::StoreRead { update, fell_back } => {
+                    self.last_read = Some(now);
                     if fell_back {
-                        log::warn!(known:% = self.forwarder.revision(), read:% = news.revision; "store: in an earlier era than was believed");
+                        log::warn!(known:% = self.forwarder.revision(), read:% = update.revision; "store: in an earlier era than was believed");
                         self.forwarder.fall_back();
                     }
-                    let era = news.revision.era;
-                    self.learn(news, now);
+                    let era = update.revision.era;
+                    self.apply_update(update, now);
                     let known = self.forwarder.revision();
                     if era < known.era {
-                        self.reading.resume(known);
+                        self.store_reader.read_from(known);
                     }
                     self.with_fleet(|fleet, forwarder| {
                         fleet.store_answered(forwarder.catalog(), now);
                     });
                 }
-                Event::Unread => self.with_fleet(|fleet, forwarder| {
+                Event::StoreFailed => self.with_fleet(|fleet, forwarder| {
                     fleet.store_failed(forwarder.catalog(), now);
                 }),
-                Event::Told { from, news } => {
-                    log::debug!("peers: {from} has told {}", news.revision);
+                Event::Pulled { from, update } => {
+                    log::debug!("peers: update from {from} up to revision {}", update.revision);
                     let known = self.forwarder.revision();
                     let fleet = self.peers.as_ref().map(|peers| &peers.fleet);
-                    if fleet.is_none_or(|fleet| fleet.is_credible(news.revision, known)) {
-                        self.learn(news, now);
+                    if fleet.is_none_or(|fleet| fleet.is_credible(update.revision, known)) {
+                        self.apply_update(update, now);
                     }
                 }
-                Event::Asked { known, reply } => {
-                    let news = self.forwarder.catalog().update_since(known, now);
-                    if reply.send(Order::Tell(known, news)) != Delivery::Taken {
-                        log::debug!("peers: whoever asked is not told");
+                Event::PullRequested { known, reply } => {
+                    let update = self.forwarder.catalog().update_since(known, now);
+                    if reply.send(Command::Send(known, update)) != Delivery::Queued {
+                        log::debug!("peers: answer to a pull dropped, the queue is full");
                     }
                 }
-                Event::NotTold(from) => {
+                Event::PullFailed(from) => {
                     let known = self.forwarder.revision();
                     self.with_fleet(|fleet, _| fleet.pull_failed(from, known, now));
                 }
-                Event::Found(target, finding) => {
-                    self.forwarder.answer(target, finding, now, &mut self.datagrams);
+                Event::Probed(target, result) => {
+                    self.forwarder.handle_probe_result(target, result, now, &mut self.output);
                 }
-                Event::Shown(question) => self.show_operator(question, now),
+                Event::Operator(query) => self.answer_operator(query, now),
             }
         }
     }
 
-    /// A packet carries a mark that means nothing here: there is a target that
-    /// others know already. The caller sends the packet again after 200 ms, and
-    /// by then the target should be known.
+    /// Requests an update after a packet with an unknown mark, which belongs to a target
+    /// that other instances know already. The caller retransmits the packet after 200 ms;
+    /// the target should be known by then.
     fn catch_up(&mut self) {
         match &mut self.peers {
             Some(peers) if !peers.fleet.is_reading() => peers.fleet.catch_up(),
-            _ => self.reading.hurry(),
+            _ => self.store_reader.wake(),
         }
     }
 
-    fn learn(&mut self, news: Update, now: Millis) {
-        self.forwarder.learn(news, now, &mut self.datagrams);
+    fn apply_update(&mut self, update: Update, now: Millis) {
+        self.forwarder.apply_update(update, now, &mut self.output);
     }
 
     fn with_fleet(&mut self, act: impl FnOnce(&mut Fleet, &Forwarder)) {
@@ -372,27 +384,27 @@
         }
     }
 
-    /// Takes other instances' messages, and does what is due among them.
-    fn take_messages(&mut self) {
+    /// Handles other instances' messages and the membership's timers.
+    fn handle_messages(&mut self) {
         let now = self.clock.now();
-        let Some(Peers { fleet, socket, pictures }) = &mut self.peers else { return };
+        let Some(Peers { fleet, socket, exchange }) = &mut self.peers else { return };
         while let Some((from, message)) = socket.receive() {
-            // Merged one by one: each may go on from the one before.
-            if let Some(news) = fleet.receive(from, message, self.forwarder.catalog(), now) {
-                self.forwarder.learn(news, now, &mut self.datagrams);
+            // Updates are merged one by one: each may build on the one before.
+            if let Some(update) = fleet.receive(from, message, self.forwarder.catalog(), now) {
+                self.forwarder.apply_update(update, now, &mut self.output);
             }
         }
-        self.forwarder.set_near(fleet.domain_size());
+        self.forwarder.set_domain_size(fleet.domain_size());
         self.forwarder.set_cut_off(fleet.is_cut_off(now));
         self.forwarder.set_seat(fleet.seat(now));
         let known = self.forwarder.revision();
         fleet.tick(self.forwarder.catalog(), now);
         if let Some(from) = fleet.take_pull(known, now) {
-            pictures.pull(from, self.forwarder.catalog().pull_base());
+            exchange.pull(from, self.forwarder.catalog().pull_base());
         }
         match fleet.is_reading() {
-            true => self.reading.go_on(known),
-            false => self.reading.pause(),
+            true => self.store_reader.unpause(known),
+            false => self.store_reader.pause(),
         }
         socket.send(fleet);
     }
--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -7,8 +7,8 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, Note, Output, Refusal,
-    Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Tuning, Update,
+    Change, Config, Content, FlowKey, Forwarder, ForwarderOptions, Incarnation, Kind, Mark, Note,
+    Output, Refusal, Revision, Route, Scope, Segment, Service, Share, Span, Start, Target, Update,
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -147,7 +147,7 @@
         self.notes.push(note);
     }
 
-    fn ask(&mut self, target: &Target, _path: &str) {
+    fn probe(&mut self, target: &Target, _path: &str) {
         self.probed.push(target.incarnation);
     }
 }
@@ -178,20 +178,20 @@
         let regions =
             places.map(|(domain, region)| (DomainName::new(domain), RegionName::new(region)));
         let regions = regions.into_iter().collect();
-        let tuning = Tuning { domain: DomainName::new(domain), regions, seed };
+        let options = ForwarderOptions { domain: DomainName::new(domain), regions, seed };
         let mut instance =
-            Instance { forwarder: Forwarder::new(tuning), out: Decisions::default() };
+            Instance { forwarder: Forwarder::new(options), out: Decisions::default() };
         instance.learn(snapshot(targets), 0);
         instance.out.probed.clear();
         instance
     }
 
     pub fn learn(&mut self, update: Update, now: u64) {
-        self.forwarder.learn(update, millis(now), &mut self.out);
+        self.forwarder.apply_update(update, millis(now), &mut self.out);
     }
 
     pub fn packet(&mut self, segment: Segment, now: u64) {
-        self.forwarder.packet(&segment, b"packet", millis(now), &mut self.out);
+        self.forwarder.handle_packet(&segment, b"packet", millis(now), &mut self.out);
     }
 
     /// Sends the opening packet of a flow. Returns the target that it went to.
--- a/marked/tests/test_regions.rs
+++ b/marked/tests/test_regions.rs
@@ -87,7 +87,7 @@
     open_many(&mut instance, 20, 10);
     instance.out.sent.clear();
 
-    instance.forwarder.answer(north, ProbeResult::Gone, millis(40), &mut instance.out);
+    instance.forwarder.handle_probe_result(north, ProbeResult::Gone, millis(40), &mut instance.out);
 
     assert!(!instance.out.sent.is_empty());
     assert!(instance.out.sent.iter().all(|(to, ..)| *to != south));
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -101,7 +101,7 @@
 #[test]
 fn the_loss_of_the_earlier_start_does_not_affect_the_later_one() {
     let mut instance = Instance::new(&[started(1, "desk", FIRST)]);
-    instance.forwarder.answer(
+    instance.forwarder.handle_probe_result(
         incarnation(FIRST),
         ProbeResult::Gone,
         millis(500),
@@ -122,7 +122,7 @@
     let key = flow(1, FEED);
     let at = instance.establish(key, 1_010);
 
-    instance.forwarder.answer(
+    instance.forwarder.handle_probe_result(
         incarnation(FIRST),
         ProbeResult::Silent,
         millis(1_100),
@@ -149,7 +149,7 @@
     instance.learn(incremental(200, Content::Target(moved)), 2_000);
     assert_eq!(instance.out.probed, [incarnation(FIRST)]);
 
-    instance.forwarder.answer(at, ProbeResult::Gone, millis(2_010), &mut instance.out);
+    instance.forwarder.handle_probe_result(at, ProbeResult::Gone, millis(2_010), &mut instance.out);
 
     assert_eq!(instance.out.resets.len(), 1);
     assert_eq!(instance.open(flow(2, FEED), 2_100), incarnation(SECOND));
@@ -242,12 +242,12 @@
     started.learn(snapshot_without_one(500), 0);
     started.packet(middle(key, gone, 1001, 500, 100), 100);
     assert_eq!((started.last_target(), &started.out.probed[..]), (gone, &[gone][..]));
-    started.forwarder.answer(gone, ProbeResult::Gone, millis(110), &mut started.out);
+    started.forwarder.handle_probe_result(gone, ProbeResult::Gone, millis(110), &mut started.out);
     started.packet(middle(key, gone, 1001, 500, 100), 300);
 
     // Once at the probe's result, and once for the packet that the caller still sends.
     assert_eq!(started.out.resets, [(key, 500, Refusal::TargetLost); 2]);
-    assert_eq!(started.forwarder.counts().unknown, 0);
+    assert_eq!(started.forwarder.counts().unknown_mark, 0);
 }
 
 /// Guards against new flows to a target that is only known for its old flows, and against retaining
