--- a/daemon/examples/bench/memory.rs
+++ b/daemon/examples/bench/memory.rs
@@ -4,7 +4,7 @@
     process::resident,
     site::{self, TARGETS},
 };
-use medlarspur_fabric::{BATCH, Batch, Counts, Datagram, MemoryError, Outbox, Wire};
+use medlarspur_fabric::{Batch, Counts, Datagram, MAX_BATCH, MemoryError, Outbox, Wire};
 use medlarspur_lib::{
     bundle::Protocol,
     forwarder::{AdmitAll, Forwarder, Sink},
@@ -62,7 +62,7 @@
 
     fn receive(&mut self, batch: &mut Batch, _: Duration) -> Result<usize, MemoryError> {
         batch.clear();
-        let end = self.packets.len().min(self.next + BATCH);
+        let end = self.packets.len().min(self.next + MAX_BATCH);
         for bytes in &self.packets[self.next..end] {
             batch.push(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 1), bytes);
         }
--- a/daemon/examples/bench/relay.rs
+++ b/daemon/examples/bench/relay.rs
@@ -12,7 +12,7 @@
     sample::Sampler,
     shared::{RING_CAPACITY, Shared},
 };
-use medlarspur_fabric::{BATCH, Batch, Datagram, Listener, Socket, Wire};
+use medlarspur_fabric::{Batch, Datagram, Listener, MAX_BATCH, Socket, Wire};
 use medlarspur_lib::settings::Secret;
 use medlarspur_operator::Meters;
 use rtrb::RingBuffer;
@@ -228,8 +228,8 @@
         let mut socket = Socket::from(bind());
         let order = site::shuffled(flows);
         let mine = order.chunks(flows.div_ceil(GENERATORS)).nth(part).unwrap_or_default();
-        let mut packets: [_; BATCH] = array::from_fn(|_| site::mid_flow_packet(0, size));
-        for chunk in mine.chunks_exact(BATCH).cycle() {
+        let mut packets: [_; MAX_BATCH] = array::from_fn(|_| site::mid_flow_packet(0, size));
+        for chunk in mine.chunks_exact(MAX_BATCH).cycle() {
             let Some(&to) = relays.get(choice.load(Relaxed)) else { return };
             for (packet, &flow) in packets.iter_mut().zip(chunk) {
                 site::set_flow(packet, flow);
--- a/daemon/examples/bench/slopes.rs
+++ b/daemon/examples/bench/slopes.rs
@@ -316,7 +316,7 @@
     let micros = thread_micros(move || {
         let http = ProbeHttp::new();
         for _ in 0..count {
-            assert!(http.probe(address).told.is_some(), "the target is healthy");
+            assert!(http.probe(address).report.is_some(), "the target is healthy");
         }
     });
     (micros, bytes.load(Relaxed) as f64)
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -130,7 +130,7 @@
     /// Records the result of a probe: the target's own report, or that there was none.
     pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
-        let signal = match &event.told {
+        let signal = match &event.report {
             Some(report) => load::Signal::Report(load::Report {
                 healthy: event.verdict == Verdict::Healthy,
                 draining: report.draining,
--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -14,7 +14,7 @@
     store::StoreReader,
 };
 use crate::{clock::Clock, sink::LogSink};
-use medlarspur_fabric::{Batch, Socket, SocketError, Wire, wait};
+use medlarspur_fabric::{Batch, Socket, SocketError, Wire, wait_readable};
 use medlarspur_lib::{
     ids::{DomainName, InstanceName},
     settings::MarkedSettings,
@@ -194,8 +194,8 @@
             let limit = due.into_iter().chain([DROP_INTERVAL]).min();
             let limit = limit.map(|span| Duration::from_millis(span.0));
             match &self.peers {
-                Some(peers) => wait([self.inbox.wake_fd(), peers.socket.as_fd()], limit),
-                None => wait([self.inbox.wake_fd()], limit),
+                Some(peers) => wait_readable([self.inbox.wake_fd(), peers.socket.as_fd()], limit),
+                None => wait_readable([self.inbox.wake_fd()], limit),
             }
             .context(PacketsSnafu)?;
             self.handle_events();
@@ -245,8 +245,8 @@
         let limit = due.chain(max_wait).min().map(|span| Duration::from_millis(span.0));
         let (packets, inbox) = (self.socket.as_fd(), self.inbox.wake_fd());
         match &self.peers {
-            Some(peers) => wait([packets, inbox, peers.socket.as_fd()], limit),
-            None => wait([packets, inbox], limit),
+            Some(peers) => wait_readable([packets, inbox, peers.socket.as_fd()], limit),
+            None => wait_readable([packets, inbox], limit),
         }
         .context(PacketsSnafu)?;
         if self.reload.swap(false, Relaxed) {
@@ -302,7 +302,7 @@
                 }
             }
             self.output.outbox().flush(&mut self.socket);
-            if count < medlarspur_fabric::BATCH {
+            if count < medlarspur_fabric::MAX_BATCH {
                 break;
             }
         }
--- a/daemon/src/marked/pictures.rs
+++ b/daemon/src/marked/pictures.rs
@@ -11,7 +11,7 @@
 //! response is the size, 4 bytes, and the update. Numbers are big-endian.
 
 use super::inbox::{self, Delivery, Event, Inbox, Sender};
-use medlarspur_fabric::stream::{connect, is_decided, poll_until};
+use medlarspur_fabric::stream::{connect, is_connect_finished, poll_until};
 use medlarspur_marked::{
     Revision, Update,
     message::{self, MessageError},
@@ -369,7 +369,7 @@
     /// Makes progress without blocking. Returns the update when it is complete.
     fn advance(&mut self, now: Instant) -> Result<Option<Update>, TransferError> {
         if let Some(request) = self.request {
-            if is_decided(&self.stream) {
+            if is_connect_finished(&self.stream) {
                 if let Some(error) = self.stream.take_error().context(ConnectionSnafu)? {
                     return Err(error).context(ConnectionSnafu);
                 }
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -27,7 +27,7 @@
     ("send-unreachable", |counts| counts.unreachable),
     ("send-mtu", |counts| counts.mtu),
     ("send-failed", |counts| counts.failed),
-    ("receive-failed", |counts| counts.interrupted),
+    ("receive-failed", |counts| counts.transient_errors),
 ];
 
 const PLATFORM: [Series<PlatformCounts>; 7] = [
@@ -45,7 +45,7 @@
     ("unhealthy", |counts| counts.unhealthy),
     ("unreachable", |counts| counts.unreachable),
     ("refused", |counts| counts.refused),
-    ("mute", |counts| counts.mute),
+    ("mute", |counts| counts.no_report),
 ];
 
 const MESSAGES: [Series<PeerCounters>; 8] = [
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -10,7 +10,7 @@
     shared::{Command, FlowQuery, KeeperAdvert, KnownFlow, Shared},
 };
 use arc_swap::Cache;
-use medlarspur_fabric::{Batch, Listener, Socket, SocketError, Wire, wait};
+use medlarspur_fabric::{Batch, Listener, Socket, SocketError, Wire, wait_readable};
 use medlarspur_lib::{
     forwarder::Forwarder, question::Datagram, settings::Secret, time::Millis, view::View,
 };
@@ -97,7 +97,7 @@
     };
     let mut batch = Batch::new();
     while !shared.should_stop() {
-        wait([thread.fabric.as_fd(), thread.questions.as_fd()], Some(MAX_WAIT))?;
+        wait_readable([thread.fabric.as_fd(), thread.questions.as_fd()], Some(MAX_WAIT))?;
         let now = clock.now();
         thread.detect_sleep(now);
         thread.install_view(now);
--- a/fabric/src/batch.rs
+++ b/fabric/src/batch.rs
@@ -4,13 +4,13 @@
 
 /// How many datagrams are received or sent by one system call at most. Beyond
 /// this the call's own cost is already below a percent of a packet's.
-pub const BATCH: usize = 64;
+pub const MAX_BATCH: usize = 64;
 
 /// The largest datagram that is taken, in bytes: a caller's packet of an
 /// ordinary 1,500-byte network with room for what the fabric adds.
 pub const MAX_DATAGRAM: usize = 2048;
 
-/// Up to [`BATCH`] received datagrams.
+/// Up to [`MAX_BATCH`] received datagrams.
 #[derive(Debug)]
 pub struct Batch {
     pub(crate) buffer: Box<[u8]>,
@@ -37,7 +37,10 @@
 impl Batch {
     /// Allocates room for a full batch.
     pub fn new() -> Self {
-        Self { buffer: vec![0; BATCH * MAX_DATAGRAM].into(), entries: Vec::with_capacity(BATCH) }
+        Self {
+            buffer: vec![0; MAX_BATCH * MAX_DATAGRAM].into(),
+            entries: Vec::with_capacity(MAX_BATCH),
+        }
     }
 
     /// Forgets the datagrams and keeps the memory.
@@ -49,7 +52,7 @@
     /// Answers whether there was room for it.
     pub fn push(&mut self, from: SocketAddrV4, bytes: &[u8]) -> bool {
         let slot = self.entries.len();
-        if slot == BATCH || bytes.len() > MAX_DATAGRAM {
+        if slot == MAX_BATCH || bytes.len() > MAX_DATAGRAM {
             return false;
         }
         let start = slot * MAX_DATAGRAM;
--- a/fabric/src/counts.rs
+++ b/fabric/src/counts.rs
@@ -12,7 +12,7 @@
     /// Datagrams without a payload, dropped.
     pub empty: u64,
     /// Receive calls that failed with an error that passes by itself.
-    pub interrupted: u64,
+    pub transient_errors: u64,
     /// Datagrams that the kernel took for sending.
     pub sent: u64,
     /// Datagrams dropped since the send buffer was full. Waiting for room would
--- a/fabric/src/lib.rs
+++ b/fabric/src/lib.rs
@@ -16,10 +16,10 @@
 pub mod stream;
 mod wire;
 
-pub use batch::{BATCH, Batch, MAX_DATAGRAM, Received};
+pub use batch::{Batch, MAX_BATCH, MAX_DATAGRAM, Received};
 pub use counts::Counts;
-pub use memory::{Memory, MemoryError};
+pub use memory::{MemoryError, MemoryWire};
 pub use outbox::Outbox;
-pub use ready::wait;
+pub use ready::wait_readable;
 pub use socket::{Listener, Socket, SocketError};
 pub use wire::{Datagram, Wire};
--- a/fabric/src/memory.rs
+++ b/fabric/src/memory.rs
@@ -5,7 +5,7 @@
 
 /// Hands out the datagrams that were put in and keeps those that were sent.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryWire {
     arriving: VecDeque<Vec<u8>>,
     sent: Vec<(SocketAddrV4, Vec<u8>)>,
     counts: Counts,
@@ -15,9 +15,9 @@
 #[derive(Debug, snafu::Snafu)]
 pub enum MemoryError {}
 
-impl Memory {
+impl MemoryWire {
     /// Lets a datagram arrive.
-    pub fn arrive(&mut self, bytes: &[u8]) {
+    pub fn push_incoming(&mut self, bytes: &[u8]) {
         self.arriving.push_back(bytes.to_vec());
     }
 
@@ -27,7 +27,7 @@
     }
 }
 
-impl Wire for Memory {
+impl Wire for MemoryWire {
     type Error = MemoryError;
 
     fn receive(&mut self, batch: &mut Batch, _timeout: Duration) -> Result<usize, MemoryError> {
--- a/fabric/src/outbox.rs
+++ b/fabric/src/outbox.rs
@@ -1,6 +1,6 @@
 //! Datagrams that wait to be sent together.
 
-use crate::{BATCH, Datagram, Wire, batch::NOBODY};
+use crate::{Datagram, MAX_BATCH, Wire, batch::NOBODY};
 use std::{array, net::SocketAddrV4, ops::Range};
 
 /// Gathers copies of datagrams until they are sent by one call.
@@ -17,7 +17,7 @@
 impl Outbox {
     /// Makes room for a batch of ordinary packets; larger ones grow it once.
     pub fn new() -> Self {
-        Self { buffer: Vec::with_capacity(BATCH * 256), entries: Vec::with_capacity(BATCH) }
+        Self { buffer: Vec::with_capacity(MAX_BATCH * 256), entries: Vec::with_capacity(MAX_BATCH) }
     }
 
     /// Adds a datagram.
@@ -31,8 +31,8 @@
     /// counted by the wire and forgotten here.
     pub fn flush(&mut self, wire: &mut impl Wire) -> usize {
         let mut taken = 0;
-        for entries in self.entries.chunks(BATCH) {
-            let datagrams: [Datagram<'_>; BATCH] = array::from_fn(|ix| match entries.get(ix) {
+        for entries in self.entries.chunks(MAX_BATCH) {
+            let datagrams: [Datagram<'_>; MAX_BATCH] = array::from_fn(|ix| match entries.get(ix) {
                 Some((to, range)) => Datagram { to: *to, bytes: &self.buffer[range.clone()] },
                 None => Datagram { to: NOBODY, bytes: &[] },
             });
--- a/fabric/src/ready.rs
+++ b/fabric/src/ready.rs
@@ -12,7 +12,7 @@
 /// millisecond, or without a limit. The packet thread serves several sources by
 /// itself, because all need the flow table; a wait for only one of them would
 /// delay the others.
-pub fn wait<const N: usize>(
+pub fn wait_readable<const N: usize>(
     sources: [BorrowedFd<'_>; N],
     timeout: Option<Duration>,
 ) -> Result<(), SocketError> {
--- a/fabric/src/socket.rs
+++ b/fabric/src/socket.rs
@@ -1,7 +1,7 @@
 //! The wire over a UDP socket, with one system call a batch.
 
 use crate::{
-    BATCH, Batch, Counts, Datagram, MAX_DATAGRAM, Wire,
+    Batch, Counts, Datagram, MAX_BATCH, MAX_DATAGRAM, Wire,
     batch::{Entry, NOBODY},
 };
 use nix::{
@@ -92,7 +92,7 @@
     }
 
     /// The bytes that the kernel buffers for receiving, as it accounts them.
-    pub fn buffer(&self) -> Result<usize, SocketError> {
+    pub fn receive_buffer_size(&self) -> Result<usize, SocketError> {
         getsockopt(&self.socket, RcvBuf).map_err(Into::into).context(ConfigureSnafu)
     }
 }
@@ -128,7 +128,7 @@
     /// whole length of a datagram that it had to cut.
     fn receive_some(&mut self, batch: &mut Batch, flags: MsgFlags) -> Result<(), Errno> {
         let mut slots = batch.buffer.chunks_exact_mut(MAX_DATAGRAM);
-        let mut slices: [[IoSliceMut<'_>; 1]; BATCH] =
+        let mut slices: [[IoSliceMut<'_>; 1]; MAX_BATCH] =
             array::from_fn(|_| [IoSliceMut::new(slots.next().unwrap_or_default())]);
         let flags = flags | MsgFlags::MSG_TRUNC;
         let fd = self.socket.as_raw_fd();
@@ -148,9 +148,9 @@
 
     /// Sends a part of a batch and answers how many datagrams were taken.
     fn send_some(&self, datagrams: &[Datagram<'_>], skip: usize) -> Result<usize, SendErrno> {
-        let slices: [[IoSlice<'_>; 1]; BATCH] =
+        let slices: [[IoSlice<'_>; 1]; MAX_BATCH] =
             array::from_fn(|ix| [IoSlice::new(datagrams.get(ix).map_or(&[], |it| it.bytes))]);
-        let mut controls: [SendAncillaryBuffer<'_, '_, '_>; BATCH] =
+        let mut controls: [SendAncillaryBuffer<'_, '_, '_>; MAX_BATCH] =
             array::from_fn(|_| SendAncillaryBuffer::default());
         let mut headers: Vec<MMsgHdr<'_>> = (self.addresses.iter().zip(&slices))
             .zip(&mut controls)
@@ -159,7 +159,7 @@
         sendmmsg(&self.socket, &mut headers[skip..], SendFlags::DONTWAIT)
     }
 
-    /// Sends at most [`BATCH`] datagrams. The kernel stops at the first one
+    /// Sends at most [`MAX_BATCH`] datagrams. The kernel stops at the first one
     /// that it can't send and names the reason in the next call only; that one
     /// is counted and passed over, so each round moves on by one at least. A
     /// full send buffer ends the batch: it fails for the others as well.
@@ -217,9 +217,9 @@
         Self {
             socket: listener.socket,
             local: listener.local,
-            headers: MultiHeaders::preallocate(BATCH, None),
+            headers: MultiHeaders::preallocate(MAX_BATCH, None),
             timeout: None,
-            addresses: Vec::with_capacity(BATCH),
+            addresses: Vec::with_capacity(MAX_BATCH),
             counts: Counts::default(),
         }
     }
@@ -235,7 +235,7 @@
             if timeout.is_zero() { MsgFlags::MSG_DONTWAIT } else { MsgFlags::MSG_WAITFORONE };
         match self.receive_some(batch, flags) {
             Ok(()) | Err(Errno::EAGAIN) => {}
-            Err(error) if passes(error) => self.counts.interrupted += 1,
+            Err(error) if passes(error) => self.counts.transient_errors += 1,
             Err(source) => return Err(SocketError::Receive { source }),
         }
         self.counts.received += batch.len() as u64;
@@ -243,7 +243,7 @@
     }
 
     fn send(&mut self, datagrams: &[Datagram<'_>]) -> usize {
-        datagrams.chunks(BATCH).map(|chunk| self.send_batch(chunk)).sum()
+        datagrams.chunks(MAX_BATCH).map(|chunk| self.send_batch(chunk)).sum()
     }
 
     fn counts(&self) -> Counts {
--- a/fabric/src/stream.rs
+++ b/fabric/src/stream.rs
@@ -12,7 +12,7 @@
     time::Instant,
 };
 
-/// Begins to open a connection; [`is_decided`] tells when it is open or refused.
+/// Begins to open a connection; [`is_connect_finished`] tells when it is open or refused.
 ///
 /// # Errors
 ///
@@ -28,7 +28,7 @@
 
 /// Whether a connection is established or refused by now; its
 /// [error](TcpStream::take_error) tells which.
-pub fn is_decided(stream: &TcpStream) -> bool {
+pub fn is_connect_finished(stream: &TcpStream) -> bool {
     let mut fds = [PollFd::new(stream.as_fd(), PollFlags::POLLOUT)];
     poll(&mut fds, PollTimeout::ZERO).is_ok_and(|count| count > 0)
 }
--- a/fabric/tests/test_memory.rs
+++ b/fabric/tests/test_memory.rs
@@ -1,4 +1,4 @@
-use medlarspur_fabric::{BATCH, Batch, Datagram, MAX_DATAGRAM, Memory, Wire};
+use medlarspur_fabric::{Batch, Datagram, MAX_BATCH, MAX_DATAGRAM, MemoryWire, Wire};
 use proptest::prelude::*;
 use std::{net::SocketAddrV4, time::Duration};
 
@@ -8,7 +8,7 @@
 
 #[test]
 fn sent_datagrams_are_kept_in_order() {
-    let mut wire = Memory::default();
+    let mut wire = MemoryWire::default();
 
     let first = Datagram { to: target(), bytes: b"one" };
     let second = Datagram { to: target(), bytes: b"two" };
@@ -24,13 +24,13 @@
 
     #[test]
     fn every_datagram_is_received_or_counted(sizes in prop::collection::vec(0..2 * MAX_DATAGRAM, 0..200)) {
-        let mut wire = Memory::default();
-        sizes.iter().for_each(|&size| wire.arrive(&vec![7; size]));
+        let mut wire = MemoryWire::default();
+        sizes.iter().for_each(|&size| wire.push_incoming(&vec![7; size]));
 
         let mut batch = Batch::new();
         let mut received = Vec::new();
         while wire.receive(&mut batch, Duration::ZERO).unwrap() > 0 {
-            prop_assert!(batch.len() <= BATCH);
+            prop_assert!(batch.len() <= MAX_BATCH);
             received.extend(batch.iter().map(|it| it.bytes.len()));
         }
 
--- a/fabric/tests/test_outbox.rs
+++ b/fabric/tests/test_outbox.rs
@@ -1,4 +1,4 @@
-use medlarspur_fabric::{BATCH, Memory, Outbox};
+use medlarspur_fabric::{MAX_BATCH, MemoryWire, Outbox};
 use proptest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,9 +10,9 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn all_are_sent_whole_and_in_order(sizes in prop::collection::vec(1..1500usize, 0..3 * BATCH)) {
+    fn all_are_sent_whole_and_in_order(sizes in prop::collection::vec(1..1500usize, 0..3 * MAX_BATCH)) {
         let mut outbox = Outbox::new();
-        let mut wire = Memory::default();
+        let mut wire = MemoryWire::default();
         let datagrams: Vec<_> =
             sizes.iter().enumerate().map(|(ix, &size)| (target(ix), vec![ix as u8; size])).collect();
 
--- a/fabric/tests/test_socket.rs
+++ b/fabric/tests/test_socket.rs
@@ -1,4 +1,4 @@
-use medlarspur_fabric::{BATCH, Batch, Datagram, Listener, MAX_DATAGRAM, Socket, Wire};
+use medlarspur_fabric::{Batch, Datagram, Listener, MAX_BATCH, MAX_DATAGRAM, Socket, Wire};
 use std::{
     net::{Ipv4Addr, SocketAddrV4, UdpSocket},
     thread,
@@ -32,7 +32,7 @@
 fn a_batch_arrives_whole_and_in_order() {
     let mut sender = socket();
     let mut receiver = socket();
-    let payloads: Vec<Vec<u8>> = (0..3 * BATCH).map(|ix| vec![ix as u8; ix + 1]).collect();
+    let payloads: Vec<Vec<u8>> = (0..3 * MAX_BATCH).map(|ix| vec![ix as u8; ix + 1]).collect();
     let to = receiver.local();
     let datagrams: Vec<_> = payloads.iter().map(|bytes| Datagram { to, bytes }).collect();
 
--- a/targets/src/assignment.rs
+++ b/targets/src/assignment.rs
@@ -7,7 +7,7 @@
 
 /// How many instances of each failure domain probe one target. One could sleep
 /// or be cut off without noticing it; two cost twice the probes.
-pub const PROBERS: usize = 2;
+pub const PROBERS_PER_DOMAIN: usize = 2;
 
 /// Whether `me` probes the target, given the live instances of its failure
 /// domain. All compute the same, so no one assigns anything; while their views
@@ -19,5 +19,5 @@
     domain: impl Iterator<Item = &'a InstanceName>,
     target: &TargetName,
 ) -> bool {
-    members::is_top(target.as_str(), PROBERS, me.as_str(), domain.map(|it| it.as_str()))
+    members::is_top(target.as_str(), PROBERS_PER_DOMAIN, me.as_str(), domain.map(|it| it.as_str()))
 }
--- a/targets/src/http.rs
+++ b/targets/src/http.rs
@@ -18,7 +18,7 @@
 /// What a target says of its load at `/load`, as JSON. Fields that it adds are
 /// passed over. It lags and may be wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub struct Told {
+pub struct LoadReport {
     /// How many of its slots are taken, work that waits for one included.
     pub slots: u32,
     /// How many connections it holds.
@@ -61,7 +61,7 @@
         }
     }
 
-    fn load(&self, address: SocketAddrV4) -> Option<Told> {
+    fn load(&self, address: SocketAddrV4) -> Option<LoadReport> {
         let response = self.agent.get(format!("http://{address}/load")).call().ok()?;
         let body = response.into_body().into_with_config().limit(MAX_REPORT);
         serde_json::from_slice(&body.read_to_vec().ok()?).ok()
@@ -80,7 +80,7 @@
         let outcome = self.health(address);
         let elapsed = start.elapsed();
         let answers = matches!(outcome, Outcome::Healthy | Outcome::Unhealthy);
-        let told = if answers { self.load(address) } else { None };
-        Answer { outcome, told, elapsed }
+        let report = if answers { self.load(address) } else { None };
+        Answer { outcome, report, elapsed }
     }
 }
--- a/targets/src/lib.rs
+++ b/targets/src/lib.rs
@@ -1,8 +1,8 @@
 //! Targets as a peer: what their health and load endpoints say.
 //!
 //! Nothing of the system runs on targets; an instance asks them over HTTP, at
-//! `/health` (status 200 is healthy) and `/load` (see [`Told`]). Both lag or
-//! mislead, so what is read here is one hint among others: [`Judge`] keeps a
+//! `/health` (status 200 is healthy) and `/load` (see [`LoadReport`]). Both lag or
+//! mislead, so what is read here is one hint among others: [`HealthTracker`] keeps a
 //! single answer from deciding anything, and the package `medlarspur-load`
 //! lets what an instance sees itself outweigh it.
 //!
@@ -15,11 +15,11 @@
 mod schedule;
 mod verdict;
 
-pub use assignment::{PROBERS, is_prober};
-pub use http::{Http, Told};
+pub use assignment::{PROBERS_PER_DOMAIN, is_prober};
+pub use http::{Http, LoadReport};
 pub use prober::{Counts, Event, Prober, ProberError};
-pub use schedule::{Finish, INTERVAL, Job, Next, Schedule};
-pub use verdict::{Judge, Outcome, Verdict};
+pub use schedule::{INTERVAL, Job, Next, Schedule, VerdictChange};
+pub use verdict::{HealthTracker, Outcome, Verdict};
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     /// How the health endpoint answered.
     pub outcome: Outcome,
     /// What the load endpoint said, if it could be understood.
-    pub told: Option<Told>,
+    pub report: Option<LoadReport>,
     /// How long the health endpoint took to answer.
     pub elapsed: Duration,
 }
--- a/targets/src/prober.rs
+++ b/targets/src/prober.rs
@@ -1,6 +1,6 @@
 //! The threads that probe targets.
 
-use crate::{Answer, Finish, Job, Next, Outcome, Probe, Schedule, Told, Verdict};
+use crate::{Answer, Job, LoadReport, Next, Outcome, Probe, Schedule, Verdict, VerdictChange};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 use snafu::{ResultExt, Snafu};
 use std::{
@@ -28,7 +28,7 @@
     /// What to believe of it after the last few answers.
     pub verdict: Verdict,
     /// What it says of its load, if it did.
-    pub told: Option<Told>,
+    pub report: Option<LoadReport>,
     /// How long its health endpoint took.
     pub elapsed: Duration,
 }
@@ -45,7 +45,7 @@
     /// Probes that the target's host refused.
     pub refused: u64,
     /// Healthy probes without a load report that could be understood.
-    pub mute: u64,
+    pub no_report: u64,
     /// Events dropped since the ring was full; the next probe brings news.
     pub full: u64,
 }
@@ -84,7 +84,7 @@
 #[derive(Debug, Default)]
 struct Counters {
     outcomes: [AtomicU64; 4],
-    mute: AtomicU64,
+    no_report: AtomicU64,
     full: AtomicU64,
 }
 
@@ -117,7 +117,7 @@
     pub fn set_targets(&self, targets: Vec<(TargetName, SocketAddrV4)>) {
         let jobs = targets.into_iter().map(|(target, address)| Job { target, address });
         let now = self.shared.now();
-        self.shared.lock().schedule.set(jobs, now);
+        self.shared.lock().schedule.set_targets(jobs, now);
         self.shared.changed.notify_all();
     }
 
@@ -126,8 +126,8 @@
         let counters = &self.shared.counters;
         let [healthy, unhealthy, unreachable, refused] =
             counters.outcomes.each_ref().map(|it| it.load(Relaxed));
-        let (mute, full) = (counters.mute.load(Relaxed), counters.full.load(Relaxed));
-        Counts { healthy, unhealthy, unreachable, refused, mute, full }
+        let (no_report, full) = (counters.no_report.load(Relaxed), counters.full.load(Relaxed));
+        Counts { healthy, unhealthy, unreachable, refused, no_report, full }
     }
 }
 
@@ -151,7 +151,7 @@
     fn take(&self) -> Option<Job> {
         let mut state = self.lock();
         while !state.stopped {
-            let span = match state.schedule.take(self.now()) {
+            let span = match state.schedule.take_next(self.now()) {
                 Next::Probe(job) => return Some(job),
                 Next::Wait(span) => Duration::from_millis(span.0),
             };
@@ -169,8 +169,8 @@
             Outcome::Refused => 3,
         };
         self.counters.outcomes[ix].fetch_add(1, Relaxed);
-        if answer.outcome == Outcome::Healthy && answer.told.is_none() {
-            self.counters.mute.fetch_add(1, Relaxed);
+        if answer.outcome == Outcome::Healthy && answer.report.is_none() {
+            self.counters.no_report.fetch_add(1, Relaxed);
         }
     }
 }
@@ -187,7 +187,7 @@
         while let Some(job) = self.shared.take() {
             let answer = self.probe.probe(job.address);
             self.shared.count(&answer);
-            let finish = self.shared.lock().schedule.finish(&job, answer.outcome);
+            let finish = self.shared.lock().schedule.record_outcome(&job, answer.outcome);
             let Some(finish) = finish else { continue };
             note(&job.target, finish);
             if let Some(verdict) = finish.verdict
@@ -200,7 +200,7 @@
 
     /// Hands news on without waiting; answers whether somebody listens.
     fn hand_on(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
-        let event = Event { target, verdict, told: answer.told, elapsed: answer.elapsed };
+        let event = Event { target, verdict, report: answer.report, elapsed: answer.elapsed };
         match self.events.try_send(event) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => {
@@ -213,7 +213,7 @@
 }
 
 /// Logs a change of the verdict.
-fn note(target: &TargetName, finish: Finish) {
+fn note(target: &TargetName, finish: VerdictChange) {
     let (before, verdict) = (finish.before, finish.verdict);
     match verdict {
         Some(verdict) if before != Some(verdict) => log::info!("target {target}: {verdict:?}"),
--- a/targets/src/schedule.rs
+++ b/targets/src/schedule.rs
@@ -1,6 +1,6 @@
 //! When each target is probed, without a clock or a thread.
 
-use crate::verdict::{Judge, Outcome, Verdict};
+use crate::verdict::{HealthTracker, Outcome, Verdict};
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 use std::net::SocketAddrV4;
 
@@ -38,7 +38,7 @@
     address: SocketAddrV4,
     due: Millis,
     busy: bool,
-    judge: Judge,
+    tracker: HealthTracker,
 }
 
 impl Schedule {
@@ -50,19 +50,24 @@
     /// Replaces the targets. Those that stay keep their place and verdict; new
     /// ones are spread over the interval, so that a large bundle does not start
     /// all its probes in one moment.
-    pub fn set(&mut self, targets: impl ExactSizeIterator<Item = Job>, now: Millis) {
+    pub fn set_targets(&mut self, targets: impl ExactSizeIterator<Item = Job>, now: Millis) {
         let step = self.interval.0 / (targets.len() as u64).max(1);
         let mut old = std::mem::take(&mut self.slots);
         for (ix, job) in targets.enumerate() {
             let kept = old.remove(&job.target).filter(|slot| slot.address == job.address);
             let due = now + Millis(step * ix as u64);
-            let fresh = || Slot { address: job.address, due, busy: false, judge: Judge::default() };
+            let fresh = || Slot {
+                address: job.address,
+                due,
+                busy: false,
+                tracker: HealthTracker::default(),
+            };
             self.slots.insert(job.target, kept.unwrap_or_else(fresh));
         }
     }
 
     /// Takes the target that is due for longest.
-    pub fn take(&mut self, now: Millis) -> Next {
+    pub fn take_next(&mut self, now: Millis) -> Next {
         let idle = self.slots.iter_mut().filter(|(_, slot)| !slot.busy);
         match idle.min_by_key(|(_, slot)| slot.due) {
             Some((target, slot)) if slot.due <= now => {
@@ -77,18 +82,18 @@
 
     /// Takes in how a probe ended. An answer for a target that has gone or has
     /// moved to another address meanwhile is about something else, and dropped.
-    pub fn finish(&mut self, job: &Job, outcome: Outcome) -> Option<Finish> {
+    pub fn record_outcome(&mut self, job: &Job, outcome: Outcome) -> Option<VerdictChange> {
         let slot = self.slots.get_mut(&job.target).filter(|slot| slot.address == job.address)?;
         slot.busy = false;
-        let before = slot.judge.verdict();
-        let verdict = slot.judge.observe(outcome);
-        Some(Finish { before, verdict })
+        let before = slot.tracker.verdict();
+        let verdict = slot.tracker.record(outcome);
+        Some(VerdictChange { before, verdict })
     }
 }
 
 /// What an answer made of the verdict on its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finish {
+pub struct VerdictChange {
     /// The verdict before it.
     pub before: Option<Verdict>,
     /// The verdict with it.
--- a/targets/src/verdict.rs
+++ b/targets/src/verdict.rs
@@ -42,17 +42,17 @@
 
 /// Judges one target with hysteresis: *n* of the last *m* answers.
 #[derive(Debug, Default, Clone)]
-pub struct Judge {
+pub struct HealthTracker {
     /// The last answers, newest in the lowest bit; a bad one is 1.
     window: u32,
     verdict: Option<Verdict>,
 }
 
-impl Judge {
+impl HealthTracker {
     /// Takes in one answer; answers the verdict, or nothing as long as there
     /// are too few answers for one. The first good answer is enough for a
     /// start: nothing is known against the target.
-    pub fn observe(&mut self, outcome: Outcome) -> Option<Verdict> {
+    pub fn record(&mut self, outcome: Outcome) -> Option<Verdict> {
         let bad = outcome != Outcome::Healthy;
         self.window = (self.window << 1 | u32::from(bad)) & ((1 << WINDOW) - 1);
         let count = self.window.count_ones();
--- a/targets/tests/test_assignment.rs
+++ b/targets/tests/test_assignment.rs
@@ -1,5 +1,5 @@
 use medlarspur_lib::ids::{InstanceName, TargetName};
-use medlarspur_target::{PROBERS, is_prober};
+use medlarspur_target::{PROBERS_PER_DOMAIN, is_prober};
 
 fn instances(count: usize) -> Vec<InstanceName> {
     (0..count).map(|ix| InstanceName::new(&format!("instance-{ix}"))).collect()
@@ -21,7 +21,7 @@
     let mut work = vec![0; domain.len()];
     for target in &targets {
         let probers = probers(&domain, target);
-        assert_eq!(probers.len(), PROBERS);
+        assert_eq!(probers.len(), PROBERS_PER_DOMAIN);
         for (ix, me) in domain.iter().enumerate() {
             work[ix] += usize::from(probers.contains(me));
         }
@@ -42,7 +42,7 @@
         let (old, new) = (probers(&before, target), probers(after, target));
         let kept = old.iter().filter(|it| new.contains(it)).count();
         let lost = usize::from(old.contains(&before[0]));
-        assert_eq!(kept, PROBERS - lost);
+        assert_eq!(kept, PROBERS_PER_DOMAIN - lost);
     }
 }
 
--- a/targets/tests/test_http.rs
+++ b/targets/tests/test_http.rs
@@ -1,4 +1,4 @@
-use medlarspur_target::{Http, Outcome, Probe, Told};
+use medlarspur_target::{Http, LoadReport, Outcome, Probe};
 use std::{
     io::{BufRead, BufReader, Write},
     net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream},
@@ -34,7 +34,7 @@
     let answer = Http::new().probe(address);
 
     assert_eq!(answer.outcome, Outcome::Healthy);
-    assert_eq!(answer.told, Some(Told { slots: 2, connections: 1999, draining: false }));
+    assert_eq!(answer.report, Some(LoadReport { slots: 2, connections: 1999, draining: false }));
 }
 
 #[test]
@@ -44,7 +44,7 @@
     let answer = Http::new().probe(address);
 
     assert_eq!(answer.outcome, Outcome::Unhealthy);
-    assert!(answer.told.is_some_and(|told| told.draining));
+    assert!(answer.report.is_some_and(|report| report.draining));
 }
 
 /// A target's load endpoint is broken or lies without sense. Its health still
@@ -55,7 +55,7 @@
 
     let answer = Http::new().probe(address);
 
-    assert_eq!((answer.outcome, answer.told), (Outcome::Healthy, None));
+    assert_eq!((answer.outcome, answer.report), (Outcome::Healthy, None));
 }
 
 #[test]
--- a/targets/tests/test_prober.rs
+++ b/targets/tests/test_prober.rs
@@ -1,5 +1,5 @@
 use medlarspur_lib::{ids::TargetName, time::Millis};
-use medlarspur_target::{Answer, Event, Outcome, Probe, Prober, Told, Verdict};
+use medlarspur_target::{Answer, Event, LoadReport, Outcome, Probe, Prober, Verdict};
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     sync::mpsc::{RecvTimeoutError, sync_channel},
@@ -16,9 +16,9 @@
 impl Probe for Script {
     fn probe(&self, address: SocketAddrV4) -> Answer {
         let outcome = if address.port() == 1 { Outcome::Healthy } else { Outcome::Refused };
-        let told = Told { slots: 1, connections: 5, draining: false };
-        let told = (outcome == Outcome::Healthy).then_some(told);
-        Answer { outcome, told, elapsed: Duration::from_millis(3) }
+        let report = LoadReport { slots: 1, connections: 5, draining: false };
+        let report = (outcome == Outcome::Healthy).then_some(report);
+        Answer { outcome, report, elapsed: Duration::from_millis(3) }
     }
 }
 
@@ -35,11 +35,11 @@
     let first = events.recv_timeout(PATIENCE).unwrap();
     let gone = events.iter().find(|it| it.target.as_str() == "gone").unwrap();
 
-    let told = Some(Told { slots: 1, connections: 5, draining: false });
+    let report = Some(LoadReport { slots: 1, connections: 5, draining: false });
     let elapsed = Duration::from_millis(3);
     let target = TargetName::new("good");
-    assert_eq!(first, Event { target, verdict: Verdict::Healthy, told, elapsed });
-    assert_eq!((gone.verdict, gone.told), (Verdict::Refused, None));
+    assert_eq!(first, Event { target, verdict: Verdict::Healthy, report, elapsed });
+    assert_eq!((gone.verdict, gone.report), (Verdict::Refused, None));
     assert!(prober.counts().refused >= 3);
 }
 
--- a/targets/tests/test_schedule.rs
+++ b/targets/tests/test_schedule.rs
@@ -9,7 +9,7 @@
 
 fn schedule(jobs: &[Job]) -> Schedule {
     let mut schedule = Schedule::new(INTERVAL);
-    schedule.set(jobs.iter().cloned(), Millis(0));
+    schedule.set_targets(jobs.iter().cloned(), Millis(0));
     schedule
 }
 
@@ -17,9 +17,9 @@
 fn first_probes_are_spread_over_the_interval() {
     let mut schedule = schedule(&[job("a", 1), job("b", 2)]);
 
-    assert_eq!(schedule.take(Millis(0)), Next::Probe(job("a", 1)));
-    assert_eq!(schedule.take(Millis(0)), Next::Wait(Millis(INTERVAL.0 / 2)));
-    assert_eq!(schedule.take(Millis(INTERVAL.0 / 2)), Next::Probe(job("b", 2)));
+    assert_eq!(schedule.take_next(Millis(0)), Next::Probe(job("a", 1)));
+    assert_eq!(schedule.take_next(Millis(0)), Next::Wait(Millis(INTERVAL.0 / 2)));
+    assert_eq!(schedule.take_next(Millis(INTERVAL.0 / 2)), Next::Probe(job("b", 2)));
 }
 
 /// A target hangs longer than the interval. Probing it again meanwhile would
@@ -27,21 +27,21 @@
 #[test]
 fn a_target_under_probe_is_not_probed_again() {
     let mut schedule = schedule(&[job("a", 1)]);
-    schedule.take(Millis(0));
+    schedule.take_next(Millis(0));
 
-    assert_eq!(schedule.take(Millis::secs(60)), Next::Wait(INTERVAL));
+    assert_eq!(schedule.take_next(Millis::secs(60)), Next::Wait(INTERVAL));
 
-    schedule.finish(&job("a", 1), Outcome::Healthy).unwrap();
-    assert_eq!(schedule.take(Millis::secs(60)), Next::Probe(job("a", 1)));
+    schedule.record_outcome(&job("a", 1), Outcome::Healthy).unwrap();
+    assert_eq!(schedule.take_next(Millis::secs(60)), Next::Probe(job("a", 1)));
 }
 
 #[test]
 fn a_target_that_stays_keeps_its_verdict() {
     let mut schedule = schedule(&[job("a", 1)]);
-    schedule.finish(&job("a", 1), Outcome::Healthy);
+    schedule.record_outcome(&job("a", 1), Outcome::Healthy);
 
-    schedule.set([job("b", 2), job("a", 1)].into_iter(), Millis(5));
-    let finish = schedule.finish(&job("a", 1), Outcome::Refused).unwrap();
+    schedule.set_targets([job("b", 2), job("a", 1)].into_iter(), Millis(5));
+    let finish = schedule.record_outcome(&job("a", 1), Outcome::Refused).unwrap();
 
     assert_eq!(finish.before, Some(Verdict::Healthy));
     assert_eq!(finish.verdict, Some(Verdict::Healthy));
@@ -52,10 +52,10 @@
 #[test]
 fn a_late_answer_from_an_old_address_is_dropped() {
     let mut schedule = schedule(&[job("a", 1)]);
-    schedule.take(Millis(0));
+    schedule.take_next(Millis(0));
 
-    schedule.set([job("a", 9)].into_iter(), Millis(5));
+    schedule.set_targets([job("a", 9)].into_iter(), Millis(5));
 
-    assert_eq!(schedule.finish(&job("a", 1), Outcome::Refused), None);
-    assert_eq!(schedule.take(Millis(5)), Next::Probe(job("a", 9)));
+    assert_eq!(schedule.record_outcome(&job("a", 1), Outcome::Refused), None);
+    assert_eq!(schedule.take_next(Millis(5)), Next::Probe(job("a", 9)));
 }
--- a/targets/tests/test_verdict.rs
+++ b/targets/tests/test_verdict.rs
@@ -1,8 +1,8 @@
-use medlarspur_target::{Judge, Outcome, Verdict};
+use medlarspur_target::{HealthTracker, Outcome, Verdict};
 use proptest::prelude::*;
 
-fn observe(judge: &mut Judge, outcomes: &[Outcome]) -> Vec<Option<Verdict>> {
-    outcomes.iter().map(|&it| judge.observe(it)).collect()
+fn record(tracker: &mut HealthTracker, outcomes: &[Outcome]) -> Vec<Option<Verdict>> {
+    outcomes.iter().map(|&it| tracker.record(it)).collect()
 }
 
 fn any_outcome() -> impl Strategy<Value = Outcome> {
@@ -16,16 +16,16 @@
 
 #[test]
 fn the_first_good_answer_is_enough_for_a_start() {
-    let mut judge = Judge::default();
+    let mut tracker = HealthTracker::default();
 
-    assert_eq!(judge.observe(Outcome::Healthy), Some(Verdict::Healthy));
+    assert_eq!(tracker.record(Outcome::Healthy), Some(Verdict::Healthy));
 }
 
 #[test]
 fn without_good_answers_there_is_no_verdict_before_the_third() {
-    let mut judge = Judge::default();
+    let mut tracker = HealthTracker::default();
 
-    let verdicts = observe(&mut judge, &[Outcome::Refused, Outcome::Refused, Outcome::Refused]);
+    let verdicts = record(&mut tracker, &[Outcome::Refused, Outcome::Refused, Outcome::Refused]);
 
     assert_eq!(verdicts, [None, None, Some(Verdict::Refused)]);
 }
@@ -35,11 +35,11 @@
 /// callers would wait there.
 #[test]
 fn one_or_two_bad_answers_change_nothing() {
-    let mut judge = Judge::default();
+    let mut tracker = HealthTracker::default();
     let (good, late) = (Outcome::Healthy, Outcome::Unreachable);
 
     let verdicts =
-        observe(&mut judge, &[good, late, late, good, good, good, late, good, good, late]);
+        record(&mut tracker, &[good, late, late, good, good, good, late, good, good, late]);
 
     assert!(verdicts.iter().all(|it| *it == Some(Verdict::Healthy)));
 }
@@ -48,11 +48,11 @@
 /// answer, new work would come and go with it and all others would swing too.
 #[test]
 fn an_alternating_endpoint_changes_the_verdict_at_most_once() {
-    let mut judge = Judge::default();
+    let mut tracker = HealthTracker::default();
     let outcomes: Vec<_> =
         (0..100).map(|ix| [Outcome::Healthy, Outcome::Unhealthy][ix % 2]).collect();
 
-    let verdicts = observe(&mut judge, &outcomes);
+    let verdicts = record(&mut tracker, &outcomes);
 
     let changes = verdicts.windows(2).filter(|it| it[0] != it[1]).count();
     assert!(changes <= 1, "{changes}");
@@ -60,11 +60,11 @@
 
 #[test]
 fn a_bad_target_is_good_again_after_four_good_answers_of_five() {
-    let mut judge = Judge::default();
-    observe(&mut judge, &[Outcome::Healthy; 5]);
-    observe(&mut judge, &[Outcome::Refused; 5]);
+    let mut tracker = HealthTracker::default();
+    record(&mut tracker, &[Outcome::Healthy; 5]);
+    record(&mut tracker, &[Outcome::Refused; 5]);
 
-    let verdicts = observe(&mut judge, &[Outcome::Healthy; 4]);
+    let verdicts = record(&mut tracker, &[Outcome::Healthy; 4]);
 
     let refused = Some(Verdict::Refused);
     assert_eq!(verdicts, [refused, refused, refused, Some(Verdict::Healthy)]);
@@ -78,12 +78,12 @@
         before in prop::collection::vec(any_outcome(), 0..50),
         last in any_outcome(),
     ) {
-        let mut judge = Judge::default();
-        observe(&mut judge, &before);
+        let mut tracker = HealthTracker::default();
+        record(&mut tracker, &before);
 
-        let verdicts = observe(&mut judge, &[last; 5]);
+        let verdicts = record(&mut tracker, &[last; 5]);
 
-        let mut fresh = Judge::default();
-        prop_assert_eq!(verdicts[4], observe(&mut fresh, &[last; 5])[4]);
+        let mut fresh = HealthTracker::default();
+        prop_assert_eq!(verdicts[4], record(&mut fresh, &[last; 5])[4]);
     }
 }
