--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -21,7 +21,7 @@
     view::Draft,
 };
 use medlarspur_peer::PeerHandle;
-use medlarspur_platform::{Event as PlatformEvent, Listed, ListedState, Reader};
+use medlarspur_platform::{Event as PlatformEvent, ListedInstance, ListedState, Reader};
 use medlarspur_target::{Event as ProbeEvent, Prober, Verdict, is_prober};
 use rtrb::{Consumer, Producer};
 use snafu::Report;
@@ -389,7 +389,7 @@
     }
 }
 
-fn candidate(listed: &Listed) -> Candidate {
+fn candidate(listed: &ListedInstance) -> Candidate {
     Candidate {
         name: listed.name.clone(),
         domain: listed.domain.clone(),
--- a/daemon/src/marked/asker.rs
+++ b/daemon/src/marked/asker.rs
@@ -8,7 +8,7 @@
 use medlarspur_fabric::stream::poll_until;
 use medlarspur_lib::{collections::Set, ids::TargetName};
 use medlarspur_marked::{Incarnation, ProbeResult, Target};
-use medlarspur_platform::site::health::Question;
+use medlarspur_platform::site::health::Probe;
 use nix::poll::{PollFd, PollFlags};
 use std::{collections::VecDeque, io, net::SocketAddrV4, thread, time::Instant};
 
@@ -80,7 +80,7 @@
     queue: VecDeque<ProbeRequest>,
     /// Targets with a probe queued or in flight.
     pending: Set<Incarnation>,
-    probes: Vec<(Incarnation, Question)>,
+    probes: Vec<(Incarnation, Probe)>,
 }
 
 impl ProberThread {
@@ -113,7 +113,7 @@
         while self.probes.len() < MAX_PROBES {
             let Some(request) = self.queue.pop_front() else { return };
             let ProbeRequest { incarnation, name, address, path } = request;
-            match Question::begin(&name, address, &path, Instant::now()) {
+            match Probe::start(&name, address, &path, Instant::now()) {
                 Ok(probe) => self.probes.push((incarnation, probe)),
                 Err(result) => self.report(incarnation, result),
             }
@@ -123,7 +123,7 @@
     /// Waits for a request, a ready socket, or a probe's deadline. Returns for each probe whether
     /// one of its sockets is ready.
     fn wait(&self) -> io::Result<Vec<bool>> {
-        let due = self.probes.iter().map(|(_, probe)| probe.due()).min();
+        let due = self.probes.iter().map(|(_, probe)| probe.deadline()).min();
         let sockets = self.probes.iter().enumerate();
         let sockets = sockets.flat_map(|(at, (_, it))| it.sockets().map(move |fd| (at, fd)));
         let (positions, mut fds): (Vec<usize>, Vec<PollFd<'_>>) = sockets.unzip();
@@ -142,7 +142,7 @@
         let mut ready = ready.iter();
         self.probes.retain_mut(|(incarnation, probe)| {
             let is_ready = ready.next() == Some(&true);
-            let result = (is_ready || probe.due() <= now).then(|| probe.advance(now));
+            let result = (is_ready || probe.deadline() <= now).then(|| probe.advance(now));
             match result.flatten() {
                 Some(result) => found.push((*incarnation, result)),
                 None => return true,
--- a/daemon/src/marked/output.rs
+++ b/daemon/src/marked/output.rs
@@ -58,13 +58,13 @@
 impl Output for RoundOutput {
     fn forward(&mut self, target: &Target, mark: Mark, bytes: &[u8]) {
         self.scratch.clear();
-        packet::wrap(&target.name, mark, bytes, &mut self.scratch);
+        packet::encapsulate(&target.name, mark, bytes, &mut self.scratch);
         self.outbox.push(target.address, &self.scratch);
     }
 
     fn reset(&mut self, flow: &FlowKey, seq: u32) {
         let to = SocketAddrV4::new(*flow.caller.ip(), self.caller_port);
-        self.outbox.push(to, &packet::reset(flow, seq));
+        self.outbox.push(to, &packet::build_reset(flow, seq));
     }
 
     fn probe(&mut self, target: &Target, path: &str) {
--- a/daemon/src/marked/store.rs
+++ b/daemon/src/marked/store.rs
@@ -140,13 +140,13 @@
         let step = follower.step(rand::random());
         let counter = if step.error.is_none() { &calls.answered } else { &calls.failed };
         counter.fetch_add(1, Relaxed);
-        let assumed = step.faults.iter().filter(|it| it.is_assumed()).count();
+        let assumed = step.faults.iter().filter(|it| it.is_defaulted()).count();
         calls.assumed.fetch_add(assumed as u64, Relaxed);
         calls.omitted.fetch_add((step.faults.len() - assumed) as u64, Relaxed);
         if log_step(&step, &mut reachable) {
             settings.reload();
         }
-        let event = match step.news {
+        let event = match step.update {
             Some(update) => Event::StoreRead { update, fell_back: step.fell_back },
             None => Event::StoreFailed,
         };
@@ -168,7 +168,7 @@
 /// just become unreachable.
 fn log_step(step: &Step, reachable: &mut Option<bool>) -> bool {
     for fault in step.faults.iter().take(MAX_LISTED_FAULTS) {
-        let outcome = if fault.is_assumed() { "taken with a default" } else { "not taken" };
+        let outcome = if fault.is_defaulted() { "taken with a default" } else { "not taken" };
         log::warn!("store: {outcome}: {}", Report::from_error(fault));
     }
     let others = step.faults.len().saturating_sub(MAX_LISTED_FAULTS);
