--- a/fabric/src/batch.rs
+++ b/fabric/src/batch.rs
@@ -87,4 +87,4 @@
 }
 
 /// Stands for a sender whose address the kernel did not give.
-pub(crate) const NOBODY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
+pub(crate) const NO_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
--- a/fabric/src/memory.rs
+++ b/fabric/src/memory.rs
@@ -1,12 +1,12 @@
 //! A wire without a socket, for tests and benchmarks of the packet thread.
 
-use crate::{Batch, Counts, Datagram, MAX_DATAGRAM, Wire, batch::NOBODY};
+use crate::{Batch, Counts, Datagram, MAX_DATAGRAM, Wire, batch::NO_ADDRESS};
 use std::{collections::VecDeque, net::SocketAddrV4, time::Duration};
 
 /// Hands out the datagrams that were put in and keeps those that were sent.
 #[derive(Debug, Default)]
 pub struct MemoryWire {
-    arriving: VecDeque<Vec<u8>>,
+    incoming: VecDeque<Vec<u8>>,
     sent: Vec<(SocketAddrV4, Vec<u8>)>,
     counts: Counts,
 }
@@ -18,7 +18,7 @@
 impl MemoryWire {
     /// Lets a datagram arrive.
     pub fn push_incoming(&mut self, bytes: &[u8]) {
-        self.arriving.push_back(bytes.to_vec());
+        self.incoming.push_back(bytes.to_vec());
     }
 
     /// Takes what was sent since the last call.
@@ -32,15 +32,15 @@
 
     fn receive(&mut self, batch: &mut Batch, _timeout: Duration) -> Result<usize, MemoryError> {
         batch.clear();
-        while let Some(bytes) = self.arriving.front() {
+        while let Some(bytes) = self.incoming.front() {
             if bytes.is_empty() {
                 self.counts.empty += 1;
             } else if bytes.len() > MAX_DATAGRAM {
                 self.counts.oversize += 1;
-            } else if !batch.push(NOBODY, bytes) {
+            } else if !batch.push(NO_ADDRESS, bytes) {
                 break;
             }
-            self.arriving.pop_front();
+            self.incoming.pop_front();
         }
         self.counts.received += batch.len() as u64;
         Ok(batch.len())
--- a/fabric/src/outbox.rs
+++ b/fabric/src/outbox.rs
@@ -1,6 +1,6 @@
 //! Datagrams that wait to be sent together.
 
-use crate::{Datagram, MAX_BATCH, Wire, batch::NOBODY};
+use crate::{Datagram, MAX_BATCH, Wire, batch::NO_ADDRESS};
 use std::{array, net::SocketAddrV4, ops::Range};
 
 /// Gathers copies of datagrams until they are sent by one call.
@@ -30,16 +30,16 @@
     /// Sends all in order and answers how many were taken; what was not is
     /// counted by the wire and forgotten here.
     pub fn flush(&mut self, wire: &mut impl Wire) -> usize {
-        let mut taken = 0;
+        let mut sent = 0;
         for entries in self.entries.chunks(MAX_BATCH) {
             let datagrams: [Datagram<'_>; MAX_BATCH] = array::from_fn(|ix| match entries.get(ix) {
                 Some((to, range)) => Datagram { to: *to, bytes: &self.buffer[range.clone()] },
-                None => Datagram { to: NOBODY, bytes: &[] },
+                None => Datagram { to: NO_ADDRESS, bytes: &[] },
             });
-            taken += wire.send(&datagrams[..entries.len()]);
+            sent += wire.send(&datagrams[..entries.len()]);
         }
         self.clear();
-        taken
+        sent
     }
 
     /// Forgets what waits.
--- a/fabric/src/socket.rs
+++ b/fabric/src/socket.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     Batch, Counts, Datagram, MAX_BATCH, MAX_DATAGRAM, Wire,
-    batch::{Entry, NOBODY},
+    batch::{Entry, NO_ADDRESS},
 };
 use nix::{
     errno::Errno,
@@ -27,7 +27,7 @@
 /// How much the kernel is asked to buffer in each direction. It gives at most
 /// `net.core.rmem_max` and `net.core.wmem_max`. A pause of the packet thread
 /// of 10 ms at 300,000 packets a second fills 3,000 packets of up to 2 KiB.
-const BUFFER: usize = 8 << 20;
+const BUFFER_SIZE: usize = 8 << 20;
 
 /// Why a socket can't be used.
 #[derive(Debug, Snafu)]
@@ -82,7 +82,7 @@
             SocketAddr::V4(local) => local,
             SocketAddr::V6(_) => address,
         };
-        grow(&socket)?;
+        set_buffer_sizes(&socket)?;
         Ok(Self { socket, local })
     }
 
@@ -99,9 +99,9 @@
 
 /// Asks for large buffers. To get less than asked is not an error: it shows as
 /// datagrams lost by the kernel under load, in `/proc/net/snmp`.
-fn grow(socket: &UdpSocket) -> Result<(), SocketError> {
-    setsockopt(socket, RcvBuf, &BUFFER).map_err(Into::into).context(ConfigureSnafu)?;
-    setsockopt(socket, SndBuf, &BUFFER).map_err(Into::into).context(ConfigureSnafu)
+fn set_buffer_sizes(socket: &UdpSocket) -> Result<(), SocketError> {
+    setsockopt(socket, RcvBuf, &BUFFER_SIZE).map_err(Into::into).context(ConfigureSnafu)?;
+    setsockopt(socket, SndBuf, &BUFFER_SIZE).map_err(Into::into).context(ConfigureSnafu)
 }
 
 impl Socket {
@@ -126,7 +126,7 @@
 
     /// Fills the batch by one call. `MSG_TRUNC` makes the kernel tell the
     /// whole length of a datagram that it had to cut.
-    fn receive_some(&mut self, batch: &mut Batch, flags: MsgFlags) -> Result<(), Errno> {
+    fn receive_batch(&mut self, batch: &mut Batch, flags: MsgFlags) -> Result<(), Errno> {
         let mut slots = batch.buffer.chunks_exact_mut(MAX_DATAGRAM);
         let mut slices: [[IoSliceMut<'_>; 1]; MAX_BATCH] =
             array::from_fn(|_| [IoSliceMut::new(slots.next().unwrap_or_default())]);
@@ -139,7 +139,7 @@
             } else if it.bytes == 0 {
                 self.counts.empty += 1;
             } else {
-                let from = it.address.map_or(NOBODY, SocketAddrV4::from);
+                let from = it.address.map_or(NO_ADDRESS, SocketAddrV4::from);
                 batch.entries.push(Entry { slot, len: it.bytes, from });
             }
         }
@@ -147,7 +147,7 @@
     }
 
     /// Sends a part of a batch and answers how many datagrams were taken.
-    fn send_some(&self, datagrams: &[Datagram<'_>], skip: usize) -> Result<usize, SendErrno> {
+    fn send_from(&self, datagrams: &[Datagram<'_>], skip: usize) -> Result<usize, SendErrno> {
         let slices: [[IoSlice<'_>; 1]; MAX_BATCH] =
             array::from_fn(|ix| [IoSlice::new(datagrams.get(ix).map_or(&[], |it| it.bytes))]);
         let mut controls: [SendAncillaryBuffer<'_, '_, '_>; MAX_BATCH] =
@@ -167,13 +167,13 @@
         self.addresses.clear();
         self.addresses.extend(datagrams.iter().map(|it| it.to.as_any()));
         let mut done = 0;
-        let mut taken = 0;
+        let mut sent = 0;
         while done < datagrams.len() {
-            match self.send_some(datagrams, done) {
+            match self.send_from(datagrams, done) {
                 Ok(0) => break,
                 Ok(count) => {
                     done += count;
-                    taken += count;
+                    sent += count;
                 }
                 Err(SendErrno::INTR) => {}
                 Err(SendErrno::AGAIN) => {
@@ -186,8 +186,8 @@
                 }
             }
         }
-        self.counts.sent += taken as u64;
-        taken
+        self.counts.sent += sent as u64;
+        sent
     }
 
     fn count_failure(&mut self, error: SendErrno) {
@@ -233,9 +233,9 @@
         self.set_timeout(timeout)?;
         let flags =
             if timeout.is_zero() { MsgFlags::MSG_DONTWAIT } else { MsgFlags::MSG_WAITFORONE };
-        match self.receive_some(batch, flags) {
+        match self.receive_batch(batch, flags) {
             Ok(()) | Err(Errno::EAGAIN) => {}
-            Err(error) if passes(error) => self.counts.transient_errors += 1,
+            Err(error) if is_transient(error) => self.counts.transient_errors += 1,
             Err(source) => return Err(SocketError::Receive { source }),
         }
         self.counts.received += batch.len() as u64;
@@ -254,7 +254,7 @@
 /// Whether a receive error says nothing about the socket itself. An ICMP
 /// answer to something sent earlier is reported by a later receive; ending the
 /// packet thread for it would let one dead target stop all flows.
-fn passes(error: Errno) -> bool {
+fn is_transient(error: Errno) -> bool {
     matches!(
         error,
         Errno::EINTR
--- a/fabric/src/stream.rs
+++ b/fabric/src/stream.rs
@@ -33,19 +33,19 @@
     poll(&mut fds, PollTimeout::ZERO).is_ok_and(|count| count > 0)
 }
 
-/// Waits for any of the descriptors until `due`, or without a limit; an interruption ends
+/// Waits for any of the descriptors until `deadline`, or without a limit; an interruption ends
 /// the wait early.
 ///
 /// # Errors
 ///
 /// Fails if the system refuses to wait for them.
-pub fn poll_until(fds: &mut [PollFd<'_>], due: Option<Instant>) -> io::Result<()> {
-    let limit = due.map(|due| due.saturating_duration_since(Instant::now()));
-    let limit = limit.map_or(PollTimeout::NONE, |limit| {
+pub fn poll_until(fds: &mut [PollFd<'_>], deadline: Option<Instant>) -> io::Result<()> {
+    let timeout = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
+    let timeout = timeout.map_or(PollTimeout::NONE, |timeout| {
         // Rounded up, so that it is due when the wait is over.
-        PollTimeout::try_from(limit.as_micros().div_ceil(1_000)).unwrap_or(PollTimeout::MAX)
+        PollTimeout::try_from(timeout.as_micros().div_ceil(1_000)).unwrap_or(PollTimeout::MAX)
     });
-    match poll(fds, limit) {
+    match poll(fds, timeout) {
         Ok(_) | Err(Errno::EINTR) => Ok(()),
         Err(error) => Err(error.into()),
     }
--- a/fabric/tests/test_memory.rs
+++ b/fabric/tests/test_memory.rs
@@ -12,9 +12,9 @@
 
     let first = Datagram { to: target(), bytes: b"one" };
     let second = Datagram { to: target(), bytes: b"two" };
-    let taken = wire.send(&[first, second]);
+    let sent = wire.send(&[first, second]);
 
-    assert_eq!(taken, 2);
+    assert_eq!(sent, 2);
     let expected = vec![(target(), b"one".to_vec()), (target(), b"two".to_vec())];
     assert_eq!(wire.take_sent(), expected);
 }
--- a/fabric/tests/test_outbox.rs
+++ b/fabric/tests/test_outbox.rs
@@ -19,9 +19,9 @@
         for (to, bytes) in &datagrams {
             outbox.push(*to, bytes);
         }
-        let taken = outbox.flush(&mut wire);
+        let sent = outbox.flush(&mut wire);
 
-        prop_assert_eq!(taken, datagrams.len());
+        prop_assert_eq!(sent, datagrams.len());
         prop_assert!(outbox.is_empty());
         prop_assert_eq!(wire.take_sent(), datagrams);
     }
--- a/fabric/tests/test_socket.rs
+++ b/fabric/tests/test_socket.rs
@@ -5,7 +5,7 @@
     time::{Duration, Instant},
 };
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 const STEP: Duration = Duration::from_millis(20);
 
 fn any_port() -> SocketAddrV4 {
@@ -21,7 +21,7 @@
     let start = Instant::now();
     let mut batch = Batch::new();
     let mut received = Vec::new();
-    while received.len() < count && start.elapsed() < PATIENCE {
+    while received.len() < count && start.elapsed() < TIMEOUT {
         socket.receive(&mut batch, STEP).unwrap();
         received.extend(batch.iter().map(|it| it.bytes.to_vec()));
     }
@@ -36,10 +36,10 @@
     let to = receiver.local();
     let datagrams: Vec<_> = payloads.iter().map(|bytes| Datagram { to, bytes }).collect();
 
-    let taken = sender.send(&datagrams);
+    let sent = sender.send(&datagrams);
     let received = collect(&mut receiver, payloads.len());
 
-    assert_eq!(taken, payloads.len());
+    assert_eq!(sent, payloads.len());
     assert_eq!(received, payloads);
     assert_eq!(sender.counts().sent, payloads.len() as u64);
     assert_eq!(receiver.counts().received, payloads.len() as u64);
@@ -53,7 +53,7 @@
 
     let mut batch = Batch::new();
     let start = Instant::now();
-    while receiver.receive(&mut batch, STEP).unwrap() == 0 && start.elapsed() < PATIENCE {}
+    while receiver.receive(&mut batch, STEP).unwrap() == 0 && start.elapsed() < TIMEOUT {}
 
     assert_eq!(batch.iter().next().map(|it| it.from), Some(sender.local()));
 }
@@ -129,14 +129,14 @@
     let huge = vec![0; 70_000];
     let alive = receiver.local();
 
-    let taken = sender.send(&[
+    let sent = sender.send(&[
         Datagram { to: alive, bytes: b"first" },
         Datagram { to: broadcast, bytes: b"refused" },
         Datagram { to: alive, bytes: &huge },
         Datagram { to: alive, bytes: b"last" },
     ]);
 
-    assert_eq!(taken, 2);
+    assert_eq!(sent, 2);
     assert_eq!(collect(&mut receiver, 2), [b"first".to_vec(), b"last".to_vec()]);
     assert_eq!(sender.counts().unreachable, 1);
     assert_eq!(sender.counts().mtu, 1);
--- a/targets/src/http.rs
+++ b/targets/src/http.rs
@@ -13,7 +13,7 @@
 /// needs a second is as good as unreachable, and a worker is held no longer.
 const TIMEOUT: Duration = Duration::from_secs(1);
 /// How much of a load report is read, in bytes.
-const MAX_REPORT: u64 = 4096;
+const MAX_REPORT_SIZE: u64 = 4096;
 
 /// What a target says of its load at `/load`, as JSON. Fields that it adds are
 /// passed over. It lags and may be wrong.
@@ -50,7 +50,7 @@
         Self { agent: config.new_agent() }
     }
 
-    fn health(&self, address: SocketAddrV4) -> Outcome {
+    fn probe_health(&self, address: SocketAddrV4) -> Outcome {
         match self.agent.get(format!("http://{address}/health")).call() {
             Ok(response) if response.status().as_u16() == 200 => Outcome::Healthy,
             Ok(_) => Outcome::Unhealthy,
@@ -61,9 +61,9 @@
         }
     }
 
-    fn load(&self, address: SocketAddrV4) -> Option<LoadReport> {
+    fn fetch_load(&self, address: SocketAddrV4) -> Option<LoadReport> {
         let response = self.agent.get(format!("http://{address}/load")).call().ok()?;
-        let body = response.into_body().into_with_config().limit(MAX_REPORT);
+        let body = response.into_body().into_with_config().limit(MAX_REPORT_SIZE);
         serde_json::from_slice(&body.read_to_vec().ok()?).ok()
     }
 }
@@ -77,10 +77,10 @@
 impl Probe for Http {
     fn probe(&self, address: SocketAddrV4) -> Answer {
         let start = Instant::now();
-        let outcome = self.health(address);
+        let outcome = self.probe_health(address);
         let elapsed = start.elapsed();
-        let answers = matches!(outcome, Outcome::Healthy | Outcome::Unhealthy);
-        let report = if answers { self.load(address) } else { None };
+        let has_answered = matches!(outcome, Outcome::Healthy | Outcome::Unhealthy);
+        let report = if has_answered { self.fetch_load(address) } else { None };
         Answer { outcome, report, elapsed }
     }
 }
--- a/targets/src/prober.rs
+++ b/targets/src/prober.rs
@@ -148,14 +148,14 @@
     }
 
     /// Waits for the next probe that is due; nothing when stopped.
-    fn take(&self) -> Option<Job> {
+    fn next_job(&self) -> Option<Job> {
         let mut state = self.lock();
         while !state.stopped {
-            let span = match state.schedule.take_next(self.now()) {
+            let timeout = match state.schedule.take_next(self.now()) {
                 Next::Probe(job) => return Some(job),
-                Next::Wait(span) => Duration::from_millis(span.0),
+                Next::Wait(timeout) => Duration::from_millis(timeout.0),
             };
-            let waited = self.changed.wait_timeout(state, span);
+            let waited = self.changed.wait_timeout(state, timeout);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         None
@@ -184,14 +184,14 @@
 
 impl<P: Probe> Worker<P> {
     fn run(self) {
-        while let Some(job) = self.shared.take() {
+        while let Some(job) = self.shared.next_job() {
             let answer = self.probe.probe(job.address);
             self.shared.count(&answer);
-            let finish = self.shared.lock().schedule.record_outcome(&job, answer.outcome);
-            let Some(finish) = finish else { continue };
-            note(&job.target, finish);
-            if let Some(verdict) = finish.verdict
-                && !self.hand_on(job.target, verdict, answer)
+            let change = self.shared.lock().schedule.record_outcome(&job, answer.outcome);
+            let Some(change) = change else { continue };
+            log_verdict_change(&job.target, change);
+            if let Some(verdict) = change.verdict
+                && !self.send_event(job.target, verdict, answer)
             {
                 return;
             }
@@ -199,7 +199,7 @@
     }
 
     /// Hands news on without waiting; answers whether somebody listens.
-    fn hand_on(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
+    fn send_event(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
         let event = Event { target, verdict, report: answer.report, elapsed: answer.elapsed };
         match self.events.try_send(event) {
             Ok(()) => true,
@@ -213,8 +213,8 @@
 }
 
 /// Logs a change of the verdict.
-fn note(target: &TargetName, finish: VerdictChange) {
-    let (before, verdict) = (finish.before, finish.verdict);
+fn log_verdict_change(target: &TargetName, change: VerdictChange) {
+    let (before, verdict) = (change.before, change.verdict);
     match verdict {
         Some(verdict) if before != Some(verdict) => log::info!("target {target}: {verdict:?}"),
         _ => {}
--- a/targets/src/schedule.rs
+++ b/targets/src/schedule.rs
@@ -30,21 +30,21 @@
 #[derive(Debug)]
 pub struct Schedule {
     interval: Millis,
-    slots: Map<TargetName, Slot>,
+    entries: Map<TargetName, Entry>,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct Entry {
     address: SocketAddrV4,
     due: Millis,
-    busy: bool,
+    in_flight: bool,
     tracker: HealthTracker,
 }
 
 impl Schedule {
     /// A schedule without targets; each will be probed once an interval.
     pub fn new(interval: Millis) -> Self {
-        Self { interval, slots: Map::default() }
+        Self { interval, entries: Map::default() }
     }
 
     /// Replaces the targets. Those that stay keep their place and verdict; new
@@ -52,30 +52,30 @@
     /// all its probes in one moment.
     pub fn set_targets(&mut self, targets: impl ExactSizeIterator<Item = Job>, now: Millis) {
         let step = self.interval.0 / (targets.len() as u64).max(1);
-        let mut old = std::mem::take(&mut self.slots);
+        let mut old = std::mem::take(&mut self.entries);
         for (ix, job) in targets.enumerate() {
-            let kept = old.remove(&job.target).filter(|slot| slot.address == job.address);
+            let existing = old.remove(&job.target).filter(|entry| entry.address == job.address);
             let due = now + Millis(step * ix as u64);
-            let fresh = || Slot {
+            let new_entry = || Entry {
                 address: job.address,
                 due,
-                busy: false,
+                in_flight: false,
                 tracker: HealthTracker::default(),
             };
-            self.slots.insert(job.target, kept.unwrap_or_else(fresh));
+            self.entries.insert(job.target, existing.unwrap_or_else(new_entry));
         }
     }
 
     /// Takes the target that is due for longest.
     pub fn take_next(&mut self, now: Millis) -> Next {
-        let idle = self.slots.iter_mut().filter(|(_, slot)| !slot.busy);
-        match idle.min_by_key(|(_, slot)| slot.due) {
-            Some((target, slot)) if slot.due <= now => {
-                slot.busy = true;
-                slot.due = now + self.interval;
-                Next::Probe(Job { target: target.clone(), address: slot.address })
+        let idle = self.entries.iter_mut().filter(|(_, entry)| !entry.in_flight);
+        match idle.min_by_key(|(_, entry)| entry.due) {
+            Some((target, entry)) if entry.due <= now => {
+                entry.in_flight = true;
+                entry.due = now + self.interval;
+                Next::Probe(Job { target: target.clone(), address: entry.address })
             }
-            Some((_, slot)) => Next::Wait(slot.due - now),
+            Some((_, entry)) => Next::Wait(entry.due - now),
             None => Next::Wait(self.interval),
         }
     }
@@ -83,10 +83,11 @@
     /// Takes in how a probe ended. An answer for a target that has gone or has
     /// moved to another address meanwhile is about something else, and dropped.
     pub fn record_outcome(&mut self, job: &Job, outcome: Outcome) -> Option<VerdictChange> {
-        let slot = self.slots.get_mut(&job.target).filter(|slot| slot.address == job.address)?;
-        slot.busy = false;
-        let before = slot.tracker.verdict();
-        let verdict = slot.tracker.record(outcome);
+        let entry =
+            self.entries.get_mut(&job.target).filter(|entry| entry.address == job.address)?;
+        entry.in_flight = false;
+        let before = entry.tracker.verdict();
+        let verdict = entry.tracker.record(outcome);
         Some(VerdictChange { before, verdict })
     }
 }
--- a/targets/src/verdict.rs
+++ b/targets/src/verdict.rs
@@ -5,11 +5,11 @@
 /// How many bad answers of the window make a target bad. One lost packet or
 /// one slow collection of garbage on the target must not move its new work;
 /// with probes every two seconds, three are enough to act "within seconds".
-const BAD: u32 = 3;
+const BAD_THRESHOLD: u32 = 3;
 /// How many bad answers of the window a good target may have left. Fewer than
-/// [`BAD`], so that an endpoint which alternates can't swing its weight with
+/// [`BAD_THRESHOLD`], so that an endpoint which alternates can't swing its weight with
 /// every answer.
-const GOOD: u32 = 1;
+const GOOD_THRESHOLD: u32 = 1;
 
 /// How one probe of the health endpoint ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -53,17 +53,19 @@
     /// are too few answers for one. The first good answer is enough for a
     /// start: nothing is known against the target.
     pub fn record(&mut self, outcome: Outcome) -> Option<Verdict> {
-        let bad = outcome != Outcome::Healthy;
-        self.window = (self.window << 1 | u32::from(bad)) & ((1 << WINDOW) - 1);
+        let is_bad = outcome != Outcome::Healthy;
+        self.window = (self.window << 1 | u32::from(is_bad)) & ((1 << WINDOW) - 1);
         let count = self.window.count_ones();
         match self.verdict {
-            Some(Verdict::Healthy) if count >= BAD => self.verdict = Some(outcome.verdict()),
+            Some(Verdict::Healthy) if count >= BAD_THRESHOLD => {
+                self.verdict = Some(outcome.verdict())
+            }
             Some(Verdict::Healthy) => {}
-            None if !bad => self.verdict = Some(Verdict::Healthy),
-            None if count >= BAD => self.verdict = Some(outcome.verdict()),
+            None if !is_bad => self.verdict = Some(Verdict::Healthy),
+            None if count >= BAD_THRESHOLD => self.verdict = Some(outcome.verdict()),
             None => {}
-            Some(_) if bad => self.verdict = Some(outcome.verdict()),
-            Some(_) if count <= GOOD => self.verdict = Some(Verdict::Healthy),
+            Some(_) if is_bad => self.verdict = Some(outcome.verdict()),
+            Some(_) if count <= GOOD_THRESHOLD => self.verdict = Some(Verdict::Healthy),
             Some(_) => {}
         }
         self.verdict
--- a/targets/tests/test_prober.rs
+++ b/targets/tests/test_prober.rs
@@ -8,7 +8,7 @@
 };
 
 const INTERVAL: Millis = Millis(50);
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Answers by the port that is asked.
 struct Script;
@@ -32,7 +32,7 @@
     let prober = Prober::start(Script, INTERVAL, sender).unwrap();
 
     prober.set_targets(vec![target("good", 1), target("gone", 2)]);
-    let first = events.recv_timeout(PATIENCE).unwrap();
+    let first = events.recv_timeout(TIMEOUT).unwrap();
     let gone = events.iter().find(|it| it.target.as_str() == "gone").unwrap();
 
     let report = Some(LoadReport { slots: 1, connections: 5, draining: false });
@@ -53,7 +53,7 @@
 
     prober.set_targets(names);
     let start = Instant::now();
-    while prober.counts().healthy < 20 && start.elapsed() < PATIENCE {
+    while prober.counts().healthy < 20 && start.elapsed() < TIMEOUT {
         thread::sleep(Duration::from_millis(5));
     }
 
@@ -68,5 +68,5 @@
 
     drop(prober);
 
-    assert_eq!(events.recv_timeout(PATIENCE), Err(RecvTimeoutError::Disconnected));
+    assert_eq!(events.recv_timeout(TIMEOUT), Err(RecvTimeoutError::Disconnected));
 }
--- a/targets/tests/test_schedule.rs
+++ b/targets/tests/test_schedule.rs
@@ -41,10 +41,10 @@
     schedule.record_outcome(&job("a", 1), Outcome::Healthy);
 
     schedule.set_targets([job("b", 2), job("a", 1)].into_iter(), Millis(5));
-    let finish = schedule.record_outcome(&job("a", 1), Outcome::Refused).unwrap();
+    let change = schedule.record_outcome(&job("a", 1), Outcome::Refused).unwrap();
 
-    assert_eq!(finish.before, Some(Verdict::Healthy));
-    assert_eq!(finish.verdict, Some(Verdict::Healthy));
+    assert_eq!(change.before, Some(Verdict::Healthy));
+    assert_eq!(change.verdict, Some(Verdict::Healthy));
 }
 
 /// A target moves to another address while a probe of the old one hangs. The
