--- a/fabric/src/batch.rs
+++ b/fabric/src/batch.rs
@@ -1,13 +1,13 @@
-//! The datagrams of one receive call, in memory that is allocated once.
+//! Received datagrams of one batch, in memory that is allocated once.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// How many datagrams are received or sent by one system call at most. Beyond
-/// this the call's own cost is already below a percent of a packet's.
+/// Maximum number of datagrams received or sent by one system call. With a full batch the system
+/// call costs less than a percent of the time spent on each packet.
 pub const MAX_BATCH: usize = 64;
 
-/// The largest datagram that is taken, in bytes: a caller's packet of an
-/// ordinary 1,500-byte network with room for what the fabric adds.
+/// Maximum size of a received datagram, in bytes: a caller's packet on a network with an MTU of
+/// 1,500 bytes, plus what the fabric adds.
 pub const MAX_DATAGRAM: usize = 2048;
 
 /// Up to [`MAX_BATCH`] received datagrams.
@@ -17,7 +17,7 @@
     pub(crate) entries: Vec<Entry>,
 }
 
-/// Where one datagram lies in the buffer and who sent it.
+/// Position of a datagram in the buffer, and its sender.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Entry {
     pub(crate) slot: usize,
@@ -28,14 +28,14 @@
 /// One received datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Received<'a> {
-    /// Who sent it; a node of the fabric, not the caller.
+    /// Sender of the datagram: a node of the fabric, not the caller.
     pub from: SocketAddrV4,
-    /// Its payload, never empty.
+    /// Payload, never empty.
     pub bytes: &'a [u8],
 }
 
 impl Batch {
-    /// Allocates room for a full batch.
+    /// Allocates the memory of a full batch.
     pub fn new() -> Self {
         Self {
             buffer: vec![0; MAX_BATCH * MAX_DATAGRAM].into(),
@@ -43,13 +43,13 @@
         }
     }
 
-    /// Forgets the datagrams and keeps the memory.
+    /// Removes all datagrams and keeps the memory.
     pub fn clear(&mut self) {
         self.entries.clear();
     }
 
-    /// Copies a datagram in, for a [`Wire`](crate::Wire) without a socket.
-    /// Answers whether there was room for it.
+    /// Copies a datagram into the batch, for a [`Wire`](crate::Wire) without a socket. Returns
+    /// false if the batch is full or the datagram exceeds [`MAX_DATAGRAM`].
     pub fn push(&mut self, from: SocketAddrV4, bytes: &[u8]) -> bool {
         let slot = self.entries.len();
         if slot == MAX_BATCH || bytes.len() > MAX_DATAGRAM {
@@ -61,7 +61,7 @@
         true
     }
 
-    /// The datagrams in the order of their arrival.
+    /// Returns the datagrams in order of arrival.
     pub fn iter(&self) -> impl ExactSizeIterator<Item = Received<'_>> {
         self.entries.iter().map(|entry| {
             let start = entry.slot * MAX_DATAGRAM;
@@ -69,12 +69,12 @@
         })
     }
 
-    /// How many datagrams there are.
+    /// Number of datagrams.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether the batch holds no datagrams.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -86,5 +86,5 @@
     }
 }
 
-/// Stands for a sender whose address the kernel did not give.
+/// Placeholder for an unknown or unused address.
 pub(crate) const NO_ADDRESS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::UNSPECIFIED, 0);
--- a/fabric/src/counts.rs
+++ b/fabric/src/counts.rs
@@ -1,29 +1,28 @@
-//! What a wire has counted. Everything that is not passed on has a reason.
+//! Counters of a wire. Each datagram that is not passed on is counted by reason.
 
-/// Counts since the wire was opened.
+/// Counts since the wire was created.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Datagrams handed to the packet thread.
+    /// Datagrams passed to the packet thread.
     pub received: u64,
-    /// Datagrams longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM). The kernel
-    /// cut them, so they are dropped: a cut packet would reach a target as a
-    /// broken one.
+    /// Dropped datagrams longer than [`MAX_DATAGRAM`](crate::MAX_DATAGRAM). The kernel truncates
+    /// them, and a truncated packet would reach a target damaged.
     pub oversize: u64,
-    /// Datagrams without a payload, dropped.
+    /// Dropped datagrams without a payload.
     pub empty: u64,
-    /// Receive calls that failed with an error that passes by itself.
+    /// Receive calls that failed with a transient error.
     pub transient_errors: u64,
-    /// Datagrams that the kernel took for sending.
+    /// Datagrams that the kernel accepted for sending.
     pub sent: u64,
-    /// Datagrams dropped since the send buffer was full. Waiting for room would
-    /// hold up the packets of all other flows.
+    /// Datagrams dropped because the send buffer was full. Waiting until there is space would delay
+    /// the packets of all other flows.
     pub full: u64,
-    /// Datagrams dropped since no route leads to the address, or a firewall or
-    /// an earlier ICMP answer refused it.
+    /// Datagrams dropped because no route leads to the address, or because a firewall or an earlier
+    /// ICMP message rejected them.
     pub unreachable: u64,
-    /// Datagrams dropped since they exceed the path's MTU: the network to the
-    /// targets must carry a caller's packet and 28 bytes.
+    /// Datagrams dropped because they exceed the path MTU. The network to the targets must carry a
+    /// caller's packet plus 28 bytes.
     pub mtu: u64,
-    /// Datagrams dropped by any other error of the send call.
+    /// Datagrams dropped because of any other error of the send call.
     pub failed: u64,
 }
--- a/fabric/src/lib.rs
+++ b/fabric/src/lib.rs
@@ -1,11 +1,11 @@
-//! The fabric as a peer: callers' packets come from it in UDP datagrams and
-//! go on to targets in the same wrapping.
+//! Packet I/O between an instance and the fabric. Callers' packets arrive from the fabric in UDP
+//! datagrams and are sent to targets in the same encapsulation.
 //!
-//! At hundreds of thousands of packets a second a system call a packet costs
-//! more than deciding where the packet goes, so everything here moves batches.
-//! [`Wire`] is the boundary: the packet thread is written against it, and tests
-//! and benchmarks put memory in the place of a socket. The reasons for passing
-//! packets on instead of terminating connections are in `docs/design/edge.md`.
+//! At hundreds of thousands of packets per second, one system call per packet would cost more than
+//! choosing the packet's target, so datagrams are received and sent in batches. The packet thread
+//! uses the trait [`Wire`]; tests and benchmarks replace the socket by memory.
+//! `docs/design/edge.md` gives the reasons for forwarding packets instead of terminating
+//! connections.
 
 mod batch;
 mod counts;
--- a/fabric/src/memory.rs
+++ b/fabric/src/memory.rs
@@ -3,7 +3,7 @@
 use crate::{Batch, Counts, Datagram, MAX_DATAGRAM, Wire, batch::NO_ADDRESS};
 use std::{collections::VecDeque, net::SocketAddrV4, time::Duration};
 
-/// Hands out the datagrams that were put in and keeps those that were sent.
+/// A wire that returns the datagrams that were pushed and keeps those that were sent.
 #[derive(Debug, Default)]
 pub struct MemoryWire {
     incoming: VecDeque<Vec<u8>>,
@@ -11,17 +11,17 @@
     counts: Counts,
 }
 
-/// There is no error of memory.
+/// Error of a [`MemoryWire`]; there is none.
 #[derive(Debug, snafu::Snafu)]
 pub enum MemoryError {}
 
 impl MemoryWire {
-    /// Lets a datagram arrive.
+    /// Queues a datagram to be received.
     pub fn push_incoming(&mut self, bytes: &[u8]) {
         self.incoming.push_back(bytes.to_vec());
     }
 
-    /// Takes what was sent since the last call.
+    /// Takes the datagrams that were sent since the last call.
     pub fn take_sent(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
         std::mem::take(&mut self.sent)
     }
--- a/fabric/src/outbox.rs
+++ b/fabric/src/outbox.rs
@@ -1,13 +1,13 @@
-//! Datagrams that wait to be sent together.
+//! Queue of datagrams that are sent together.
 
 use crate::{Datagram, MAX_BATCH, Wire, batch::NO_ADDRESS};
 use std::{array, net::SocketAddrV4, ops::Range};
 
-/// Gathers copies of datagrams until they are sent by one call.
+/// Collects copies of datagrams until they are sent as batches.
 ///
-/// A packet is decided on while others of its batch are still to come, and the
-/// bytes of one that was held are gone by then. To copy costs less than to keep
-/// track of whose bytes live how long; `docs/MEASURES.md` has the figure.
+/// The target of a packet is chosen before the rest of its batch is handled, and the bytes of a
+/// packet that was held are no longer in the batch when it is sent. Copying costs less than
+/// tracking the lifetimes of the buffers; see `docs/MEASURES.md`.
 #[derive(Debug)]
 pub struct Outbox {
     buffer: Vec<u8>,
@@ -15,20 +15,20 @@
 }
 
 impl Outbox {
-    /// Makes room for a batch of ordinary packets; larger ones grow it once.
+    /// Allocates memory for a batch of packets of ordinary size. Larger packets make it grow once.
     pub fn new() -> Self {
         Self { buffer: Vec::with_capacity(MAX_BATCH * 256), entries: Vec::with_capacity(MAX_BATCH) }
     }
 
-    /// Adds a datagram.
+    /// Appends a copy of a datagram.
     pub fn push(&mut self, to: SocketAddrV4, bytes: &[u8]) {
         let start = self.buffer.len();
         self.buffer.extend_from_slice(bytes);
         self.entries.push((to, start..self.buffer.len()));
     }
 
-    /// Sends all in order and answers how many were taken; what was not is
-    /// counted by the wire and forgotten here.
+    /// Sends all datagrams in order and returns how many the wire accepted. The others are counted
+    /// by the wire and dropped.
     pub fn flush(&mut self, wire: &mut impl Wire) -> usize {
         let mut sent = 0;
         for entries in self.entries.chunks(MAX_BATCH) {
@@ -42,18 +42,18 @@
         sent
     }
 
-    /// Forgets what waits.
+    /// Drops all datagrams.
     pub fn clear(&mut self) {
         self.buffer.clear();
         self.entries.clear();
     }
 
-    /// How many datagrams wait.
+    /// Number of queued datagrams.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none waits.
+    /// Whether no datagrams are queued.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/fabric/src/ready.rs
+++ b/fabric/src/ready.rs
@@ -8,10 +8,9 @@
 use snafu::ResultExt;
 use std::{os::fd::BorrowedFd, time::Duration};
 
-/// Waits until one of the descriptors can be read, at most for `timeout` to the
-/// millisecond, or without a limit. The packet thread serves several sources by
-/// itself, because all need the flow table; a wait for only one of them would
-/// delay the others.
+/// Waits until one of the descriptors is readable or the timeout is over, rounded to milliseconds;
+/// without a timeout it waits indefinitely. The packet thread serves several sockets alone because
+/// all of them need the flow table; waiting for one would delay the others.
 pub fn wait_readable<const N: usize>(
     sources: [BorrowedFd<'_>; N],
     timeout: Option<Duration>,
--- a/fabric/src/socket.rs
+++ b/fabric/src/socket.rs
@@ -1,4 +1,4 @@
-//! The wire over a UDP socket, with one system call a batch.
+//! A wire over a UDP socket, with one system call per batch.
 
 use crate::{
     Batch, Counts, Datagram, MAX_BATCH, MAX_DATAGRAM, Wire,
@@ -24,39 +24,39 @@
     time::Duration,
 };
 
-/// How much the kernel is asked to buffer in each direction. It gives at most
-/// `net.core.rmem_max` and `net.core.wmem_max`. A pause of the packet thread
-/// of 10 ms at 300,000 packets a second fills 3,000 packets of up to 2 KiB.
+/// Requested size of the kernel's buffer in each direction, in bytes. The kernel grants at most
+/// `net.core.rmem_max` and `net.core.wmem_max`. While the packet thread pauses for 10 ms at 300,000
+/// packets per second, 3,000 packets of up to 2 KiB accumulate.
 const BUFFER_SIZE: usize = 8 << 20;
 
-/// Why a socket can't be used.
+/// Error of a socket.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum SocketError {
-    /// The address can't be bound.
+    /// Binding the address failed.
     #[snafu(display("cannot bind UDP {address}"))]
     Bind {
         /// The address.
         address: SocketAddrV4,
-        /// What the kernel said.
+        /// Error of the system call.
         source: std::io::Error,
     },
-    /// An option can't be read or set.
+    /// Reading or setting a socket option failed.
     #[snafu(display("cannot configure a UDP socket"))]
     Configure {
-        /// What the kernel said.
+        /// Error of the system call.
         source: std::io::Error,
     },
-    /// The socket can't be read any more.
-    #[snafu(display("cannot receive"))]
+    /// Receiving failed with an error that is not transient.
+    #[snafu(display("cannot receive from a UDP socket"))]
     Receive {
-        /// What the kernel said.
+        /// Error of the system call.
         source: Errno,
     },
 }
 
-/// A bound socket that may still move to the thread that will use it; the
-/// kernel's headers in a [`Socket`] can't.
+/// A bound socket that can move to the thread that will use it. A [`Socket`] can't, because it
+/// holds the kernel's message headers.
 #[derive(Debug)]
 pub struct Listener {
     socket: UdpSocket,
@@ -75,7 +75,7 @@
 }
 
 impl Listener {
-    /// Binds the address; port 0 lets the kernel choose one.
+    /// Binds the address. With port 0 the kernel chooses a port.
     pub fn bind(address: SocketAddrV4) -> Result<Self, SocketError> {
         let socket = UdpSocket::bind(address).context(BindSnafu { address })?;
         let local = match socket.local_addr().context(ConfigureSnafu)? {
@@ -91,21 +91,21 @@
         self.local
     }
 
-    /// The bytes that the kernel buffers for receiving, as it accounts them.
+    /// Size of the kernel's receive buffer in bytes, as the kernel accounts for it.
     pub fn receive_buffer_size(&self) -> Result<usize, SocketError> {
         getsockopt(&self.socket, RcvBuf).map_err(Into::into).context(ConfigureSnafu)
     }
 }
 
-/// Asks for large buffers. To get less than asked is not an error: it shows as
-/// datagrams lost by the kernel under load, in `/proc/net/snmp`.
+/// Requests large buffers. Receiving smaller ones is not an error; it shows in `/proc/net/snmp` as
+/// datagrams that the kernel drops under load.
 fn set_buffer_sizes(socket: &UdpSocket) -> Result<(), SocketError> {
     setsockopt(socket, RcvBuf, &BUFFER_SIZE).map_err(Into::into).context(ConfigureSnafu)?;
     setsockopt(socket, SndBuf, &BUFFER_SIZE).map_err(Into::into).context(ConfigureSnafu)
 }
 
 impl Socket {
-    /// Binds the address for use by this thread.
+    /// Binds the address for use by the current thread.
     pub fn bind(address: SocketAddrV4) -> Result<Self, SocketError> {
         Listener::bind(address).map(Self::from)
     }
@@ -124,8 +124,8 @@
         Ok(())
     }
 
-    /// Fills the batch by one call. `MSG_TRUNC` makes the kernel tell the
-    /// whole length of a datagram that it had to cut.
+    /// Fills the batch by one system call. `MSG_TRUNC` makes the kernel report the full length of a
+    /// datagram that it truncated.
     fn receive_batch(&mut self, batch: &mut Batch, flags: MsgFlags) -> Result<(), Errno> {
         let mut slots = batch.buffer.chunks_exact_mut(MAX_DATAGRAM);
         let mut slices: [[IoSliceMut<'_>; 1]; MAX_BATCH] =
@@ -146,7 +146,8 @@
         Ok(())
     }
 
-    /// Sends a part of a batch and answers how many datagrams were taken.
+    /// Sends the datagrams after the first `skip` by one system call and returns how many the
+    /// kernel accepted.
     fn send_from(&self, datagrams: &[Datagram<'_>], skip: usize) -> Result<usize, SendErrno> {
         let slices: [[IoSlice<'_>; 1]; MAX_BATCH] =
             array::from_fn(|ix| [IoSlice::new(datagrams.get(ix).map_or(&[], |it| it.bytes))]);
@@ -159,10 +160,10 @@
         sendmmsg(&self.socket, &mut headers[skip..], SendFlags::DONTWAIT)
     }
 
-    /// Sends at most [`MAX_BATCH`] datagrams. The kernel stops at the first one
-    /// that it can't send and names the reason in the next call only; that one
-    /// is counted and passed over, so each round moves on by one at least. A
-    /// full send buffer ends the batch: it fails for the others as well.
+    /// Sends at most [`MAX_BATCH`] datagrams. The kernel stops at the first datagram that it can't
+    /// send and reports the reason only in the next call. That datagram is counted and skipped, so
+    /// each call makes progress. A full send buffer ends the batch because the remaining datagrams
+    /// would fail too.
     fn send_batch(&mut self, datagrams: &[Datagram<'_>]) -> usize {
         self.addresses.clear();
         self.addresses.extend(datagrams.iter().map(|it| it.to.as_any()));
@@ -251,9 +252,9 @@
     }
 }
 
-/// Whether a receive error says nothing about the socket itself. An ICMP
-/// answer to something sent earlier is reported by a later receive; ending the
-/// packet thread for it would let one dead target stop all flows.
+/// Whether the socket is still usable after a receive error. An ICMP message about a datagram that
+/// was sent earlier is reported by a later receive call. If the packet thread ended because of it,
+/// one dead target would stop all flows.
 fn is_transient(error: Errno) -> bool {
     matches!(
         error,
--- a/fabric/src/stream.rs
+++ b/fabric/src/stream.rs
@@ -1,4 +1,4 @@
-//! Connections that are opened and waited for without blocking.
+//! TCP connections that are opened and awaited without blocking.
 
 use nix::{
     errno::Errno,
@@ -12,11 +12,12 @@
     time::Instant,
 };
 
-/// Begins to open a connection; [`is_connect_finished`] tells when it is open or refused.
+/// Starts to open a connection. [`is_connect_finished`] returns true once it is established or
+/// refused.
 ///
 /// # Errors
 ///
-/// Fails if the system gives no socket or refuses at once.
+/// Fails if no socket can be created or the connection fails immediately.
 pub fn connect(address: SocketAddrV4) -> io::Result<TcpStream> {
     let flags = SockFlag::SOCK_NONBLOCK | SockFlag::SOCK_CLOEXEC;
     let socket = socket(AddressFamily::Inet, SockType::Stream, flags, None)?;
@@ -26,23 +27,22 @@
     }
 }
 
-/// Whether a connection is established or refused by now; its
-/// [error](TcpStream::take_error) tells which.
+/// Whether a connection is established or has failed; [`TcpStream::take_error`] tells which.
 pub fn is_connect_finished(stream: &TcpStream) -> bool {
     let mut fds = [PollFd::new(stream.as_fd(), PollFlags::POLLOUT)];
     poll(&mut fds, PollTimeout::ZERO).is_ok_and(|count| count > 0)
 }
 
-/// Waits for any of the descriptors until `deadline`, or without a limit; an interruption ends
-/// the wait early.
+/// Waits until one of the descriptors is ready or the deadline has passed; without a deadline it
+/// waits indefinitely. A signal ends the wait early.
 ///
 /// # Errors
 ///
-/// Fails if the system refuses to wait for them.
+/// Fails if `poll` fails.
 pub fn poll_until(fds: &mut [PollFd<'_>], deadline: Option<Instant>) -> io::Result<()> {
     let timeout = deadline.map(|deadline| deadline.saturating_duration_since(Instant::now()));
     let timeout = timeout.map_or(PollTimeout::NONE, |timeout| {
-        // Rounded up, so that it is due when the wait is over.
+        // Rounded up, so that the deadline has passed when the wait ends.
         PollTimeout::try_from(timeout.as_micros().div_ceil(1_000)).unwrap_or(PollTimeout::MAX)
     });
     match poll(fds, timeout) {
--- a/fabric/src/wire.rs
+++ b/fabric/src/wire.rs
@@ -1,33 +1,32 @@
-//! The boundary between the packet thread and whatever moves datagrams.
+//! Interface between the packet thread and the transport of datagrams.
 
 use crate::{Batch, Counts};
 use std::{error::Error, net::SocketAddrV4, time::Duration};
 
-/// One datagram to send; borrows its bytes, usually from a [`Batch`].
+/// A datagram to send. Its bytes are borrowed, usually from a [`Batch`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Datagram<'a> {
-    /// Who receives it.
+    /// Receiver of the datagram.
     pub to: SocketAddrV4,
-    /// Its payload.
+    /// Payload.
     pub bytes: &'a [u8],
 }
 
-/// Moves batches of datagrams.
+/// Receives and sends batches of datagrams.
 pub trait Wire {
-    /// What ends the use of the wire. Errors that pass by themselves are
-    /// counted instead, since the packet thread has to go on after them.
+    /// Error after which the wire can't be used. Transient errors are counted instead, because the
+    /// packet thread must continue after them.
     type Error: Error + Send + Sync + 'static;
 
-    /// Replaces the content of `batch` by what has arrived and answers how many
-    /// datagrams that is. Waits up to `timeout` for the first one; none is not
-    /// an error.
+    /// Replaces the content of `batch` by the datagrams that have arrived and returns their number.
+    /// Waits up to `timeout` for the first one. Receiving none is not an error.
     fn receive(&mut self, batch: &mut Batch, timeout: Duration) -> Result<usize, Self::Error>;
 
-    /// Sends the datagrams in order without ever waiting, and answers how many
-    /// were taken. One that can't be sent is counted by reason and passed over,
-    /// so that it can't hold up those behind it.
+    /// Sends the datagrams in order without blocking and returns how many were accepted. A datagram
+    /// that can't be sent is counted by reason and skipped, so that it doesn't delay those after
+    /// it.
     fn send(&mut self, datagrams: &[Datagram<'_>]) -> usize;
 
-    /// What was counted so far.
+    /// Counts since the wire was created.
     fn counts(&self) -> Counts;
 }
--- a/fabric/tests/test_outbox.rs
+++ b/fabric/tests/test_outbox.rs
@@ -10,7 +10,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn all_are_sent_whole_and_in_order(sizes in prop::collection::vec(1..1500usize, 0..3 * MAX_BATCH)) {
+    fn datagrams_are_sent_complete_and_in_order(sizes in prop::collection::vec(1..1500usize, 0..3 * MAX_BATCH)) {
         let mut outbox = Outbox::new();
         let mut wire = MemoryWire::default();
         let datagrams: Vec<_> =
--- a/fabric/tests/test_socket.rs
+++ b/fabric/tests/test_socket.rs
@@ -16,7 +16,7 @@
     Socket::bind(any_port()).unwrap()
 }
 
-/// Receives until `count` datagrams came or the patience is over.
+/// Receives until `count` datagrams have arrived or the timeout is over.
 fn collect(socket: &mut Socket, count: usize) -> Vec<Vec<u8>> {
     let start = Instant::now();
     let mut batch = Batch::new();
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_batch_arrives_whole_and_in_order() {
+fn batch_arrives_complete_and_in_order() {
     let mut sender = socket();
     let mut receiver = socket();
     let payloads: Vec<Vec<u8>> = (0..3 * MAX_BATCH).map(|ix| vec![ix as u8; ix + 1]).collect();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_batch_names_its_senders() {
+fn batch_contains_sender_addresses() {
     let mut sender = socket();
     let mut receiver = socket();
     sender.send(&[Datagram { to: receiver.local(), bytes: b"x" }]);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_listener_moves_to_another_thread() {
+fn listener_can_move_to_another_thread() {
     let listener = Listener::bind(any_port()).unwrap();
     let to = listener.local();
     let thread = thread::spawn(move || collect(&mut Socket::from(listener), 1));
@@ -69,10 +69,9 @@
     assert_eq!(thread.join().unwrap(), vec![b"hello".to_vec()]);
 }
 
-/// A fabric with a larger MTU, or somebody who scans ports, sends datagrams
-/// that don't fit. The kernel cuts them; passed on, a caller's answer would
-/// break in the middle. The user notices nothing as long as they are dropped
-/// and counted while the datagrams around them go through.
+/// Guards against forwarding truncated packets: a fabric with a larger MTU or a port scan sends
+/// datagrams that exceed a slot, and the kernel truncates them. They must be dropped and counted
+/// while the datagrams around them are received.
 #[test]
 fn oversize_and_empty_datagrams_are_counted_and_dropped() {
     let mut receiver = socket();
@@ -82,7 +81,7 @@
     }
 
     let received = collect(&mut receiver, 2);
-    collect_nothing(&mut receiver);
+    assert_nothing_received(&mut receiver);
 
     let sizes: Vec<_> = received.iter().map(Vec::len).collect();
     assert_eq!(sizes, [1, MAX_DATAGRAM]);
@@ -90,17 +89,16 @@
     assert_eq!(receiver.counts().empty, 1);
 }
 
-/// Reads once more, so that what lay behind the last datagram is counted.
-fn collect_nothing(socket: &mut Socket) {
+/// Receives once more, so that dropped datagrams after the last received one are counted.
+fn assert_nothing_received(socket: &mut Socket) {
     let mut batch = Batch::new();
     assert_eq!(socket.receive(&mut batch, STEP).unwrap(), 0);
 }
 
-/// A target dies and its host answers packets to it by ICMP "port unreachable".
-/// If that error ended the packet thread or a batch, flows to all the other
-/// targets would stop with it and every user would notice.
+/// Guards against one dead target stopping all flows: its host replies with ICMP "port
+/// unreachable", which must end neither the packet thread nor a batch.
 #[test]
-fn a_dead_target_stops_nobody_else() {
+fn dead_target_does_not_stop_other_flows() {
     let mut sender = socket();
     let mut receiver = socket();
     let closed = socket().local();
@@ -118,11 +116,10 @@
     assert_eq!(collect(&mut receiver, 20).len(), 20);
 }
 
-/// An operator publishes a target in a network to which no route leads, or a
-/// packet exceeds what can be sent. The kernel stops a batch at such a datagram;
-/// without passing over it, flows behind it in the batch would stall.
+/// Guards against flows stalling behind a datagram that can't be sent, because no route leads to
+/// its target or it is too large. The kernel stops a batch at such a datagram.
 #[test]
-fn a_datagram_that_cannot_be_sent_is_passed_over() {
+fn datagram_that_cannot_be_sent_is_skipped() {
     let mut sender = socket();
     let mut receiver = socket();
     let broadcast = SocketAddrV4::new(Ipv4Addr::BROADCAST, 9);
@@ -143,7 +140,7 @@
 }
 
 #[test]
-fn nothing_to_receive_is_not_an_error() {
+fn receiving_nothing_is_not_an_error() {
     let mut receiver = socket();
     let mut batch = Batch::new();
 
