--- a/targets/src/http.rs
+++ b/targets/src/http.rs
@@ -9,34 +9,34 @@
 };
 use ureq::{Agent, Error, config::Config};
 
-/// How long one call may take. A target answers in milliseconds; one that
-/// needs a second is as good as unreachable, and a worker is held no longer.
+/// Timeout of one call. Targets answer in milliseconds. One that needs a second is treated as
+/// unreachable, so that it doesn't block a worker any longer.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// How much of a load report is read, in bytes.
+/// Maximum size of a load report, in bytes.
 const MAX_REPORT_SIZE: u64 = 4096;
 
-/// What a target says of its load at `/load`, as JSON. Fields that it adds are
-/// passed over. It lags and may be wrong.
+/// Load that a target reports at `/load`, as JSON. Unknown fields are ignored. The report lags and
+/// may be wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 pub struct LoadReport {
-    /// How many of its slots are taken, work that waits for one included.
+    /// Pieces of work that run in a slot or wait for one.
     pub slots: u32,
-    /// How many connections it holds.
+    /// Open connections.
     pub connections: u32,
-    /// Whether it drains and wants no new work.
+    /// Whether the target is draining and accepts no new work.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// Probes targets over HTTP by their IP numbers.
+/// Probes targets over HTTP at their IP addresses.
 #[derive(Debug)]
 pub struct Http {
     agent: Agent,
 }
 
 impl Http {
-    /// Prepares probes. Headers that no target needs are left out: they would
-    /// be half of the traffic.
+    /// Creates the HTTP client. It omits headers that targets don't need, which would be half of
+    /// the traffic.
     pub fn new() -> Self {
         let config = Config::builder()
             .http_status_as_error(false)
--- a/targets/src/lib.rs
+++ b/targets/src/lib.rs
@@ -1,13 +1,12 @@
-//! Targets as a peer: what their health and load endpoints say.
+//! Active health checks of targets through their health and load endpoints.
 //!
-//! Nothing of the system runs on targets; an instance asks them over HTTP, at
-//! `/health` (status 200 is healthy) and `/load` (see [`LoadReport`]). Both lag or
-//! mislead, so what is read here is one hint among others: [`HealthTracker`] keeps a
-//! single answer from deciding anything, and the package `medlarspur-load`
-//! lets what an instance sees itself outweigh it.
+//! No part of the system runs on targets. An instance probes them over HTTP at `/health` (status
+//! 200 means healthy) and `/load` (see [`LoadReport`]). Both endpoints lag or mislead, so their
+//! answers are only hints: [`HealthTracker`] lets no single answer decide anything, and the package
+//! `medlarspur-load` gives precedence to what an instance observes itself.
 //!
-//! Not every instance asks every target, or the probes would grow with the
-//! product of both: see [`is_prober`].
+//! Each target is probed by only a few instances; otherwise the number of probes would grow with
+//! the product of instances and targets. See [`is_prober`].
 
 mod assignment;
 mod http;
@@ -23,19 +22,19 @@
 
 use std::time::Duration;
 
-/// What one probe brought.
+/// Result of one probe.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Answer {
-    /// How the health endpoint answered.
+    /// Answer of the health endpoint.
     pub outcome: Outcome,
-    /// What the load endpoint said, if it could be understood.
+    /// Answer of the load endpoint, if it could be parsed.
     pub report: Option<LoadReport>,
-    /// How long the health endpoint took to answer.
+    /// Response time of the health endpoint.
     pub elapsed: Duration,
 }
 
-/// Asks a target; HTTP for the product, a script in tests.
+/// Probes a target: over HTTP in the product, scripted in tests.
 pub trait Probe: Send + Sync + 'static {
-    /// Asks once and gives up after a time limit of its own.
+    /// Makes one probe, with a timeout of its own.
     fn probe(&self, address: std::net::SocketAddrV4) -> Answer;
 }
--- a/targets/src/prober.rs
+++ b/targets/src/prober.rs
@@ -1,4 +1,4 @@
-//! The threads that probe targets.
+//! Threads that probe targets.
 
 use crate::{Answer, Job, LoadReport, Next, Outcome, Probe, Schedule, Verdict, VerdictChange};
 use medlarspur_lib::{ids::TargetName, time::Millis};
@@ -15,53 +15,52 @@
     time::{Duration, Instant},
 };
 
-/// How many probes run at once. Each may hang for its whole time limit, so a
-/// fixed number keeps dead targets from taking all the memory and sockets; the
-/// others then wait, and their verdicts get old instead.
+/// Number of probes in flight. Each may last until its timeout, so a fixed number limits the memory
+/// and sockets that dead targets take up. Further probes wait, and their verdicts become older.
 const WORKERS: usize = 8;
 
-/// What is known of a target after a probe.
+/// State of a target after a probe.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The target.
     pub target: TargetName,
-    /// What to believe of it after the last few answers.
+    /// Verdict from the last few answers.
     pub verdict: Verdict,
-    /// What it says of its load, if it did.
+    /// Load that the target reported, if any.
     pub report: Option<LoadReport>,
-    /// How long its health endpoint took.
+    /// Response time of the health endpoint.
     pub elapsed: Duration,
 }
 
 /// Counts since the prober was started.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Probes that said healthy.
+    /// Probes answered with healthy.
     pub healthy: u64,
-    /// Probes that were answered with anything else.
+    /// Probes answered with anything else.
     pub unhealthy: u64,
     /// Probes without an answer.
     pub unreachable: u64,
-    /// Probes that the target's host refused.
+    /// Probes whose connection was refused.
     pub refused: u64,
-    /// Healthy probes without a load report that could be understood.
+    /// Healthy probes without a usable load report.
     pub no_report: u64,
-    /// Events dropped since the ring was full; the next probe brings news.
+    /// Events dropped because the channel was full. The next probe of the target sends a newer one.
     pub full: u64,
 }
 
-/// Why a prober can't be started.
+/// Reason why a prober can't be started.
 #[derive(Debug, Snafu)]
 pub enum ProberError {
-    /// The system gives no more threads.
+    /// A thread can't be created.
     #[snafu(display("cannot start a thread that probes targets"))]
     Spawn {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Probes a set of targets. Dropping it ends its threads after their probes.
+/// Probes a set of targets. When it is dropped, its threads end after their current probe.
 #[derive(Debug)]
 pub struct Prober {
     shared: Arc<Shared>,
@@ -89,8 +88,8 @@
 }
 
 impl Prober {
-    /// Starts the threads; they have no target yet. Each target will be probed
-    /// once an interval, usually [`INTERVAL`](crate::INTERVAL).
+    /// Starts the threads, without any targets. Each target is probed once per interval, usually
+    /// [`INTERVAL`](crate::INTERVAL).
     pub fn start<P: Probe>(
         probe: P,
         interval: Millis,
@@ -113,7 +112,7 @@
         Ok(prober)
     }
 
-    /// Replaces the targets to probe. One that stays keeps its verdict.
+    /// Replaces the set of targets. Targets that remain keep their verdict.
     pub fn set_targets(&self, targets: Vec<(TargetName, SocketAddrV4)>) {
         let jobs = targets.into_iter().map(|(target, address)| Job { target, address });
         let now = self.shared.now();
@@ -121,7 +120,7 @@
         self.shared.changed.notify_all();
     }
 
-    /// What was counted so far.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> Counts {
         let counters = &self.shared.counters;
         let [healthy, unhealthy, unreachable, refused] =
@@ -147,7 +146,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the next probe that is due; nothing when stopped.
+    /// Waits for the next probe that is due. Returns `None` once the prober is stopped.
     fn next_job(&self) -> Option<Job> {
         let mut state = self.lock();
         while !state.stopped {
@@ -175,7 +174,7 @@
     }
 }
 
-/// One thread's duty: to make one probe after the other.
+/// One of the threads, which makes one probe after the other.
 struct Worker<P> {
     shared: Arc<Shared>,
     probe: Arc<P>,
@@ -198,7 +197,7 @@
         }
     }
 
-    /// Hands news on without waiting; answers whether somebody listens.
+    /// Sends an event without blocking. Returns whether the channel is still open.
     fn send_event(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
         let event = Event { target, verdict, report: answer.report, elapsed: answer.elapsed };
         match self.events.try_send(event) {
@@ -212,7 +211,7 @@
     }
 }
 
-/// Logs a change of the verdict.
+/// Logs the verdict if it has changed.
 fn log_verdict_change(target: &TargetName, change: VerdictChange) {
     let (before, verdict) = (change.before, change.verdict);
     match verdict {
--- a/targets/src/schedule.rs
+++ b/targets/src/schedule.rs
@@ -1,32 +1,31 @@
-//! When each target is probed, without a clock or a thread.
+//! Schedule of probes, without a clock or threads.
 
 use crate::verdict::{HealthTracker, Outcome, Verdict};
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 use std::net::SocketAddrV4;
 
-/// The time between two probes of one target, unless settings say otherwise:
-/// three bad answers then show within six seconds.
+/// Default time between two probes of a target. Three bad answers then take at most six seconds.
 pub const INTERVAL: Millis = Millis::secs(2);
 
-/// One probe to be made.
+/// A probe to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
     /// The target.
     pub target: TargetName,
-    /// Where it is asked.
+    /// Address of the target's endpoints.
     pub address: SocketAddrV4,
 }
 
-/// What a worker does next.
+/// Next action of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
     /// Make this probe.
     Probe(Job),
-    /// Wait this long, then ask again.
+    /// Wait for this time, then look again.
     Wait(Millis),
 }
 
-/// The targets to probe, when each is due and what is believed of it.
+/// Targets to probe, with their due times and verdicts.
 #[derive(Debug)]
 pub struct Schedule {
     interval: Millis,
@@ -42,14 +41,14 @@
 }
 
 impl Schedule {
-    /// A schedule without targets; each will be probed once an interval.
+    /// Creates a schedule without targets. Each target is probed once per interval.
     pub fn new(interval: Millis) -> Self {
         Self { interval, entries: Map::default() }
     }
 
-    /// Replaces the targets. Those that stay keep their place and verdict; new
-    /// ones are spread over the interval, so that a large bundle does not start
-    /// all its probes in one moment.
+    /// Replaces the set of targets. Targets that remain keep their due time and verdict. The first
+    /// probes of new targets are spread over the interval, so that a large bundle doesn't start all
+    /// of them at once.
     pub fn set_targets(&mut self, targets: impl ExactSizeIterator<Item = Job>, now: Millis) {
         let step = self.interval.0 / (targets.len() as u64).max(1);
         let mut old = std::mem::take(&mut self.entries);
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Takes the target that is due for longest.
+    /// Takes the target that has been due longest.
     pub fn take_next(&mut self, now: Millis) -> Next {
         let idle = self.entries.iter_mut().filter(|(_, entry)| !entry.in_flight);
         match idle.min_by_key(|(_, entry)| entry.due) {
@@ -80,8 +79,9 @@
         }
     }
 
-    /// Takes in how a probe ended. An answer for a target that has gone or has
-    /// moved to another address meanwhile is about something else, and dropped.
+    /// Records the outcome of a probe and returns its effect. Returns `None` if the target was
+    /// removed or moved to another address during the probe, since the outcome is then about a
+    /// former address.
     pub fn record_outcome(&mut self, job: &Job, outcome: Outcome) -> Option<VerdictChange> {
         let entry =
             self.entries.get_mut(&job.target).filter(|entry| entry.address == job.address)?;
@@ -92,11 +92,11 @@
     }
 }
 
-/// What an answer made of the verdict on its target.
+/// Effect of an outcome on the verdict of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VerdictChange {
-    /// The verdict before it.
+    /// Verdict before the outcome.
     pub before: Option<Verdict>,
-    /// The verdict with it.
+    /// Verdict that includes the outcome.
     pub verdict: Option<Verdict>,
 }
--- a/targets/src/verdict.rs
+++ b/targets/src/verdict.rs
@@ -1,57 +1,57 @@
-//! What to believe of a target after several answers.
+//! Verdict on a target's health from several answers.
 
-/// How many answers are remembered.
+/// Number of answers that are remembered.
 const WINDOW: u32 = 5;
-/// How many bad answers of the window make a target bad. One lost packet or
-/// one slow collection of garbage on the target must not move its new work;
-/// with probes every two seconds, three are enough to act "within seconds".
+/// Number of bad answers in the window that make a healthy target bad. A lost packet or a slow
+/// garbage collection of the target must not move its new work. With a probe every two seconds,
+/// three bad answers suffice to react within seconds.
 const BAD_THRESHOLD: u32 = 3;
-/// How many bad answers of the window a good target may have left. Fewer than
-/// [`BAD_THRESHOLD`], so that an endpoint which alternates can't swing its weight with
-/// every answer.
+/// Maximum number of bad answers in the window with which a bad target becomes healthy. It is lower
+/// than [`BAD_THRESHOLD`], so that an endpoint that alternates doesn't change the target's weight
+/// with each answer.
 const GOOD_THRESHOLD: u32 = 1;
 
-/// How one probe of the health endpoint ended.
+/// Outcome of one probe of the health endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// It said healthy.
+    /// The endpoint reports that the target is healthy.
     Healthy,
-    /// It answered, but not that it is healthy.
+    /// The endpoint answers anything else.
     Unhealthy,
-    /// No answer in time, or the connection broke.
+    /// There was no answer in time, or the connection broke.
     Unreachable,
-    /// Its host refused the connection: the endpoint does not run.
+    /// The host refused the connection: the endpoint is not running.
     Refused,
 }
 
-/// What is believed of a target.
+/// Assumed health of a target.
 ///
-/// No verdict ever cuts a flow: the endpoint may be down while the service
-/// itself is well, and TCP outlives a partition of minutes.
+/// No verdict ends a flow: the endpoint may be down while the service works, and TCP connections
+/// survive a network partition of minutes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// It takes new work.
+    /// The target accepts new work.
     Healthy,
-    /// It says that it should get no new work.
+    /// The target reports that it should get no new work.
     Unhealthy,
-    /// It can't be reached from here.
+    /// The target can't be reached from here.
     Unreachable,
-    /// Its host answers, its endpoint does not run.
+    /// The host answers, but the health endpoint is not running.
     Refused,
 }
 
-/// Judges one target with hysteresis: *n* of the last *m* answers.
+/// Derives the verdict on one target with hysteresis, from *n* of the last *m* answers.
 #[derive(Debug, Default, Clone)]
 pub struct HealthTracker {
-    /// The last answers, newest in the lowest bit; a bad one is 1.
+    /// The last answers, newest in the lowest bit. A bad answer is 1.
     window: u32,
     verdict: Option<Verdict>,
 }
 
 impl HealthTracker {
-    /// Takes in one answer; answers the verdict, or nothing as long as there
-    /// are too few answers for one. The first good answer is enough for a
-    /// start: nothing is known against the target.
+    /// Records an answer and returns the verdict, or `None` while there are too few answers for
+    /// one. The first good answer suffices for a first verdict, since nothing indicates a fault of
+    /// the target.
     pub fn record(&mut self, outcome: Outcome) -> Option<Verdict> {
         let is_bad = outcome != Outcome::Healthy;
         self.window = (self.window << 1 | u32::from(is_bad)) & ((1 << WINDOW) - 1);
@@ -71,7 +71,7 @@
         self.verdict
     }
 
-    /// The present verdict.
+    /// The current verdict.
     pub fn verdict(&self) -> Option<Verdict> {
         self.verdict
     }
--- a/targets/tests/test_assignment.rs
+++ b/targets/tests/test_assignment.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn each_target_has_two_probers_and_the_work_is_spread() {
+fn each_target_has_two_probers_and_probes_are_balanced() {
     let domain = instances(10);
     let targets = targets(1000);
 
@@ -27,14 +27,14 @@
         }
     }
 
-    // 200 each; three standard deviations of a binomial spread are 38.
+    // 200 each; three standard deviations of a binomial distribution are 38.
     assert!(work.iter().all(|&it| (160..=240).contains(&it)), "{work:?}");
 }
 
-/// An instance dies and its probes go to others. If all were dealt anew, every
-/// target would lose its verdict at once and look unknown to new probers.
+/// Guards against reassigning all probes when an instance dies: each target would lose its verdict
+/// at once and be unknown to its new probers.
 #[test]
-fn a_lost_instance_moves_only_its_own_probes() {
+fn loss_of_an_instance_moves_only_its_probes() {
     let before = instances(10);
     let after = &before[1..];
 
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_lone_instance_probes_all() {
+fn single_instance_probes_all_targets() {
     let domain = instances(1);
 
     assert!(targets(20).iter().all(|target| is_prober(&domain[0], domain.iter(), target)));
--- a/targets/tests/test_http.rs
+++ b/targets/tests/test_http.rs
@@ -5,7 +5,7 @@
     thread,
 };
 
-/// A target that answers `/health` and `/load` as given.
+/// Starts a target that answers `/health` and `/load` as given.
 fn target(health: &'static str, load: &'static str) -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_healthy_target_tells_its_load() {
+fn healthy_target_reports_its_load() {
     let address = target("200 OK", r#"{"slots":2,"connections":1999,"more":1}"#);
 
     let answer = Http::new().probe(address);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_draining_target_says_so() {
+fn draining_target_reports_draining() {
     let address = target("503 Draining", r#"{"slots":1,"connections":7,"draining":true}"#);
 
     let answer = Http::new().probe(address);
@@ -47,10 +47,10 @@
     assert!(answer.report.is_some_and(|report| report.draining));
 }
 
-/// A target's load endpoint is broken or lies without sense. Its health still
-/// counts; a failed parse must not make a working target look dead.
+/// Guards against a broken or nonsensical load report making a working target look dead: the health
+/// answer still counts.
 #[test]
-fn a_senseless_load_report_is_passed_over() {
+fn invalid_load_report_is_ignored() {
     let address = target("200 OK", r#"{"slots":-1}"#);
 
     let answer = Http::new().probe(address);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_closed_port_is_refused() {
+fn closed_port_is_refused() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
     drop(listener);
@@ -67,10 +67,10 @@
     assert_eq!(Http::new().probe(address).outcome, Outcome::Refused);
 }
 
-/// A target's process hangs while its kernel still takes connections. Without
-/// a time limit the probe would hold its thread for ever.
+/// Guards against a probe that blocks its thread forever because the target's process hangs while
+/// its kernel still accepts connections.
 #[test]
-fn a_target_that_never_answers_is_unreachable() {
+fn target_that_never_answers_is_unreachable() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
 
--- a/targets/tests/test_prober.rs
+++ b/targets/tests/test_prober.rs
@@ -10,7 +10,7 @@
 const INTERVAL: Millis = Millis(50);
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Answers by the port that is asked.
+/// Answers according to the port that is probed.
 struct Script;
 
 impl Probe for Script {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn each_verdict_arrives_with_the_load() {
+fn verdict_event_contains_the_load_report() {
     let (sender, events) = sync_channel(16);
     let prober = Prober::start(Script, INTERVAL, sender).unwrap();
 
@@ -43,10 +43,10 @@
     assert!(prober.counts().refused >= 3);
 }
 
-/// The thread that takes events is busy. Waiting for it would stop the probes
-/// of all targets; dropped news is replaced by the next probe.
+/// Guards against stopping the probes of all targets while the thread that receives events is busy.
+/// A dropped event is superseded by that of the next probe.
 #[test]
-fn a_full_ring_is_counted_and_stops_no_probe() {
+fn full_channel_is_counted_and_stops_no_probe() {
     let (sender, _events) = sync_channel(1);
     let prober = Prober::start(Script, INTERVAL, sender).unwrap();
     let names: Vec<_> = (0..20).map(|ix| target(&format!("good-{ix}"), 1)).collect();
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn its_threads_end_with_it() {
+fn threads_end_when_the_prober_is_dropped() {
     let (sender, events) = sync_channel(16);
     let prober = Prober::start(Script, INTERVAL, sender).unwrap();
 
--- a/targets/tests/test_schedule.rs
+++ b/targets/tests/test_schedule.rs
@@ -22,10 +22,10 @@
     assert_eq!(schedule.take_next(Millis(INTERVAL.0 / 2)), Next::Probe(job("b", 2)));
 }
 
-/// A target hangs longer than the interval. Probing it again meanwhile would
-/// tie up one worker after the other, until none is left for the good ones.
+/// Guards against blocking all workers: probing a target again while its probe lasts longer than
+/// the interval would occupy one worker after the other.
 #[test]
-fn a_target_under_probe_is_not_probed_again() {
+fn target_with_a_probe_in_flight_is_not_probed_again() {
     let mut schedule = schedule(&[job("a", 1)]);
     schedule.take_next(Millis(0));
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_target_that_stays_keeps_its_verdict() {
+fn remaining_target_keeps_its_verdict() {
     let mut schedule = schedule(&[job("a", 1)]);
     schedule.record_outcome(&job("a", 1), Outcome::Healthy);
 
@@ -47,10 +47,10 @@
     assert_eq!(change.verdict, Some(Verdict::Healthy));
 }
 
-/// A target moves to another address while a probe of the old one hangs. The
-/// late answer would put the fault of the old host on the new one.
+/// Guards against attributing a failure of the old host to the new one: the target moves to another
+/// address while a probe of the old address is in flight.
 #[test]
-fn a_late_answer_from_an_old_address_is_dropped() {
+fn late_answer_from_a_former_address_is_dropped() {
     let mut schedule = schedule(&[job("a", 1)]);
     schedule.take_next(Millis(0));
 
--- a/targets/tests/test_verdict.rs
+++ b/targets/tests/test_verdict.rs
@@ -15,14 +15,14 @@
 }
 
 #[test]
-fn the_first_good_answer_is_enough_for_a_start() {
+fn first_good_answer_suffices_for_a_verdict() {
     let mut tracker = HealthTracker::default();
 
     assert_eq!(tracker.record(Outcome::Healthy), Some(Verdict::Healthy));
 }
 
 #[test]
-fn without_good_answers_there_is_no_verdict_before_the_third() {
+fn three_bad_answers_are_needed_for_a_first_verdict() {
     let mut tracker = HealthTracker::default();
 
     let verdicts = record(&mut tracker, &[Outcome::Refused, Outcome::Refused, Outcome::Refused]);
@@ -30,11 +30,10 @@
     assert_eq!(verdicts, [None, None, Some(Verdict::Refused)]);
 }
 
-/// A health endpoint answers too late now and then, as under a collection of
-/// garbage. Moving work away for one such answer would overrun the others and
-/// callers would wait there.
+/// Guards against moving work away because of a few late answers, for example during a garbage
+/// collection: the other targets would be overloaded and callers would wait there.
 #[test]
-fn one_or_two_bad_answers_change_nothing() {
+fn two_bad_answers_do_not_change_the_verdict() {
     let mut tracker = HealthTracker::default();
     let (good, late) = (Outcome::Healthy, Outcome::Unreachable);
 
@@ -44,10 +43,10 @@
     assert!(verdicts.iter().all(|it| *it == Some(Verdict::Healthy)));
 }
 
-/// An endpoint that misleads alternates between good and bad. Following each
-/// answer, new work would come and go with it and all others would swing too.
+/// Guards against following each answer of an endpoint that alternates between good and bad: new
+/// work would move with each answer, and the load of all other targets would oscillate too.
 #[test]
-fn an_alternating_endpoint_changes_the_verdict_at_most_once() {
+fn alternating_endpoint_changes_the_verdict_at_most_once() {
     let mut tracker = HealthTracker::default();
     let outcomes: Vec<_> =
         (0..100).map(|ix| [Outcome::Healthy, Outcome::Unhealthy][ix % 2]).collect();
@@ -59,7 +58,7 @@
 }
 
 #[test]
-fn a_bad_target_is_good_again_after_four_good_answers_of_five() {
+fn bad_target_recovers_after_four_good_answers_of_five() {
     let mut tracker = HealthTracker::default();
     record(&mut tracker, &[Outcome::Healthy; 5]);
     record(&mut tracker, &[Outcome::Refused; 5]);
@@ -74,7 +73,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn five_like_answers_settle_it_whatever_was_before(
+    fn five_equal_answers_decide_the_verdict(
         before in prop::collection::vec(any_outcome(), 0..50),
         last in any_outcome(),
     ) {
