--- a/targets/src/http.rs
+++ b/targets/src/http.rs
@@ -9,34 +9,34 @@
 };
 use ureq::{Agent, Error, config::Config};
 
-/// How long one call may take. A target answers in milliseconds; one that
-/// needs a second is as good as unreachable, and a worker is held no longer.
+/// Timeout of one call. Targets answer in milliseconds. One that needs a second is treated as
+/// unreachable, so that it doesn't block a worker any longer.
 const TIMEOUT: Duration = Duration::from_secs(1);
-/// How much of a load report is read, in bytes.
-const MAX_REPORT: u64 = 4096;
+/// Maximum size of a load report, in bytes.
+const MAX_REPORT_SIZE: u64 = 4096;
 
-/// What a target says of its load at `/load`, as JSON. Fields that it adds are
-/// passed over. It lags and may be wrong.
+/// Load that a target reports at `/load`, as JSON. Unknown fields are ignored. The report lags and
+/// may be wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub struct Told {
-    /// How many of its slots are taken, work that waits for one included.
+pub struct LoadReport {
+    /// Pieces of work that run in a slot or wait for one.
     pub slots: u32,
-    /// How many connections it holds.
+    /// Open connections.
     pub connections: u32,
-    /// Whether it drains and wants no new work.
+    /// Whether the target is draining and accepts no new work.
     #[serde(default)]
     pub draining: bool,
 }
 
-/// Probes targets over HTTP by their IP numbers.
+/// Probes targets over HTTP at their IP addresses.
 #[derive(Debug)]
 pub struct Http {
     agent: Agent,
 }
 
 impl Http {
-    /// Prepares probes. Headers that no target needs are left out: they would
-    /// be half of the traffic.
+    /// Creates the HTTP client. It omits headers that targets don't need, which would be half of
+    /// the traffic.
     pub fn new() -> Self {
         let config = Config::builder()
             .http_status_as_error(false)
@@ -50,7 +50,7 @@
         Self { agent: config.new_agent() }
     }
 
-    fn health(&self, address: SocketAddrV4) -> Outcome {
+    fn probe_health(&self, address: SocketAddrV4) -> Outcome {
         match self.agent.get(format!("http://{address}/health")).call() {
             Ok(response) if response.status().as_u16() == 200 => Outcome::Healthy,
             Ok(_) => Outcome::Unhealthy,
@@ -61,9 +61,9 @@
         }
     }
 
-    fn load(&self, address: SocketAddrV4) -> Option<Told> {
+    fn fetch_load(&self, address: SocketAddrV4) -> Option<LoadReport> {
         let response = self.agent.get(format!("http://{address}/load")).call().ok()?;
-        let body = response.into_body().into_with_config().limit(MAX_REPORT);
+        let body = response.into_body().into_with_config().limit(MAX_REPORT_SIZE);
         serde_json::from_slice(&body.read_to_vec().ok()?).ok()
     }
 }
@@ -77,10 +77,10 @@
 impl Probe for Http {
     fn probe(&self, address: SocketAddrV4) -> Answer {
         let start = Instant::now();
-        let outcome = self.health(address);
+        let outcome = self.probe_health(address);
         let elapsed = start.elapsed();
-        let answers = matches!(outcome, Outcome::Healthy | Outcome::Unhealthy);
-        let told = if answers { self.load(address) } else { None };
-        Answer { outcome, told, elapsed }
+        let has_answered = matches!(outcome, Outcome::Healthy | Outcome::Unhealthy);
+        let report = if has_answered { self.fetch_load(address) } else { None };
+        Answer { outcome, report, elapsed }
     }
 }
--- a/targets/src/prober.rs
+++ b/targets/src/prober.rs
@@ -1,6 +1,6 @@
-//! The threads that probe targets.
+//! Threads that probe targets.
 
-use crate::{Answer, Finish, Job, Next, Outcome, Probe, Schedule, Told, Verdict};
+use crate::{Answer, Job, LoadReport, Next, Outcome, Probe, Schedule, Verdict, VerdictChange};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 use snafu::{ResultExt, Snafu};
 use std::{
@@ -15,53 +15,52 @@
     time::{Duration, Instant},
 };
 
-/// How many probes run at once. Each may hang for its whole time limit, so a
-/// fixed number keeps dead targets from taking all the memory and sockets; the
-/// others then wait, and their verdicts get old instead.
+/// Number of probes in flight. Each may last until its timeout, so a fixed number limits the memory
+/// and sockets that dead targets take up. Further probes wait, and their verdicts become older.
 const WORKERS: usize = 8;
 
-/// What is known of a target after a probe.
+/// State of a target after a probe.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
     /// The target.
     pub target: TargetName,
-    /// What to believe of it after the last few answers.
+    /// Verdict from the last few answers.
     pub verdict: Verdict,
-    /// What it says of its load, if it did.
-    pub told: Option<Told>,
-    /// How long its health endpoint took.
+    /// Load that the target reported, if any.
+    pub report: Option<LoadReport>,
+    /// Response time of the health endpoint.
     pub elapsed: Duration,
 }
 
 /// Counts since the prober was started.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
-    /// Probes that said healthy.
+    /// Probes answered with healthy.
     pub healthy: u64,
-    /// Probes that were answered with anything else.
+    /// Probes answered with anything else.
     pub unhealthy: u64,
     /// Probes without an answer.
     pub unreachable: u64,
-    /// Probes that the target's host refused.
+    /// Probes whose connection was refused.
     pub refused: u64,
-    /// Healthy probes without a load report that could be understood.
-    pub mute: u64,
-    /// Events dropped since the ring was full; the next probe brings news.
+    /// Healthy probes without a usable load report.
+    pub no_report: u64,
+    /// Events dropped because the channel was full. The next probe of the target sends a newer one.
     pub full: u64,
 }
 
-/// Why a prober can't be started.
+/// Reason why a prober can't be started.
 #[derive(Debug, Snafu)]
 pub enum ProberError {
-    /// The system gives no more threads.
+    /// A thread can't be created.
     #[snafu(display("cannot start a thread that probes targets"))]
     Spawn {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
 
-/// Probes a set of targets. Dropping it ends its threads after their probes.
+/// Probes a set of targets. When it is dropped, its threads end after their current probe.
 #[derive(Debug)]
 pub struct Prober {
     shared: Arc<Shared>,
@@ -84,13 +83,13 @@
 #[derive(Debug, Default)]
 struct Counters {
     outcomes: [AtomicU64; 4],
-    mute: AtomicU64,
+    no_report: AtomicU64,
     full: AtomicU64,
 }
 
 impl Prober {
-    /// Starts the threads; they have no target yet. Each target will be probed
-    /// once an interval, usually [`INTERVAL`](crate::INTERVAL).
+    /// Starts the threads, without any targets. Each target is probed once per interval, usually
+    /// [`INTERVAL`](crate::INTERVAL).
     pub fn start<P: Probe>(
         probe: P,
         interval: Millis,
@@ -113,21 +112,21 @@
         Ok(prober)
     }
 
-    /// Replaces the targets to probe. One that stays keeps its verdict.
+    /// Replaces the set of targets. Targets that remain keep their verdict.
     pub fn set_targets(&self, targets: Vec<(TargetName, SocketAddrV4)>) {
         let jobs = targets.into_iter().map(|(target, address)| Job { target, address });
         let now = self.shared.now();
-        self.shared.lock().schedule.set(jobs, now);
+        self.shared.lock().schedule.set_targets(jobs, now);
         self.shared.changed.notify_all();
     }
 
-    /// What was counted so far.
+    /// Returns the counts since the start.
     pub fn counts(&self) -> Counts {
         let counters = &self.shared.counters;
         let [healthy, unhealthy, unreachable, refused] =
             counters.outcomes.each_ref().map(|it| it.load(Relaxed));
-        let (mute, full) = (counters.mute.load(Relaxed), counters.full.load(Relaxed));
-        Counts { healthy, unhealthy, unreachable, refused, mute, full }
+        let (no_report, full) = (counters.no_report.load(Relaxed), counters.full.load(Relaxed));
+        Counts { healthy, unhealthy, unreachable, refused, no_report, full }
     }
 }
 
@@ -147,15 +146,15 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for the next probe that is due; nothing when stopped.
-    fn take(&self) -> Option<Job> {
+    /// Waits for the next probe that is due. Returns `None` once the prober is stopped.
+    fn next_job(&self) -> Option<Job> {
         let mut state = self.lock();
         while !state.stopped {
-            let span = match state.schedule.take(self.now()) {
+            let timeout = match state.schedule.take_next(self.now()) {
                 Next::Probe(job) => return Some(job),
-                Next::Wait(span) => Duration::from_millis(span.0),
+                Next::Wait(timeout) => Duration::from_millis(timeout.0),
             };
-            let waited = self.changed.wait_timeout(state, span);
+            let waited = self.changed.wait_timeout(state, timeout);
             state = waited.unwrap_or_else(PoisonError::into_inner).0;
         }
         None
@@ -169,13 +168,13 @@
             Outcome::Refused => 3,
         };
         self.counters.outcomes[ix].fetch_add(1, Relaxed);
-        if answer.outcome == Outcome::Healthy && answer.told.is_none() {
-            self.counters.mute.fetch_add(1, Relaxed);
+        if answer.outcome == Outcome::Healthy && answer.report.is_none() {
+            self.counters.no_report.fetch_add(1, Relaxed);
         }
     }
 }
 
-/// One thread's duty: to make one probe after the other.
+/// One of the threads, which makes one probe after the other.
 struct Worker<P> {
     shared: Arc<Shared>,
     probe: Arc<P>,
@@ -184,23 +183,23 @@
 
 impl<P: Probe> Worker<P> {
     fn run(self) {
-        while let Some(job) = self.shared.take() {
+        while let Some(job) = self.shared.next_job() {
             let answer = self.probe.probe(job.address);
             self.shared.count(&answer);
-            let finish = self.shared.lock().schedule.finish(&job, answer.outcome);
-            let Some(finish) = finish else { continue };
-            note(&job.target, finish);
-            if let Some(verdict) = finish.verdict
-                && !self.hand_on(job.target, verdict, answer)
+            let change = self.shared.lock().schedule.record_outcome(&job, answer.outcome);
+            let Some(change) = change else { continue };
+            log_verdict_change(&job.target, change);
+            if let Some(verdict) = change.verdict
+                && !self.send_event(job.target, verdict, answer)
             {
                 return;
             }
         }
     }
 
-    /// Hands news on without waiting; answers whether somebody listens.
-    fn hand_on(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
-        let event = Event { target, verdict, told: answer.told, elapsed: answer.elapsed };
+    /// Sends an event without blocking. Returns whether the channel is still open.
+    fn send_event(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
+        let event = Event { target, verdict, report: answer.report, elapsed: answer.elapsed };
         match self.events.try_send(event) {
             Ok(()) => true,
             Err(TrySendError::Full(_)) => {
@@ -212,9 +211,9 @@
     }
 }
 
-/// Logs a change of the verdict.
-fn note(target: &TargetName, finish: Finish) {
-    let (before, verdict) = (finish.before, finish.verdict);
+/// Logs the verdict if it has changed.
+fn log_verdict_change(target: &TargetName, change: VerdictChange) {
+    let (before, verdict) = (change.before, change.verdict);
     match verdict {
         Some(verdict) if before != Some(verdict) => log::info!("target {target}: {verdict:?}"),
         _ => {}
