--- a/daemon/src/marked/instance/mod.rs
+++ b/daemon/src/marked/instance/mod.rs
@@ -256,9 +256,9 @@
             }
         }
         self.begin_round();
-        let unknown = self.forwarder.counts().unknown_mark;
+        let unknown = self.forwarder.counts().unknown;
         self.handle_packets()?;
-        if self.forwarder.counts().unknown_mark > unknown {
+        if self.forwarder.counts().unknown > unknown {
             self.catch_up();
         }
         self.handle_events();
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -76,7 +76,7 @@
 
 const COUNTERS: [CounterSeries; 33] = [
     (Family::Packets, "received", |it| it.received),
-    (Family::Packets, "forwarded", |it| it.counts.forwarded),
+    (Family::Packets, "forwarded", |it| it.counts.passed),
     (Family::Packets, "reopened", |it| it.counts.reopened),
     (Family::Packets, "repeated", |it| it.counts.repeated),
     (Family::Flows, "opened", |it| it.counts.opened),
@@ -87,14 +87,14 @@
     (Family::Flows, "reset-evacuated", |it| it.counts.evacuated),
     (Family::Flows, "reset-warming", |it| it.counts.warming),
     (Family::Flows, "reset-away", |it| it.counts.away),
-    (Family::Flows, "evacuated-avoided", |it| it.counts.evacuated_avoided),
-    (Family::Flows, "warming-spared", |it| it.counts.warming_spared),
+    (Family::Flows, "evacuated-avoided", |it| it.counts.avoided),
+    (Family::Flows, "warming-spared", |it| it.counts.spared),
     (Family::Flows, "target-filled", |it| it.counts.filled),
     (Family::Flows, "held", |it| it.counts.held),
     (Family::Flows, "reset-busy", |it| it.counts.busy),
     (Family::Flows, "reset-target-lost", |it| it.counts.lost),
     (Family::Drops, "unmarked", |it| it.counts.unmarked),
-    (Family::Drops, "unknown-mark", |it| it.counts.unknown_mark),
+    (Family::Drops, "unknown-mark", |it| it.counts.unknown),
     (Family::Drops, "record-clash", |it| it.collisions),
     (Family::Drops, "oversize", |it| it.wire.oversize),
     (Family::Drops, "empty", |it| it.wire.empty),
@@ -103,11 +103,11 @@
     (Family::Drops, "send-mtu", |it| it.wire.mtu),
     (Family::Drops, "send-failed", |it| it.wire.failed),
     (Family::Platform, "restored", |it| it.counts.restores),
-    (Family::Probes, "asked", |it| it.counts.probes),
-    (Family::Probes, "answers", |it| it.counts.probe_results[ProbeResult::Answers as usize]),
-    (Family::Probes, "declines", |it| it.counts.probe_results[ProbeResult::Declines as usize]),
-    (Family::Probes, "gone", |it| it.counts.probe_results[ProbeResult::Gone as usize]),
-    (Family::Probes, "silent", |it| it.counts.probe_results[ProbeResult::Silent as usize]),
+    (Family::Probes, "asked", |it| it.counts.asked),
+    (Family::Probes, "answers", |it| it.counts.found[ProbeResult::Answers as usize]),
+    (Family::Probes, "declines", |it| it.counts.found[ProbeResult::Declines as usize]),
+    (Family::Probes, "gone", |it| it.counts.found[ProbeResult::Gone as usize]),
+    (Family::Probes, "silent", |it| it.counts.found[ProbeResult::Silent as usize]),
 ];
 
 /// A gauge and the function that reads its value.
--- a/marked/src/forwarder/counts.rs
+++ b/marked/src/forwarder/counts.rs
@@ -2,7 +2,7 @@
 
 use crate::{ProbeResult, Refusal};
 
-/// Counters since the start of the process.
+/// Counters since the start of the process. The log line "stop" prints the names of the fields.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
     /// Flows for which a target was chosen.
@@ -12,11 +12,11 @@
     /// Packets that callers retransmitted because nothing had answered them.
     pub repeated: u64,
     /// Packets in mid-flow that were forwarded.
-    pub forwarded: u64,
+    pub passed: u64,
     /// Packets dropped because they carry no mark.
     pub unmarked: u64,
     /// Packets dropped because their mark is unknown.
-    pub unknown_mark: u64,
+    pub unknown: u64,
     /// Flows moved to another target before their handshake ended.
     pub moved: u64,
     /// Flows reset because they have no route.
@@ -32,9 +32,9 @@
     /// Flows reset because no target is in the regions of their route.
     pub away: u64,
     /// Flows opened while targets of their service were left out because of an evacuation.
-    pub evacuated_avoided: u64,
+    pub avoided: u64,
     /// Flows opened while targets of their service were left out because of slow start.
-    pub warming_spared: u64,
+    pub spared: u64,
     /// Number of times that a target was found full.
     pub filled: u64,
     /// Openings held until their service had capacity.
@@ -46,9 +46,9 @@
     /// Number of times that the store came back from a copy.
     pub restores: u64,
     /// Probes sent to targets.
-    pub probes: u64,
+    pub asked: u64,
     /// Probe results, by kind.
-    pub probe_results: [u64; ProbeResult::ALL.len()],
+    pub found: [u64; ProbeResult::ALL.len()],
 }
 
 impl Counts {
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -198,7 +198,7 @@
             return;
         }
         self.track(target, segment, now, out);
-        self.counts.forwarded += 1;
+        self.counts.passed += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
@@ -214,7 +214,7 @@
             None => Unroutable::Unmarked,
         };
         match reason {
-            Unroutable::UnknownMark => self.counts.unknown_mark += 1,
+            Unroutable::UnknownMark => self.counts.unknown += 1,
             Unroutable::Unmarked => self.counts.unmarked += 1,
         }
         out.note(Note::Dropped { flow: segment.key, reason, mark: segment.mark });
@@ -300,7 +300,7 @@
             self.record_flow_end(target, flow.class);
         }
         self.drop_flow(&segment.key);
-        self.counts.forwarded += 1;
+        self.counts.passed += 1;
         self.send(target, &segment.key, bytes, out);
     }
 
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -230,8 +230,8 @@
             // mid-flow.
             let marked = self.catalog.entry_by_mark(Mark::new(target, key), key);
             if marked.is_some_and(|entry| entry.target.incarnation == target) {
-                self.counts.evacuated_avoided += u64::from(evacuated);
-                self.counts.warming_spared += u64::from(warming);
+                self.counts.avoided += u64::from(evacuated);
+                self.counts.spared += u64::from(warming);
                 let note = Note::Opened {
                     flow: *key,
                     target,
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -214,7 +214,7 @@
         let Some(entry) = self.catalog.entry(incarnation) else { return };
         let Some(service) = self.catalog.service(&entry.target.service) else { return };
         out.probe(&entry.target, &service.health);
-        self.counts.probes += 1;
+        self.counts.asked += 1;
         let instances = self.instance_count();
         if let Some(state) = self.states.get_mut(&incarnation) {
             state.health.record_probe(now);
@@ -230,7 +230,7 @@
         now: Millis,
         out: &mut impl Output,
     ) {
-        self.counts.probe_results[result as usize] += 1;
+        self.counts.found[result as usize] += 1;
         match result {
             ProbeResult::Answers => self.handle_answered_probe(target, now, out),
             ProbeResult::Declines => self.handle_declined_probe(target, now, out),
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -13,7 +13,7 @@
     instance.packet(middle(flow(1, FEED), unknown, 1001, 500, 100), 0);
 
     assert!(instance.out.sent.is_empty() && instance.out.resets.is_empty());
-    assert_eq!(instance.forwarder.counts().unknown_mark, 1);
+    assert_eq!(instance.forwarder.counts().unknown, 1);
 }
 
 #[test]
--- a/marked/tests/test_mark.rs
+++ b/marked/tests/test_mark.rs
@@ -58,7 +58,7 @@
 
     assert!(instance.out.sent.is_empty());
     assert!(instance.out.resets.is_empty());
-    assert_eq!(instance.forwarder.counts().unknown_mark, 1);
+    assert_eq!(instance.forwarder.counts().unknown, 1);
 }
 
 /// Guards against packets of a feed that reach a target of another service which took over the
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -247,7 +247,7 @@
 
     // Once at the probe's result, and once for the packet that the caller still sends.
     assert_eq!(started.out.resets, [(key, 500, Refusal::TargetLost); 2]);
-    assert_eq!(started.forwarder.counts().unknown_mark, 0);
+    assert_eq!(started.forwarder.counts().unknown, 0);
 }
 
 /// Guards against new flows to a target that is only known for its old flows, and against retaining
