--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -131,7 +131,7 @@
     pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.report {
-            Some(report) => load::Signal::Report(load::Report {
+            Some(report) => load::Signal::Report(load::LoadReport {
                 healthy: event.verdict == Verdict::Healthy,
                 draining: report.draining,
                 work: report.slots,
--- a/load/src/lib.rs
+++ b/load/src/lib.rs
@@ -32,6 +32,6 @@
 pub use crate::{
     counts::Counts,
     gate::Gate,
-    opening::{Closing, Opening, Report, ServiceSpec, Signal, TargetSpec, Verdict},
+    opening::{Closing, LoadReport, Opening, ServiceSpec, Signal, TargetSpec, Verdict},
     settings::Settings,
 };
--- a/load/src/opening.rs
+++ b/load/src/opening.rs
@@ -69,14 +69,14 @@
     /// The caller reset a flow of the target.
     Reset,
     /// The target's health and load endpoint answered.
-    Report(Report),
+    Report(LoadReport),
     /// The target's health and load endpoint did not answer.
     NoReport,
 }
 
 /// A target's report of its own health and load. It lags and may be wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Report {
+pub struct LoadReport {
     /// Whether the target reports itself as healthy.
     pub healthy: bool,
     /// Whether the target reports that it is draining.
--- a/load/src/placement.rs
+++ b/load/src/placement.rs
@@ -20,7 +20,7 @@
 //! - *A bad target keeps some work.* Otherwise its recovery would go unnoticed. Only a
 //!   leaving target gets none.
 
-use crate::opening::Report;
+use crate::opening::LoadReport;
 use medlarspur_lib::{bundle::TargetState, time::Millis};
 
 /// Weight of a target that has the full weight of the bundle.
@@ -165,7 +165,7 @@
     ended: f64,
     reset: f64,
     at: Millis,
-    report: Option<(Millis, Report)>,
+    report: Option<(Millis, LoadReport)>,
     factor: f64,
 }
 
@@ -229,12 +229,12 @@
     }
 
     /// Stores the target's report.
-    pub fn record_report(&mut self, now: Millis, report: Report) {
+    pub fn record_report(&mut self, now: Millis, report: LoadReport) {
         self.report = Some((now, report));
     }
 
     /// Returns the target's report if it is recent.
-    pub fn report(&self, now: Millis) -> Option<&Report> {
+    pub fn report(&self, now: Millis) -> Option<&LoadReport> {
         let (at, report) = self.report.as_ref()?;
         (now.since(*at) < REPORT_MAX_AGE).then_some(report)
     }
--- a/load/tests/model/host.rs
+++ b/load/tests/model/host.rs
@@ -1,7 +1,7 @@
 //! A simulated target: slots, a queue in front of them, and connections.
 
 use super::scene::Fault;
-use medlarspur_load::Report;
+use medlarspur_load::LoadReport;
 use std::collections::VecDeque;
 
 /// Work that an instance sent to a target.
@@ -19,7 +19,7 @@
     pub busy: u32,
     pub queue: VecDeque<Job>,
     /// What its endpoint reports.
-    pub report: Report,
+    pub report: LoadReport,
 }
 
 impl Host {
@@ -58,6 +58,6 @@
     }
 }
 
-fn report(work: u32, connections: u32) -> Report {
-    Report { healthy: true, draining: false, work, connections }
+fn report(work: u32, connections: u32) -> LoadReport {
+    LoadReport { healthy: true, draining: false, work, connections }
 }
--- a/load/tests/test_gate.rs
+++ b/load/tests/test_gate.rs
@@ -4,7 +4,7 @@
     time::Millis,
 };
 use medlarspur_load::{
-    Closing, Gate, Opening, Report, ServiceSpec, Settings, Signal, TargetSpec, Verdict,
+    Closing, Gate, LoadReport, Opening, ServiceSpec, Settings, Signal, TargetSpec, Verdict,
 };
 use std::net::Ipv4Addr;
 
@@ -118,7 +118,7 @@
     gate
 }
 
-const IDLE: Report = Report { healthy: true, draining: false, work: 0, connections: 0 };
+const IDLE: LoadReport = LoadReport { healthy: true, draining: false, work: 0, connections: 0 };
 
 /// Stations send small images that are stored in milliseconds. Under a spraying fabric an
 /// instance sees the end of one in four of the uploads that it admitted. With an assumed
--- a/load/tests/test_placement.rs
+++ b/load/tests/test_placement.rs
@@ -1,6 +1,6 @@
 use medlarspur_lib::{bundle::TargetState, time::Millis};
 use medlarspur_load::{
-    Report,
+    LoadReport,
     placement::{FULL_WEIGHT, TargetStats, TargetView, update_weights},
 };
 
@@ -33,8 +33,8 @@
     }
 }
 
-fn report(draining: bool) -> Report {
-    Report { healthy: true, draining, work: 0, connections: 0 }
+fn report(draining: bool) -> LoadReport {
+    LoadReport { healthy: true, draining, work: 0, connections: 0 }
 }
 
 #[test]
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -5,7 +5,8 @@
     time::Millis,
 };
 use medlarspur_load::{
-    Closing, Gate, Opening, Report, ServiceSpec, Settings, Signal, TargetSpec, Verdict, placement,
+    Closing, Gate, LoadReport, Opening, ServiceSpec, Settings, Signal, TargetSpec, Verdict,
+    placement,
     retry::{Decision, DecisionCache},
 };
 use proptest::prelude::*;
@@ -108,7 +109,7 @@
                     refused.remove(&flow);
                 }
                 Step::Report(target, work, connections, draining) => {
-                    let report = Report { healthy: true, draining, work, connections };
+                    let report = LoadReport { healthy: true, draining, work, connections };
                     gate.record_signal(now, ServiceIx(0), TargetIx(target), Signal::Report(report));
                 }
                 Step::Leave(target) => {
