--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -22,7 +22,7 @@
 };
 use medlarspur_peer::PeerHandle;
 use medlarspur_platform::{Event as PlatformEvent, ListedInstance, ListedState, Reader};
-use medlarspur_target::{Event as ProbeEvent, Prober, Verdict, is_prober};
+use medlarspur_target::{Event as ProbeEvent, HealthVerdict, Prober, is_prober};
 use rtrb::{Consumer, Producer};
 use snafu::Report;
 use std::{
@@ -123,7 +123,7 @@
     has_left: bool,
     last_tick: Option<Millis>,
     last_history_request: Option<Millis>,
-    verdicts: Map<TargetName, Verdict>,
+    verdicts: Map<TargetName, HealthVerdict>,
     last_plan: Millis,
     shared: &'a Shared,
 }
@@ -339,7 +339,7 @@
             return;
         }
         let is_unhealthy = |name: &TargetName| {
-            self.verdicts.get(name).is_some_and(|verdict| *verdict != Verdict::Healthy)
+            self.verdicts.get(name).is_some_and(|verdict| *verdict != HealthVerdict::Healthy)
         };
         let unhealthy = probed.map(|target| target.name.clone()).filter(is_unhealthy).collect();
         let Some(moves) = planner::avoid_targets(spec, &unhealthy) else { return };
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -19,7 +19,7 @@
     collections::Map,
     control::STALE_TIME,
     flows::{Certainty, Flow, FlowMap},
-    forwarder::{Gate, Opening, Verdict as Opened},
+    forwarder::{Gate, Opening, Verdict},
     ids::{FlowId, ServiceIx, TargetIx, TargetName},
     members::MemberState,
     time::Millis,
@@ -27,7 +27,7 @@
 };
 use medlarspur_load as load;
 use medlarspur_operator::{ClassMeters, Meters};
-use medlarspur_target::{Event, Verdict};
+use medlarspur_target::{Event, HealthVerdict};
 use std::{sync::Arc, time::Duration};
 
 /// Retry delay given to a refused caller while none has been estimated.
@@ -132,7 +132,7 @@
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.report {
             Some(report) => load::Signal::Report(load::LoadReport {
-                healthy: event.verdict == Verdict::Healthy,
+                healthy: event.verdict == HealthVerdict::Healthy,
                 draining: report.draining,
                 work: report.slots,
                 connections: report.connections,
@@ -202,9 +202,9 @@
 }
 
 impl Gate for LoadGate {
-    fn open(&mut self, now: Millis, opening: &Opening) -> Opened {
+    fn open(&mut self, now: Millis, opening: &Opening) -> Verdict {
         let Some(&(service, target)) = self.positions.get(&opening.target) else {
-            return Opened::Refuse { after: DEFAULT_RETRY_AFTER };
+            return Verdict::Refuse { after: DEFAULT_RETRY_AFTER };
         };
         let Opening { flow, caller, class, .. } = *opening;
         let verdict = self.gate.open(now, &load::Opening { flow, caller, service, class, target });
@@ -215,7 +215,7 @@
         convert_verdict(verdict)
     }
 
-    fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Opened)>) {
+    fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Verdict)>) {
         self.gate.collect_verdicts(now, &mut self.decided);
         for (flow, verdict) in std::mem::take(&mut self.decided) {
             self.record_wait(now, flow, verdict);
@@ -299,11 +299,11 @@
     Duration::from_millis(millis.0)
 }
 
-fn convert_verdict(verdict: load::Verdict) -> Opened {
+fn convert_verdict(verdict: load::Verdict) -> Verdict {
     match verdict {
-        load::Verdict::Admit => Opened::Admit,
-        load::Verdict::Wait { .. } => Opened::Wait,
-        load::Verdict::Refuse { after } => Opened::Refuse { after },
+        load::Verdict::Admit => Verdict::Admit,
+        load::Verdict::Wait { .. } => Verdict::Wait,
+        load::Verdict::Refuse { after } => Verdict::Refuse { after },
     }
 }
 
--- a/targets/src/lib.rs
+++ b/targets/src/lib.rs
@@ -18,7 +18,7 @@
 pub use http::{Http, LoadReport};
 pub use prober::{Counts, Event, Prober, ProberError};
 pub use schedule::{INTERVAL, Job, Next, Schedule, VerdictChange};
-pub use verdict::{HealthTracker, Outcome, Verdict};
+pub use verdict::{HealthTracker, HealthVerdict, Outcome};
 
 use std::time::Duration;
 
--- a/targets/src/prober.rs
+++ b/targets/src/prober.rs
@@ -1,6 +1,8 @@
 //! Threads that probe targets.
 
-use crate::{Answer, Job, LoadReport, Next, Outcome, Probe, Schedule, Verdict, VerdictChange};
+use crate::{
+    Answer, HealthVerdict, Job, LoadReport, Next, Outcome, Probe, Schedule, VerdictChange,
+};
 use medlarspur_lib::{ids::TargetName, time::Millis};
 use snafu::{ResultExt, Snafu};
 use std::{
@@ -25,7 +27,7 @@
     /// The target.
     pub target: TargetName,
     /// Verdict from the last few answers.
-    pub verdict: Verdict,
+    pub verdict: HealthVerdict,
     /// Load that the target reported, if any.
     pub report: Option<LoadReport>,
     /// Response time of the health endpoint.
@@ -198,7 +200,7 @@
     }
 
     /// Sends an event without blocking. Returns whether the channel is still open.
-    fn send_event(&self, target: TargetName, verdict: Verdict, answer: Answer) -> bool {
+    fn send_event(&self, target: TargetName, verdict: HealthVerdict, answer: Answer) -> bool {
         let event = Event { target, verdict, report: answer.report, elapsed: answer.elapsed };
         match self.events.try_send(event) {
             Ok(()) => true,
--- a/targets/src/schedule.rs
+++ b/targets/src/schedule.rs
@@ -1,6 +1,6 @@
 //! Schedule of probes, without a clock or threads.
 
-use crate::verdict::{HealthTracker, Outcome, Verdict};
+use crate::verdict::{HealthTracker, HealthVerdict, Outcome};
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 use std::net::SocketAddrV4;
 
@@ -96,7 +96,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VerdictChange {
     /// Verdict before the outcome.
-    pub before: Option<Verdict>,
+    pub before: Option<HealthVerdict>,
     /// Verdict that includes the outcome.
-    pub verdict: Option<Verdict>,
+    pub verdict: Option<HealthVerdict>,
 }
--- a/targets/src/verdict.rs
+++ b/targets/src/verdict.rs
@@ -29,7 +29,7 @@
 /// No verdict ends a flow: the endpoint may be down while the service works, and TCP connections
 /// survive a network partition of minutes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum HealthVerdict {
     /// The target accepts new work.
     Healthy,
     /// The target reports that it should get no new work.
@@ -45,45 +45,45 @@
 pub struct HealthTracker {
     /// The last answers, newest in the lowest bit. A bad answer is 1.
     window: u32,
-    verdict: Option<Verdict>,
+    verdict: Option<HealthVerdict>,
 }
 
 impl HealthTracker {
     /// Records an answer and returns the verdict, or `None` while there are too few answers for
     /// one. The first good answer suffices for a first verdict, since nothing indicates a fault of
     /// the target.
-    pub fn record(&mut self, outcome: Outcome) -> Option<Verdict> {
+    pub fn record(&mut self, outcome: Outcome) -> Option<HealthVerdict> {
         let is_bad = outcome != Outcome::Healthy;
         self.window = (self.window << 1 | u32::from(is_bad)) & ((1 << WINDOW) - 1);
         let count = self.window.count_ones();
         match self.verdict {
-            Some(Verdict::Healthy) if count >= BAD_THRESHOLD => {
+            Some(HealthVerdict::Healthy) if count >= BAD_THRESHOLD => {
                 self.verdict = Some(outcome.verdict())
             }
-            Some(Verdict::Healthy) => {}
-            None if !is_bad => self.verdict = Some(Verdict::Healthy),
+            Some(HealthVerdict::Healthy) => {}
+            None if !is_bad => self.verdict = Some(HealthVerdict::Healthy),
             None if count >= BAD_THRESHOLD => self.verdict = Some(outcome.verdict()),
             None => {}
             Some(_) if is_bad => self.verdict = Some(outcome.verdict()),
-            Some(_) if count <= GOOD_THRESHOLD => self.verdict = Some(Verdict::Healthy),
+            Some(_) if count <= GOOD_THRESHOLD => self.verdict = Some(HealthVerdict::Healthy),
             Some(_) => {}
         }
         self.verdict
     }
 
     /// The current verdict.
-    pub fn verdict(&self) -> Option<Verdict> {
+    pub fn verdict(&self) -> Option<HealthVerdict> {
         self.verdict
     }
 }
 
 impl Outcome {
-    fn verdict(self) -> Verdict {
+    fn verdict(self) -> HealthVerdict {
         match self {
-            Outcome::Healthy => Verdict::Healthy,
-            Outcome::Unhealthy => Verdict::Unhealthy,
-            Outcome::Unreachable => Verdict::Unreachable,
-            Outcome::Refused => Verdict::Refused,
+            Outcome::Healthy => HealthVerdict::Healthy,
+            Outcome::Unhealthy => HealthVerdict::Unhealthy,
+            Outcome::Unreachable => HealthVerdict::Unreachable,
+            Outcome::Refused => HealthVerdict::Refused,
         }
     }
 }
--- a/targets/tests/test_prober.rs
+++ b/targets/tests/test_prober.rs
@@ -1,5 +1,5 @@
 use medlarspur_lib::{ids::TargetName, time::Millis};
-use medlarspur_target::{Answer, Event, LoadReport, Outcome, Probe, Prober, Verdict};
+use medlarspur_target::{Answer, Event, HealthVerdict, LoadReport, Outcome, Probe, Prober};
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     sync::mpsc::{RecvTimeoutError, sync_channel},
@@ -38,8 +38,8 @@
     let report = Some(LoadReport { slots: 1, connections: 5, draining: false });
     let elapsed = Duration::from_millis(3);
     let target = TargetName::new("good");
-    assert_eq!(first, Event { target, verdict: Verdict::Healthy, report, elapsed });
-    assert_eq!((gone.verdict, gone.report), (Verdict::Refused, None));
+    assert_eq!(first, Event { target, verdict: HealthVerdict::Healthy, report, elapsed });
+    assert_eq!((gone.verdict, gone.report), (HealthVerdict::Refused, None));
     assert!(prober.counts().refused >= 3);
 }
 
--- a/targets/tests/test_schedule.rs
+++ b/targets/tests/test_schedule.rs
@@ -1,5 +1,5 @@
 use medlarspur_lib::{ids::TargetName, time::Millis};
-use medlarspur_target::{INTERVAL, Job, Next, Outcome, Schedule, Verdict};
+use medlarspur_target::{HealthVerdict, INTERVAL, Job, Next, Outcome, Schedule};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 fn job(name: &str, port: u16) -> Job {
@@ -43,8 +43,8 @@
     schedule.set_targets([job("b", 2), job("a", 1)].into_iter(), Millis(5));
     let change = schedule.record_outcome(&job("a", 1), Outcome::Refused).unwrap();
 
-    assert_eq!(change.before, Some(Verdict::Healthy));
-    assert_eq!(change.verdict, Some(Verdict::Healthy));
+    assert_eq!(change.before, Some(HealthVerdict::Healthy));
+    assert_eq!(change.verdict, Some(HealthVerdict::Healthy));
 }
 
 /// Guards against attributing a failure of the old host to the new one: the target moves to another
--- a/targets/tests/test_verdict.rs
+++ b/targets/tests/test_verdict.rs
@@ -1,7 +1,7 @@
-use medlarspur_target::{HealthTracker, Outcome, Verdict};
+use medlarspur_target::{HealthTracker, HealthVerdict, Outcome};
 use proptest::prelude::*;
 
-fn record(tracker: &mut HealthTracker, outcomes: &[Outcome]) -> Vec<Option<Verdict>> {
+fn record(tracker: &mut HealthTracker, outcomes: &[Outcome]) -> Vec<Option<HealthVerdict>> {
     outcomes.iter().map(|&it| tracker.record(it)).collect()
 }
 
@@ -18,7 +18,7 @@
 fn first_good_answer_suffices_for_a_verdict() {
     let mut tracker = HealthTracker::default();
 
-    assert_eq!(tracker.record(Outcome::Healthy), Some(Verdict::Healthy));
+    assert_eq!(tracker.record(Outcome::Healthy), Some(HealthVerdict::Healthy));
 }
 
 #[test]
@@ -27,7 +27,7 @@
 
     let verdicts = record(&mut tracker, &[Outcome::Refused, Outcome::Refused, Outcome::Refused]);
 
-    assert_eq!(verdicts, [None, None, Some(Verdict::Refused)]);
+    assert_eq!(verdicts, [None, None, Some(HealthVerdict::Refused)]);
 }
 
 /// Guards against moving work away because of a few late answers, for example during a garbage
@@ -40,7 +40,7 @@
     let verdicts =
         record(&mut tracker, &[good, late, late, good, good, good, late, good, good, late]);
 
-    assert!(verdicts.iter().all(|it| *it == Some(Verdict::Healthy)));
+    assert!(verdicts.iter().all(|it| *it == Some(HealthVerdict::Healthy)));
 }
 
 /// Guards against following each answer of an endpoint that alternates between good and bad: new
@@ -65,8 +65,8 @@
 
     let verdicts = record(&mut tracker, &[Outcome::Healthy; 4]);
 
-    let refused = Some(Verdict::Refused);
-    assert_eq!(verdicts, [refused, refused, refused, Some(Verdict::Healthy)]);
+    let refused = Some(HealthVerdict::Refused);
+    assert_eq!(verdicts, [refused, refused, refused, Some(HealthVerdict::Healthy)]);
 }
 
 proptest! {
