--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -142,7 +142,7 @@
             self.roster.merge(now, sender);
             return;
         }
-        self.start.note_peer();
+        self.start.record_peer();
         self.merge_members(now, heartbeat);
         let to = sender.addresses.control;
         self.record_contact(now, &sender.name, heartbeat.members, to);
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -246,7 +246,7 @@
     }
 
     fn platform_bundle(&mut self, text: &str) {
-        self.start.note_platform();
+        self.start.record_platform();
         let offered = self.spread.offer(text);
         self.handle_offer(offered);
     }
--- a/lib/src/control/start.rs
+++ b/lib/src/control/start.rs
@@ -32,12 +32,12 @@
     }
 
     /// Records that the platform answered.
-    pub(super) fn note_platform(&mut self) {
+    pub(super) fn record_platform(&mut self) {
         self.platform = true;
     }
 
     /// Records that a peer answered.
-    pub(super) fn note_peer(&mut self) {
+    pub(super) fn record_peer(&mut self) {
         self.peers = true;
     }
 
--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -124,7 +124,7 @@
     /// Otherwise these buckets would be reported as empty until the next scan,
     /// and all who ask would send their unknown flows to the present owner from
     /// then on.
-    pub(super) fn note_advert(&mut self, view: &View, advert: &Advert) {
+    pub(super) fn record_advert(&mut self, view: &View, advert: &Advert) {
         let Some(service) = view.service(&advert.service) else { return };
         if let Some(scan) = self.scans.get_mut(&advert.service) {
             scan.buckets.extend(advert.flows.iter().map(|(id, _)| service.bucket(*id)));
--- a/lib/src/forwarder/peers.rs
+++ b/lib/src/forwarder/peers.rs
@@ -58,7 +58,7 @@
                 self.flows.record(*id, Flow::new(target, Certainty::Advertised, Class::Feed, now));
             }
         }
-        self.keeper.note_advert(view, advert);
+        self.keeper.record_advert(view, advert);
         self.keeper.record_progress(advert);
     }
 }
