--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -172,7 +172,7 @@
         let at = target(nth % 700 + 700 * (nth % 8), 0).incarnation;
         let mark = Some(Mark::new(at, &key));
         let seq = 1_000 + round * 100;
-        Segment { key, kind: Kind::Middle, seq, ack: 1, len: 100, mark }
+        Segment { key, kind: Kind::Continue, seq, ack: 1, len: 100, mark }
     };
     let all: Vec<Segment> = (0..flows).map(|nth| segment(nth, 0)).collect();
     for segment in &all {
--- a/marked/src/fleet/heartbeats.rs
+++ b/marked/src/fleet/heartbeats.rs
@@ -55,7 +55,7 @@
         // Within a domain, readers propagate everything that they know. An instance that starts or
         // can't reach the store pulls from any domain.
         let is_starting = known == Revision::default();
-        let is_cut_off = self.is_reading() && self.last_answer.is_none();
+        let lacks_store = self.is_reading() && self.last_answer.is_none();
         if heartbeat.revision <= known || !self.is_credible(heartbeat.revision, known) {
             return;
         }
@@ -63,12 +63,12 @@
         // was given a wrong era by mistake would otherwise pass it on to all listeners.
         let is_from_reader = heartbeat.role == Role::Reader && heartbeat.answer_age.is_some();
         let is_later = heartbeat.revision.era > known.era;
-        if is_later && !(is_starting || is_cut_off || is_from_reader) {
+        if is_later && !(is_starting || lacks_store || is_from_reader) {
             return;
         }
         if is_starting {
             self.schedule_first_pull(from, &heartbeat.contacts, now);
-        } else if heartbeat.domain == self.domain || is_cut_off {
+        } else if heartbeat.domain == self.domain || lacks_store {
             self.schedule_pull(from, heartbeat.revision, now + PROPAGATION_DELAY);
         }
     }
--- a/marked/src/fleet/spread.rs
+++ b/marked/src/fleet/spread.rs
@@ -46,13 +46,13 @@
         }
         let seats = self.assigns_seats(now).then(|| domain.len() as u32 + 1);
         let first = seats.map(|count| Seat { position: 0, count });
-        self.spread(self.address, &update, domain, first);
+        self.send_branches(self.address, &update, domain, first);
         true
     }
 
     /// Sends an update to a few instances, each with a branch of the others to forward it to. The
     /// first of all instances gets the seat `first`, and the others get the seats that follow.
-    fn spread(
+    fn send_branches(
         &mut self,
         reader: SocketAddrV4,
         update: &Update,
@@ -91,7 +91,7 @@
         others.retain(|it| *it != self.address);
         others.truncate(MAX_PEERS);
         let next = seat.map(|seat| Seat { position: seat.position.saturating_add(1), ..seat });
-        self.spread(reader, &update, others, next);
+        self.send_branches(reader, &update, others, next);
         let known = catalog.revision();
         if update.revision <= known || !self.is_credible(update.revision, known) {
             return None;
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -176,12 +176,12 @@
         }
         match segment.kind {
             Kind::Open => self.handle_open(segment, bytes, now, out),
-            Kind::Middle => self.handle_middle(segment, bytes, now, out),
+            Kind::Continue => self.handle_continue(segment, bytes, now, out),
             Kind::Close | Kind::Abort => self.handle_close(segment, bytes, now, out),
         }
     }
 
-    fn handle_middle(
+    fn handle_continue(
         &mut self,
         segment: &Segment,
         bytes: &[u8],
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -189,7 +189,7 @@
         let Some(state) = self.states.get_mut(&target) else { return };
         state.late_unanswered = true;
         if state.health.suspect_opening(sent, now) {
-            out.note(Note::Doubted { target, flow, silent: now.since(sent) });
+            out.note(Note::Suspected { target, flow, silent: now.since(sent) });
             self.probe(target, now, out);
         }
     }
@@ -205,7 +205,7 @@
         if let Some(state) = self.states.get_mut(&target) {
             state.suspected_at = Some(now);
         }
-        out.note(Note::Doubted { target, flow, silent: now.since(sent) });
+        out.note(Note::Suspected { target, flow, silent: now.since(sent) });
         self.probe(target, now, out);
     }
 
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -70,7 +70,7 @@
         mark: Option<Mark>,
     },
     /// A target is suspected and probed.
-    Doubted {
+    Suspected {
         /// The suspected target.
         target: Incarnation,
         /// Flow whose packet was not answered.
@@ -192,8 +192,8 @@
     Reset,
     /// [`Note::Dropped`].
     Dropped,
-    /// [`Note::Doubted`].
-    Doubted,
+    /// [`Note::Suspected`].
+    Suspected,
     /// [`Note::Lost`], [`Note::Regained`], [`Note::Full`] and [`Note::Vacant`].
     Reach,
     /// [`Note::Entry`], [`Note::Config`], [`Note::Evacuated`], [`Note::EvacuationEnded`],
@@ -209,7 +209,7 @@
         NoteKind::Moved,
         NoteKind::Reset,
         NoteKind::Dropped,
-        NoteKind::Doubted,
+        NoteKind::Suspected,
         NoteKind::Reach,
         NoteKind::News,
     ];
@@ -222,7 +222,7 @@
             NoteKind::Moved => "moved",
             NoteKind::Reset => "reset",
             NoteKind::Dropped => "dropped",
-            NoteKind::Doubted => "doubted",
+            NoteKind::Suspected => "doubted",
             NoteKind::Reach => "reach",
             NoteKind::News => "news",
         }
@@ -241,7 +241,7 @@
             Note::Moved { .. } => NoteKind::Moved,
             Note::Reset { .. } => NoteKind::Reset,
             Note::Dropped { .. } => NoteKind::Dropped,
-            Note::Doubted { .. } => NoteKind::Doubted,
+            Note::Suspected { .. } => NoteKind::Suspected,
             Note::Lost { .. } | Note::Regained { .. } => NoteKind::Reach,
             Note::Full { .. } | Note::Vacant { .. } => NoteKind::Reach,
             Note::Entry { .. } | Note::Config { .. } => NoteKind::News,
@@ -258,7 +258,7 @@
             Note::Moved { .. } => "flow moved",
             Note::Reset { .. } => "flow reset",
             Note::Dropped { .. } => "packet dropped",
-            Note::Doubted { .. } => "target doubted",
+            Note::Suspected { .. } => "target doubted",
             Note::Lost { .. } => "target lost",
             Note::Regained { .. } => "target regained",
             Note::Full { .. } => "target full",
@@ -305,7 +305,7 @@
                 fields.extend(mark.map(|it| ("mark", format!("{:08x}", it.to_wire()))));
                 fields
             }
-            Note::Doubted { target, flow, silent } => vec![
+            Note::Suspected { target, flow, silent } => vec![
                 ("target", name(*target)),
                 ("silent_ms", silent.to_string()),
                 ("flow", flow.to_string()),
--- a/marked/src/segment.rs
+++ b/marked/src/segment.rs
@@ -24,7 +24,7 @@
     /// Opens the flow, like a SYN.
     Open,
     /// Belongs to a flow that was opened earlier.
-    Middle,
+    Continue,
     /// Ends the caller's data, like a FIN.
     Close,
     /// Aborts the flow, like an RST.
--- a/marked/tests/fixtures.rs
+++ b/marked/tests/fixtures.rs
@@ -242,5 +242,5 @@
 /// A packet in mid-flow, with the mark of `target`.
 pub fn middle(key: FlowKey, target: Incarnation, seq: u32, ack: u32, len: u16) -> Segment {
     let mark = Some(Mark::new(target, &key));
-    Segment { key, kind: Kind::Middle, seq, ack, len, mark }
+    Segment { key, kind: Kind::Continue, seq, ack, len, mark }
 }
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -20,7 +20,7 @@
 fn a_packet_in_mid_flow_without_a_mark_is_dropped() {
     let mut instance = Instance::new(&[target(1, "desk")]);
 
-    instance.packet(segment(flow(1, FEED), Kind::Middle), 0);
+    instance.packet(segment(flow(1, FEED), Kind::Continue), 0);
 
     assert!(instance.out.sent.is_empty() && instance.out.resets.is_empty());
     assert_eq!(instance.forwarder.counts().unmarked, 1);
--- a/marked/tests/test_mark.rs
+++ b/marked/tests/test_mark.rs
@@ -54,7 +54,7 @@
 
     let upload = flow(40_002, UPLOAD);
     let copied = Some(Mark::new(desk, &feed));
-    instance.packet(Segment { mark: copied, len: 10, ..segment(upload, Kind::Middle) }, 20);
+    instance.packet(Segment { mark: copied, len: 10, ..segment(upload, Kind::Continue) }, 20);
 
     assert!(instance.out.sent.is_empty());
     assert!(instance.out.resets.is_empty());
--- a/marked/tests/test_properties.rs
+++ b/marked/tests/test_properties.rs
@@ -71,7 +71,7 @@
             instance.out.sent.clear();
             match step {
                 Step::Packet { caller, port, kind, seq, ack, len, echo } => {
-                    let kinds = [Kind::Open, Kind::Middle, Kind::Close, Kind::Abort];
+                    let kinds = [Kind::Open, Kind::Continue, Kind::Close, Kind::Abort];
                     let (key, kind) = (flow(caller, service(port)), kinds[usize::from(kind)]);
                     let mark = Mark::from_wire(echo);
                     instance.packet(Segment { key, kind, seq, ack, len, mark }, now);
@@ -85,7 +85,7 @@
                     let key = flow(caller, service(port));
                     let at = numbered(target).incarnation;
                     let mark = Some(Mark::new(at, &key));
-                    let segment = Segment { key, kind: Kind::Middle, seq, ack: 1, len, mark };
+                    let segment = Segment { key, kind: Kind::Continue, seq, ack: 1, len, mark };
                     instance.packet(segment, now);
                     // A flow whose sequence numbers continue may be known to be open at another
                     // target.
