--- a/load/src/callers.rs
+++ b/load/src/callers.rs
@@ -6,7 +6,7 @@
 //! The caller's network (its /24), which holds a customer's devices, is used instead.
 //!
 //! The counts are a count-min sketch over two windows. It never counts too low. With
-//! [`ROW_CELLS`] cells and two rows, the mean error is below one ten-thousandth of all
+//! `ROW_CELLS` cells and two rows, the mean error is below one ten-thousandth of all
 //! openings, so it affects only callers close to the limit.
 
 use crate::random::mix;
--- a/load/src/limit.rs
+++ b/load/src/limit.rs
@@ -14,7 +14,7 @@
 //! otherwise. The limit never falls below the instance's share of the targets' slots, so
 //! that a target that is slow for another reason is not left idle. A service whose work
 //! always takes most of its objective differs from one with queues in the amount of work in
-//! flight ([`QUEUED_FACTOR`]) and in its answer times without queues ([`CALM_FACTOR`]).
+//! flight (`QUEUED_FACTOR`) and in its answer times without queues (`CALM_FACTOR`).
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 
--- a/load/src/placement.rs
+++ b/load/src/placement.rs
@@ -6,15 +6,15 @@
 //! keep wrong advice harmless:
 //!
 //! - *Observations outweigh reports.* A target's report of its load can only lower its
-//!   weight, and only to [`MIN_REPORTED_FACTOR`]. If it could raise the weight, a target
+//!   weight, and only to `MIN_REPORTED_FACTOR`. If it could raise the weight, a target
 //!   that always reports *idle* would attract all work. If it could lower it freely, one
 //!   that always reports *full* would push its work onto the others.
 //! - *Targets are compared with each other.* Times count relative to the median of the
 //!   service. When most targets look bad at once, the cause lies elsewhere (a network, a
 //!   database behind all of them), and removing some would overload the rest. Then none is
 //!   removed.
-//! - *Weights change slowly.* A weight falls by at most [`MAX_DECREASE`] and rises by at
-//!   most [`MAX_INCREASE`] a second, and does not change for small differences. Otherwise
+//! - *Weights change slowly.* A weight falls by at most `MAX_DECREASE` and rises by at
+//!   most `MAX_INCREASE` a second, and does not change for small differences. Otherwise
 //!   all instances would leave a slow target at once and return at once, and the weights
 //!   would oscillate with the period of the reports.
 //! - *A bad target keeps some work.* Otherwise its recovery would go unnoticed. Only a
@@ -134,7 +134,7 @@
 
     /// Returns the mean, or an estimate that starts from `initial` while samples are few.
     ///
-    /// `initial` counts as much as [`INITIAL_WEIGHT`] hold times. The average is taken over
+    /// `initial` counts as much as `INITIAL_WEIGHT` hold times. The average is taken over
     /// logarithms, because `initial` may be wrong by three orders of magnitude. Under a
     /// spraying fabric an instance sees the ends of few flows that it admitted. If it used
     /// `initial` until it had enough samples, it would take most of a minute to admit short
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -10,10 +10,12 @@
 //!   cost callers.
 //! - A reader that knows two others with smaller addresses stops reading.
 //!
-//! Updates spread through a domain as a tree. The reader sends an update to a few instances, each
-//! of which forwards it to a part of the others, so that no instance sends more than
-//! `FANOUT` copies ([`spread`]). An update names the revision that the receiver must already
-//! know; an instance that lacks changes pulls them.
+//! Updates spread through a domain as a tree ([`spread`]). The reader sends an update to a few
+//! instances, each of which forwards it to a part of the others. An instance sends it to at most
+//! `FANOUT` others, or, in domains so large that a branch would exceed `MAX_BRANCH` instances, to
+//! one for each branch of that size. An incremental update that does not fit into a datagram is
+//! split, and each receiver gets one datagram for each part. An update names the revision that
+//! the receiver must already know; an instance that lacks changes pulls them.
 //!
 //! All knowledge is local. After a network partition within a domain, each part has its own
 //! readers, and later the parts merge their catalogs by revision.
