--- a/lib/src/forwarder/keeping.rs
+++ b/lib/src/forwarder/keeping.rs
@@ -76,7 +76,7 @@
     /// otherwise they are orphans for as long as a flow may be silent.
     ///
     /// Returns whether an instance came back that was absent and had not
-    /// restarted: the two were cut off from each other.
+    /// restarted: the two were partitioned.
     pub(super) fn update_members(&mut self, view: &View, now: Millis) -> bool {
         self.started.get_or_insert(now);
         let incarnations: Map<_, _> =
@@ -122,8 +122,8 @@
 
     /// Records the buckets of exceptions that arrived after the last scan.
     /// Otherwise these buckets would be reported as empty until the next scan,
-    /// and all who ask would send their unknown flows to the present owner from
-    /// then on.
+    /// and all instances that ask would send their unknown flows to the present
+    /// owner from then on.
     pub(super) fn record_advert(&mut self, view: &View, advert: &Advert) {
         let Some(service) = view.service(&advert.service) else { return };
         if let Some(scan) = self.scans.get_mut(&advert.service) {
@@ -132,7 +132,7 @@
     }
 
     /// Records the bucket of an exception that this instance found itself.
-    pub(super) fn note_exception(&mut self, ctx: &Context<'_>) {
+    pub(super) fn record_exception(&mut self, ctx: &Context<'_>) {
         if let Some(scan) = self.scans.get_mut(&ctx.service.spec.name) {
             scan.buckets.insert(ctx.service.bucket(ctx.id));
         }
--- a/lib/src/forwarder/opening.rs
+++ b/lib/src/forwarder/opening.rs
@@ -90,7 +90,7 @@
         let mut flow = Flow::new(target, certainty, ctx.class, now);
         flow.closing = matches!(packet.kind(), PacketKind::Close | PacketKind::Abort);
         if ctx.bucket().owner != Some(target) {
-            self.keeper.note_exception(ctx);
+            self.keeper.record_exception(ctx);
         }
         self.flows.record(ctx.id, flow);
         self.send_to_target(packet.bytes(), target, ctx, sink);
