--- a/fabric/src/batch.rs
+++ b/fabric/src/batch.rs
@@ -10,7 +10,7 @@
 /// 1,500 bytes, plus what the fabric adds.
 pub const MAX_DATAGRAM: usize = 2048;
 
-/// Up to [`MAX_BATCH`] received datagrams.
+/// Received datagrams, at most [`MAX_BATCH`].
 #[derive(Debug)]
 pub struct Batch {
     pub(crate) buffer: Box<[u8]>,
--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -166,7 +166,8 @@
 
     fn record_contact(&mut self, now: Millis, name: &InstanceName, digest: u64, to: SocketAddrV4) {
         let differs = self.roster.record_contact(now, name, digest);
-        // A starting instance knows nobody and doesn't wait for rumours.
+        // A starting instance knows no other member and doesn't wait for
+        // rumours.
         if differs || !self.is_ready() {
             self.request_members(now, digest, to);
         }
--- a/lib/src/flows.rs
+++ b/lib/src/flows.rs
@@ -9,8 +9,8 @@
 use hashbrown::{HashMap, hash_map::Entry};
 use std::hash::{BuildHasherDefault, Hasher};
 
-/// How certain an instance is of a flow's target. When two entries of a flow
-/// are merged, the more certain one wins, in whatever order they come.
+/// Certainty of an instance about a flow's target. When two entries of a flow
+/// are merged, the more certain one wins, in any order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Certainty {
     /// No instance knew the flow; it was sent to the bucket's earlier owner.
@@ -37,10 +37,10 @@
     pub fresh: bool,
     /// The flow's class.
     pub class: Class,
-    /// When a packet of the flow last passed here or an advert named it, in
-    /// [`TICK`]s.
+    /// Time at which a packet of the flow last passed here or an advert named
+    /// it, in [`TICK`]s.
     last_seen: u32,
-    /// When the flow was first recorded here, in [`TICK`]s.
+    /// Time at which the flow was first recorded here, in [`TICK`]s.
     first_seen: u32,
 }
 
--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -131,8 +131,8 @@
 
     /// Queues the exceptions of the `wanted` services. Flows that this instance
     /// knows only from adverts are passed on only for services whose keepers
-    /// have changed (`moved`): their openers may be gone, and then nobody else
-    /// would advertise them to the new keepers.
+    /// have changed (`moved`): their openers may be gone, and then no other
+    /// instance would advertise them to the new keepers.
     fn queue_exceptions(
         &mut self,
         view: &View,
--- a/lib/src/forwarder/counters.rs
+++ b/lib/src/forwarder/counters.rs
@@ -30,8 +30,8 @@
     pub asked: u64,
     /// Of the flows asked about, those whose target a peer knew.
     pub found: u64,
-    /// Of the flows asked about, those that a keeper and all others who were
-    /// asked reported as no exception.
+    /// Of the flows asked about, those that a keeper reported as no exception
+    /// and no other instance that was asked knew.
     pub denied: u64,
     /// Of the flows asked about, those sent to an earlier owner on a guess.
     pub guessed: u64,
@@ -47,7 +47,7 @@
     pub syn_with_data: u64,
     /// Openings dropped after a sleep; their callers retransmit them.
     pub after_sleep: u64,
-    /// Times that instances which had been cut off came back.
+    /// Number of times that instances came back after a partition.
     pub healed: u64,
     /// Times that the process detected that it had slept.
     pub slept: u64,
--- a/lib/src/forwarder/gate.rs
+++ b/lib/src/forwarder/gate.rs
@@ -42,8 +42,7 @@
     /// Decides on an opening.
     fn open(&mut self, now: Millis, opening: &Opening) -> Verdict;
 
-    /// Decides on the waiting openings whose time has come, and appends the
-    /// decisions to `decided`.
+    /// Appends to `decided` the decisions on the waiting openings that are due.
     fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Verdict)>);
 
     /// Returns the time after which a caller that is refused now may try again.
--- a/lib/src/forwarder/held.rs
+++ b/lib/src/forwarder/held.rs
@@ -190,8 +190,8 @@
         self.adverts.push_exception(view, id, target);
     }
 
-    /// Ends a lookup that found no target. `complete` says that all who were
-    /// asked have answered.
+    /// Ends a lookup that found no target. `complete` says that all instances
+    /// that were asked have answered.
     fn finish_lookup(
         &mut self,
         view: &View,
@@ -250,7 +250,7 @@
         }
     }
 
-    /// Rule 4: sends a packet whose flow nobody knows to an earlier owner.
+    /// Rule 4: sends a packet whose flow no instance knows to an earlier owner.
     fn send_to_earlier_owner(
         &mut self,
         now: Millis,
--- a/lib/src/forwarder/mod.rs
+++ b/lib/src/forwarder/mod.rs
@@ -13,9 +13,9 @@
 //! 3. For an unknown flow in a bucket that has moved, the instances that may
 //!    know it are asked, while its packets are held for [`ASK_TIMEOUT`] at
 //!    most.
-//! 4. If nobody knows the flow, a packet in mid-flow goes to the earlier owner,
-//!    because long feeds are worth most, and an opening goes to the present
-//!    owner.
+//! 4. If no instance knows the flow, a packet in mid-flow goes to the earlier
+//!    owner, because long feeds are worth most, and an opening goes to the
+//!    present owner.
 //!
 //! A target is used only if it belongs to the service that the packet is
 //! addressed to. This is checked where packets leave, for all rules.
@@ -73,7 +73,7 @@
 const MISSED_KEEPALIVES: u64 = 4;
 
 /// Time after a start or a sleep during which peers are asked about every
-/// unknown flow. A move that the others have not carried out yet is in nobody's
+/// unknown flow. A move that the others have not carried out yet is in no
 /// history, for [`PENDING_LIMIT`] at most. The heartbeat that shows the
 /// difference follows within a second, and the request for the history may wait
 /// another second.
@@ -157,7 +157,7 @@
 
     /// Installs the next view.
     pub fn install(&mut self, view: Arc<View>, now: Millis) {
-        // Until instances that were cut off have exchanged the moves made
+        // Until both sides of a healed partition have exchanged the moves made
         // meanwhile, the view of either side is out of date for the other's
         // flows.
         if self.keeper.update_members(&view, now) {
--- a/lib/src/members/neighbours.rs
+++ b/lib/src/members/neighbours.rs
@@ -2,8 +2,8 @@
 //! sends heartbeats.
 //!
 //! If all sent to all, the control traffic of an instance would grow with the
-//! fleet. If the neighbours were drawn at random alone, some member would be
-//! watched by nobody, and its death would go unnoticed. So successors in two
+//! fleet. If the neighbours were drawn at random alone, some member would have
+//! no watcher, and its death would go unnoticed. So successors in two
 //! rings come first, which give every member a watcher. The rest is chosen by
 //! rendezvous hash, which keeps the paths short.
 
--- a/lib/src/members/roster.rs
+++ b/lib/src/members/roster.rs
@@ -54,7 +54,7 @@
 }
 
 impl Roster {
-    /// Creates a roster that knows nobody but `me`.
+    /// Creates a roster that contains only `me`.
     pub fn new(me: Member) -> Roster {
         let mut groups = Groups::default();
         groups.toggle(me.name.as_str(), fingerprint(&me));
@@ -82,7 +82,7 @@
         self.me.advertised = advertised;
     }
 
-    /// Marks this instance as leaving, for good.
+    /// Marks this instance as leaving, which is permanent.
     pub fn set_leaving(&mut self) {
         self.update_me(|me| me.state = MemberState::Leaving);
     }
@@ -194,8 +194,8 @@
     }
 
     /// Refutes a wrong belief about this instance with a later incarnation.
-    /// Without refutation, a pause of seconds would exclude an instance for
-    /// good.
+    /// Without refutation, a pause of seconds would exclude an instance
+    /// permanently.
     fn refute(&mut self, update: &Member) -> bool {
         if update.order() <= self.me.order() {
             return false;
--- a/lib/src/members/rumours.rs
+++ b/lib/src/members/rumours.rs
@@ -1,4 +1,4 @@
-//! Rumours: updates of members that are still to be passed on.
+//! Rumours: updates of members that are still to be gossiped.
 
 use super::{Member, NEIGHBOURS};
 use crate::{collections::Map, ids::InstanceName};
@@ -8,13 +8,13 @@
 /// and some 80 bytes a rumour this adds 2.6 KB/s at most, even if a failure
 /// domain goes or returns and hundreds of members change at once.
 pub const MAX_RUMOURS: usize = 4;
-/// Number of times that a rumour is passed on: about once on each connection,
-/// since both ends pass it on. An open connection loses nothing, so this floods
-/// the fleet. Losses of a broken connection are found by comparing digests.
+/// Number of times that a rumour is sent: about once on each connection, since
+/// both ends send it. An open connection loses nothing, so this floods the
+/// fleet. Losses of a broken connection are found by comparing digests.
 const MAX_SENDS: u32 = NEIGHBOURS as u32;
 
 /// The names of members with updates, each with the number of times that it was
-/// passed on.
+/// sent.
 #[derive(Debug, Default)]
 pub(super) struct Rumours {
     sent: Map<InstanceName, u32>,
--- a/lib/src/packet/mod.rs
+++ b/lib/src/packet/mod.rs
@@ -68,7 +68,7 @@
 }
 
 value! {
-    /// What a packet does to its flow.
+    /// Effect of a packet on its flow.
     pub enum PacketKind {
         /// Opens a flow: a SYN without an ACK.
         Open,
--- a/lib/src/planner.rs
+++ b/lib/src/planner.rs
@@ -15,7 +15,7 @@
 };
 
 /// Maximum percentage of a service's targets that may be avoided. If most seem
-/// bad, it is more likely that the observer is cut off or that a health
+/// bad, it is more likely that the observer is partitioned or that a health
 /// endpoint misleads; avoiding them all would send all flows to the few others
 /// and overload those as well.
 const MAX_BAD_PERCENT: usize = 50;
--- a/lib/src/question.rs
+++ b/lib/src/question.rs
@@ -32,7 +32,7 @@
         pub flow: FlowId,
         /// The nonce of the question.
         pub nonce: u32,
-        /// What the answering instance knows of the flow.
+        /// The answering instance's knowledge of the flow.
         pub result: LookupResult,
     }
 }
@@ -47,8 +47,8 @@
     /// The instance is a keeper that knows all exceptions of the bucket, and
     /// this flow is none of them.
     NoException {
-        /// Whether the bucket has no exceptions left at all, so that nobody
-        /// needs to ask about it any more.
+        /// Whether the bucket has no exceptions left at all, so that no
+        /// instance needs to ask about it any more.
         empty: bool,
     },
 }
--- a/lib/src/spread/assembly.rs
+++ b/lib/src/spread/assembly.rs
@@ -1,9 +1,9 @@
 //! Assembly of a bundle's text from pieces of several peers.
 //!
-//! An instance needs it that comes back after more changes than peers keep
-//! texts for, or that starts with an empty memory while the platform is down. A
-//! whole text from one peer would be a megabyte against a budget of 8 KB/s, so
-//! each peer sends a part of it, at a bounded rate.
+//! It is needed by an instance that comes back after more changes than peers
+//! keep texts for, or that starts with an empty memory while the platform is
+//! down. A whole text from one peer would be a megabyte against a budget of 8
+//! KB/s, so each peer sends a part of it, at a bounded rate.
 
 use super::{ANSWER_TIMEOUT, MAX_TEXT, Refusal, error, pieces::short_digest};
 use crate::{
@@ -24,7 +24,7 @@
 /// partition.
 pub const PIECE_RATE: usize = 64 * 1024;
 /// Time without a new piece after which the assembly is given up. Otherwise a
-/// peer that announces a text that nobody can send would block all others.
+/// peer that announces a text that no peer can send would block all others.
 const STUCK_TIMEOUT: Millis = Millis::secs(10);
 /// Maximum number of pieces in one request.
 const MAX_REQUESTED: usize = 64;
--- a/lib/src/view/bucket.rs
+++ b/lib/src/view/bucket.rs
@@ -94,9 +94,9 @@
         self.pending().is_some() || self.history().last().is_some_and(fresh)
     }
 
-    /// The target that most likely has a flow that nobody knows. If an instance
-    /// has gone, `orphaned_since` being the time, this is the bucket's owner at that
-    /// time, otherwise the owner before the last move.
+    /// The target that most likely has a flow that no instance knows. If an
+    /// instance has gone at `orphaned_since`, this is the bucket's owner at
+    /// that time, otherwise the owner before the last move.
     pub fn fallback(&self, orphaned_since: Millis) -> Option<TargetId> {
         let owners = || self.history().iter().filter(|earlier| earlier.owned);
         if let Some(earlier) = owners().find(|earlier| earlier.since >= orphaned_since) {
--- a/lib/src/view/draft.rs
+++ b/lib/src/view/draft.rs
@@ -124,8 +124,8 @@
         self.changed = true;
         if same {
             // Most updates only say that a member has the next bundle. Choosing
-            // the keepers of all services again for each of them would take all
-            // day.
+            // the keepers of all services again for each of them would take far
+            // too long.
             return;
         }
         for service in &mut self.view.services {
--- a/lib/src/view/registry.rs
+++ b/lib/src/view/registry.rs
@@ -42,7 +42,7 @@
     pub service: ServiceName,
     /// Its name in the bundle.
     pub name: TargetName,
-    /// Where it receives encapsulated packets.
+    /// The address at which it receives encapsulated packets.
     pub address: SocketAddrV4,
 }
 
--- a/lib/tests/product/mutate.rs
+++ b/lib/tests/product/mutate.rs
@@ -3,7 +3,7 @@
 use medlarspur_lib::document::Report;
 use proptest::{prelude::*, sample::Index};
 
-/// What a mutation does at one position of a text.
+/// Change that a mutation makes at one position of a text.
 #[derive(Debug, Clone)]
 pub enum Edit {
     Remove,
--- a/load/src/admission.rs
+++ b/load/src/admission.rs
@@ -7,11 +7,11 @@
 //!
 //! - *Capacity reserved for requests.* Uploads and feeds may use a target's slots and
 //!   connections only up to the reserve. Of two or more slots at least one whole slot stays
-//!   free, because the rest of a slot that an upload holds serves nobody. A service without
-//!   a request port reserves nothing.
+//!   free, because the rest of a slot that an upload holds is of no use. A service without a
+//!   request port reserves nothing.
 //! - *Spare capacity.* A caller or network that exceeds its share of the recently admitted
 //!   openings, or that retries early with the retry budget spent, gets only the spare
-//!   tokens of the token bucket. It is not locked out: when nobody else comes, tokens
+//!   tokens of the token bucket. It is not locked out: without other callers, tokens
 //!   accumulate and it gets them all, so fairness leaves no capacity idle.
 //!
 //! Without limits in the bundle, openings are admitted up to the targets' slots and
--- a/load/src/backlog.rs
+++ b/load/src/backlog.rs
@@ -39,9 +39,9 @@
     pub key: K,
     /// The class of the request.
     pub class: Class,
-    /// When the caller first sent the opening, as far as is known.
+    /// Time at which the caller first sent the opening, as far as is known.
     pub since: Millis,
-    /// When the opening is refused.
+    /// Time at which the opening is refused.
     pub deadline: Millis,
 }
 
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -1,8 +1,8 @@
 //! Chooses the target of a new flow by the known work of each target.
 //!
 //! Handles these load patterns: many short requests beside feeds that stay open for
-//! minutes; targets that are slow after their start; a failure domain that loses some of
-//! its targets; uploads, whose bytes are expensive to carry to another failure domain.
+//! minutes; targets in slow start; a failure domain that loses some of its targets;
+//! uploads, whose bytes are expensive to carry to another failure domain.
 //!
 //! An instance sees the requests that pass through it, from the opening to the first
 //! answer, and none of the requests of other instances. Work takes 30–70 ms, so load
@@ -16,12 +16,12 @@
 /// request a second of some 50 ms of work. The value is twice that, because a feed stays at
 /// its target when others come.
 const IDLE_FEED_LOAD: f32 = 0.1;
-/// Factor by which the work of a target takes longer while it is slow after its start.
+/// Factor by which the work of a target takes longer during its slow start.
 const COLD_FACTOR: f32 = 1.6;
 /// Cost of a target in another failure domain for feeds and requests, in requests per slot.
 /// It is less than one request at a target of three slots, so new flows leave their domain
-/// as soon as each target there has one request of this instance. When a domain is cut off,
-/// flows of other domains to it are late by the time it takes to notice.
+/// as soon as each target there has one request of this instance. When a domain is
+/// partitioned, flows to it from other domains are late until the partition is noticed.
 const OTHER_DOMAIN_COST: f32 = 0.35;
 /// The same for uploads. Their bytes are expensive and their work is short, so an upload
 /// leaves its failure domain only for a target with two requests per slot less.
@@ -40,7 +40,7 @@
 /// load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
-    /// Nothing speaks against the target.
+    /// The target is listed and not suspected.
     Good,
     /// The target is no longer listed but has answered since then: its entry lapsed.
     Unlisted,
@@ -61,7 +61,7 @@
     pub opening: u32,
     /// Open feeds without a request in flight.
     pub idle_feeds: u32,
-    /// Whether the target is slow after its start.
+    /// Whether the target is in slow start.
     pub cold: bool,
     /// Whether the target is in this instance's failure domain.
     pub same_domain: bool,
--- a/load/src/gate.rs
+++ b/load/src/gate.rs
@@ -50,8 +50,8 @@
 }
 
 impl Gate {
-    /// Returns a gate without services. `seed` differs for each instance, so that no two
-    /// spread their refusals alike.
+    /// Returns a gate without services. `seed` differs for each instance, so that instances
+    /// refuse different openings and spread retry times differently.
     pub fn new(settings: Settings, seed: u64) -> Gate {
         let mut random = Random::new(seed);
         let classes = [Class::Feed, Class::Request, Class::Upload];
@@ -79,7 +79,7 @@
 
     /// Installs the services of a bundle, in its order.
     ///
-    /// What was learnt about a service or target is kept by name. Openings that wait for a
+    /// State learnt about a service or target is kept by name. Openings that wait for a
     /// removed target are refused by the next [`Gate::collect_verdicts`].
     pub fn set_services(&mut self, now: Millis, services: Vec<ServiceSpec>) {
         let old = std::mem::take(&mut self.services);
@@ -367,7 +367,7 @@
         }
     }
 
-    /// Returns whether the caller of a waiting flow still wants it.
+    /// Returns whether a flow still waits: its caller has not closed it.
     fn is_waiting(&self, now: Millis, flow: FlowId) -> bool {
         matches!(self.decisions.get(now, flow), Some(Decision::Waiting(_)))
     }
--- a/load/src/limit.rs
+++ b/load/src/limit.rs
@@ -68,8 +68,8 @@
 /// sees 50 answers a second makes up for 25 such requests in a second.
 const GROWTH: f32 = 0.5;
 /// Multiple of the work in flight plus the own share of the slots above which the limit
-/// restricts nothing and is dropped. At twice that, it is not dropped and set again with
-/// each fluctuation.
+/// restricts nothing and is dropped. With a lower factor it would be dropped and set again
+/// with each fluctuation.
 const UNUSED_FACTOR: f32 = 2.0;
 /// Maximum value of one answer, as a fraction of its objective. A request that waited for a
 /// lost packet or a frozen machine says nothing about queues.
@@ -102,10 +102,10 @@
     /// Mean work in flight while answers are slow, as a multiple of the own share of the
     /// slots.
     queue_ratio: f32,
-    /// When the first and the last answer came.
+    /// Times of the first and the last answer.
     first_answer: Option<Millis>,
     last_answer: Option<Millis>,
-    /// When the limit was last reduced.
+    /// Time of the last reduction of the limit.
     last_reduction: Millis,
 }
 
--- a/load/src/opening.rs
+++ b/load/src/opening.rs
@@ -52,7 +52,7 @@
     /// Tell the caller now that the work was not run. No packet of the flow may go to a
     /// target.
     Refuse {
-        /// How long the caller should wait before it retries.
+        /// Time after which the caller should retry.
         after: Millis,
     },
 }
--- a/load/src/queue.rs
+++ b/load/src/queue.rs
@@ -2,12 +2,12 @@
 //!
 //! Handles a short burst: work that a target can take within a moment is held instead of
 //! refused. Without bounds, the queue fills with callers that have given up, every opening
-//! waits the maximum time, and targets work for nobody: the median wait reaches the time
-//! after which callers give up. Three bounds prevent this. The wait of an opening is known
-//! when it arrives, because the token bucket gives the time at which the target has
-//! capacity and is charged at once. An opening that would wait too long is therefore
-//! refused *then*, not later. The queue has a maximum length. And once the token bucket has
-//! been less than half full for [`STANDING_AFTER`], new openings are held for
+//! waits the maximum time, and targets do work that no caller waits for: the median wait
+//! reaches the time after which callers give up. Three bounds prevent this. The wait of an
+//! opening is known when it arrives, because the token bucket gives the time at which the
+//! target has capacity and is charged at once. An opening that would wait too long is
+//! therefore refused *then*, not later. The queue has a maximum length. And once the token
+//! bucket has been less than half full for [`STANDING_AFTER`], new openings are held for
 //! [`STANDING_MAX_WAIT`] at most, so that the queue drains.
 //!
 //! The queue of a class is served in order of arrival, which is also the shortest remaining
@@ -43,7 +43,7 @@
 pub struct QueuedOpening {
     /// The sender of the opening.
     pub requester: Requester,
-    /// When the opening goes to its target.
+    /// Time at which the opening goes to its target.
     pub release: Millis,
 }
 
--- a/load/src/shares.rs
+++ b/load/src/shares.rs
@@ -4,8 +4,8 @@
 //! whole slot of a target with two slots would overload it four times; with none each, it
 //! would be idle. A share is therefore a *time average*: a [`TokenBucket`] fills at the
 //! rate of the share and is charged for each admitted piece of work. Without it, a target's
-//! backlog grows until callers give up on work that then runs for nobody: hold times grow
-//! while goodput falls.
+//! backlog grows until callers no longer wait for their work, which still runs: hold times
+//! grow while goodput falls.
 //!
 //! The bucket of short work fills at the [`AdmissionRate`], which follows the ends that are
 //! seen. The bucket of long work fills at the instance's part of the slots and is charged
--- a/load/src/state.rs
+++ b/load/src/state.rs
@@ -45,7 +45,7 @@
     }
 }
 
-/// A service and what was learnt about it.
+/// A service and the state learnt about it.
 #[derive(Debug)]
 pub(crate) struct Service {
     pub(crate) name: ServiceName,
@@ -64,7 +64,7 @@
 }
 
 impl Service {
-    /// Builds a service from the bundle and keeps what `old` learnt about it. Also returns
+    /// Builds a service from the bundle and keeps the learnt state of `old`. Also returns
     /// the queues of removed targets.
     pub(crate) fn new(
         now: Millis,
@@ -173,7 +173,7 @@
     }
 }
 
-/// A target and what was learnt about it.
+/// A target and the state learnt about it.
 #[derive(Debug)]
 pub(crate) struct Target {
     pub(crate) spec: TargetSpec,
--- a/load/src/vacancy.rs
+++ b/load/src/vacancy.rs
@@ -7,9 +7,8 @@
 //! configured limit may be wrong or missing.
 //!
 //! Without this detection, openings go to a full target as readily as to others, and each
-//! caller waits until something else gives up. Or the target is taken for dead and the
-//! flows that it serves are reset; their callers return as new flows and fill the next
-//! target.
+//! caller waits until some other timeout. Or the target is taken for dead and the flows
+//! that it serves are reset; their callers return as new flows and fill the next target.
 //!
 //! New flows avoid a target as soon as it leaves an opening unanswered. Its connections
 //! become free when flows end, and an instance sees the ends of the flows that it carries:
@@ -36,7 +35,7 @@
 /// often.
 const BASE_FLEET_SIZE: u64 = 8;
 /// Number of openings in a row that a target must accept before it counts as free. A few
-/// could be connections that another flow has just left.
+/// accepted openings may only use connections that other flows have just left.
 const ACCEPTED_TO_FREE: u32 = 8;
 
 /// Number of probe answers in a row after which a request or a feed is tried at a full
--- a/load/src/warmup.rs
+++ b/load/src/warmup.rs
@@ -1,19 +1,19 @@
-//! Decides which instances may open flows at a target that is slow after its start.
+//! Decides which instances may open flows at a target in slow start.
 //!
-//! Handles most targets of a service being slow at once: after a release of all, the return
-//! of a failure domain, or a power outage. Until a target is warm, it can take only a
-//! limited number of requests a second from all instances together, and no instance sees
-//! what the others open there. Dividing the bound among the instances does not help: the
-//! bound is a few requests a second and there are hundreds of instances. Without any rule,
-//! slow targets get nothing, and where all are slow every caller is refused until the first
-//! is warm.
+//! Handles most targets of a service being in slow start at once: after a release of all,
+//! the return of a failure domain, or a power outage. Until a target is warm, it can take
+//! only a limited number of requests a second from all instances together, and no instance
+//! sees what the others open there. Dividing the bound among the instances does not help:
+//! the bound is a few requests a second and there are hundreds of instances. Without any
+//! rule, targets in slow start get nothing, and where all are in slow start every caller is
+//! refused until the first is warm.
 //!
-//! Each slow target therefore has one owner among the instances of its failure domain. One
-//! reader of the domain gives each instance a [`Seat`], and the seat alone determines which
-//! targets the instance owns. Instances may briefly disagree on seats, when some come or go
-//! or two readers each act as the first. Up to [`MAX_OWNERS`] instances may own a target at
-//! the same time without exceeding the bound; the fleet tests simulate the events that
-//! cause several owners.
+//! Each target in slow start therefore has one owner among the instances of its failure
+//! domain. One reader of the domain gives each instance a [`Seat`], and the seat alone
+//! determines which targets the instance owns. Instances may briefly disagree on seats,
+//! when some come or go or two readers each act as the first. Up to [`MAX_OWNERS`]
+//! instances may own a target at the same time without exceeding the bound; the fleet
+//! tests simulate the events that cause several owners.
 
 use crate::random::mix;
 use medlarspur_lib::time::Millis;
@@ -43,8 +43,8 @@
     }
 }
 
-/// Returns the interval between two openings of an owner at a slow target that can take
-/// `rate` requests a second.
+/// Returns the interval between two openings of an owner at a target in slow start that
+/// can take `rate` requests a second.
 pub fn opening_interval(rate: u32) -> Millis {
     Millis((SHARE_DIVISOR * 1_000).div_ceil(u64::from(rate.max(1))))
 }
--- a/load/tests/model/host.rs
+++ b/load/tests/model/host.rs
@@ -18,7 +18,7 @@
     pub connections: u32,
     pub busy: u32,
     pub queue: VecDeque<Job>,
-    /// What its endpoint reports.
+    /// Report of its load endpoint.
     pub report: LoadReport,
 }
 
--- a/load/tests/model/scene.rs
+++ b/load/tests/model/scene.rs
@@ -5,7 +5,7 @@
 use medlarspur_load::{Gate, Opening, Verdict, random::Random};
 use std::{net::Ipv4Addr, ops::Range};
 
-/// How openings are placed and admitted.
+/// Rules by which openings are placed and admitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
     /// All decisions of this crate.
@@ -91,7 +91,7 @@
     pub site: Site,
     pub loads: Vec<Load>,
     pub faults: Vec<(Range<usize>, Fault)>,
-    /// When the load or fault is on, in milliseconds.
+    /// Time of the load or fault, in milliseconds.
     pub loaded: Range<u64>,
     pub end: u64,
     /// Whether each packet goes to any instance, or all packets of a flow to one.
--- a/load/tests/model/scenes.rs
+++ b/load/tests/model/scenes.rs
@@ -13,9 +13,9 @@
 const REQUEST: f64 = 20.0;
 const UPLOAD: f64 = 3_000.0;
 const FEED: f64 = 30_000.0;
-/// When loads and faults begin, in milliseconds.
+/// Time at which loads and faults begin, in milliseconds.
 const START: u64 = 10_000;
-/// Time that a scene continues after them, in milliseconds.
+/// Time that a scene continues after their end, in milliseconds.
 const RECOVERY: u64 = 40_000;
 
 pub fn all() -> Vec<Scene> {
--- a/load/tests/model/work.rs
+++ b/load/tests/model/work.rs
@@ -14,7 +14,7 @@
     pub tries: u32,
     pub runs: u32,
     pub state: State,
-    /// When its current connection was opened.
+    /// Time at which its current connection was opened.
     pub last_try: u64,
     /// Whether that connection was neither answered nor given up.
     pub is_open: bool,
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -38,7 +38,7 @@
     /// Mean work of a request, in milliseconds.
     pub work: f64,
     pub objective: u64,
-    /// Span in which nobody is served. What is sent then arrives at its end, spread over
+    /// Span in which no caller is served. Packets sent then arrive at its end, spread over
     /// the time in which callers repeat their openings.
     pub outage: (u64, u64),
     pub length: u64,
@@ -139,7 +139,7 @@
 struct Work {
     class: Class,
     sent: u64,
-    /// When it arrived at its instance.
+    /// Time of its arrival at its instance.
     arrived: u64,
     instance: usize,
     tries: u32,
--- a/marked/src/catalog/merge.rs
+++ b/marked/src/catalog/merge.rs
@@ -87,7 +87,7 @@
     ) {
         self.needs_snapshot = false;
         let (mut listed, mut deferred) = (SnapshotItems::default(), Vec::new());
-        // Items that may exist are not missing.
+        // Unconfirmed items may exist, so they do not count as missing.
         unconfirmed.iter().for_each(|change| listed.add(&change.content));
         for change in changes {
             listed.add(&change.content);
@@ -122,7 +122,7 @@
         outcome
     }
 
-    /// When [`confirm`](Self::confirm) has something to do next.
+    /// Time at which [`confirm`](Self::confirm) has to be called next.
     pub fn deadline(&self) -> Option<Millis> {
         self.restore.next_due()
     }
--- a/marked/src/catalog/mod.rs
+++ b/marked/src/catalog/mod.rs
@@ -35,8 +35,8 @@
     net::SocketAddrV4,
 };
 
-/// How long a removed target is retained. It exceeds the longest lifetime of a flow on the known
-/// platforms (60 s) and any delay of an update.
+/// Time for which a removed target is retained. It exceeds the longest lifetime of a flow on the
+/// known platforms (60 s) and any delay of an update.
 const RETENTION: Millis = Millis::secs(90);
 
 /// Maximum number of config deltas that are kept, enough for a burst of changes between two
@@ -144,8 +144,8 @@
     }
 
     /// Whether the catalog is complete enough to serve: it has routes and targets, and all changes
-    /// up to some revision are known. A single incremental update may name targets without telling
-    /// that their failure domain is evacuated.
+    /// up to some revision are known. A single incremental update may name targets without
+    /// saying that their failure domain is evacuated.
     pub fn is_usable(&self) -> bool {
         let is_whole = self.revision > Revision::default();
         is_whole && self.config.is_some() && !self.targets.is_empty()
@@ -161,7 +161,7 @@
         self.evacuations.evacuated()
     }
 
-    /// When this instance learned that the evacuation of a failure domain had ended.
+    /// Time at which this instance learned that the evacuation of a failure domain had ended.
     pub fn evacuation_ended(&self, domain: &DomainName) -> Option<Millis> {
         self.evacuations.ended(domain)
     }
@@ -241,7 +241,7 @@
     }
 
     /// Returns the update that brings an instance from revision `known` to the present. The update
-    /// is a snapshot if that instance knows nothing, or missed removals that are no longer
+    /// is a snapshot if that instance knows no revision, or missed removals that are no longer
     /// retained.
     pub fn update_since(&self, known: Revision, now: Millis) -> Update {
         let scope = self.scope(known);
--- a/marked/src/catalog/restore.rs
+++ b/marked/src/catalog/restore.rs
@@ -9,10 +9,10 @@
 /// seconds, and so does the copy's entry of a target that is gone to lapse again.
 const REWRITE_TIME: Millis = Millis::secs(3);
 
-/// What a restored copy of the store says in contradiction to the catalog.
+/// Items of a restored copy of the store that contradict the catalog.
 #[derive(Debug, Default)]
 pub(super) struct RestoreWindow {
-    /// Until when a full read may show the state of the copy.
+    /// End of the time in which a full read may show the state of the copy.
     until: Option<Millis>,
     unconfirmed: Map<Subject, Unconfirmed>,
 }
@@ -24,12 +24,12 @@
     due: Millis,
 }
 
-/// How to treat an item of a snapshot.
+/// Treatment of an item of a snapshot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Verdict {
     /// Apply it if its revision is later.
     Apply,
-    /// The item is as known, in a later era.
+    /// The item equals the known one and is listed in a later era.
     Unchanged,
     /// Ignore it: the known state is later, whatever the revisions.
     Skip,
@@ -66,7 +66,7 @@
         due.map(|(_, it)| it.change).collect()
     }
 
-    /// When the next change is due.
+    /// Time at which the next change is due.
     pub(super) fn next_due(&self) -> Option<Millis> {
         self.unconfirmed.values().map(|it| it.due).min()
     }
@@ -108,7 +108,7 @@
         self.evacuations.reset_revisions();
     }
 
-    /// Records that a later era lists a target as it is known. This is no change to pass on.
+    /// Records that a later era lists a target without changes. Nothing needs to be propagated.
     pub(super) fn relist(&mut self, change: &Change) {
         let Content::Target(Target { incarnation, writes, .. }) = &change.content else { return };
         if let Some(known) = self.targets.get_mut(incarnation) {
@@ -182,8 +182,8 @@
             return Verdict::Apply;
         }
         if known.is_listed() && target.has_same_content(&known.target) {
-            // The unconfirmed change says that the target is gone. Applying the entry tells others
-            // that it is not.
+            // The unconfirmed change says that the target is gone. Applying the entry makes it
+            // part of the next update, so that others learn that the target is not gone.
             let is_unconfirmed = self.restore.is_unconfirmed(&target.name);
             return if is_unconfirmed { Verdict::Apply } else { Verdict::Unchanged };
         }
--- a/marked/src/entry.rs
+++ b/marked/src/entry.rs
@@ -10,14 +10,14 @@
     Listed,
     /// The entry was removed at this time of the local clock.
     Removed(Millis),
-    /// Since this time, the entry has described no usable target.
+    /// The entry has described no usable target since this time.
     Unusable(Millis),
-    /// Since this time, a later start of the target has been known.
+    /// A later start of the target has been known since this time.
     Replaced(Millis),
 }
 
 impl Presence {
-    /// When the target ceased to be listed; `None` for a listed target.
+    /// Time at which the target ceased to be listed; `None` for a listed target.
     pub fn ended(self) -> Option<Millis> {
         match self {
             Presence::Listed => None,
--- a/marked/src/evacuation.rs
+++ b/marked/src/evacuation.rs
@@ -3,8 +3,8 @@
 //! Operators evacuate a failure domain before maintenance of its power or network. Its targets
 //! then get no new flows and keep those that they have, until operators end the evacuation.
 //! Evacuations are stored apart from the entries of targets: an entry written in the meantime
-//! says nothing about what operators want, and a target that starts in the meantime must not
-//! get flows either.
+//! does not show whether operators want to use the domain, and a target that starts in the
+//! meantime must not get flows either.
 //!
 //! The design alternatives are in `docs/design/evacuation.md`.
 
@@ -64,7 +64,7 @@
         was_evacuated != ended.is_none()
     }
 
-    /// Accepts whatever the store says next in place of the known state.
+    /// Resets all revisions, so that the next changes from the store replace the known state.
     pub(crate) fn reset_revisions(&mut self) {
         self.domains.values_mut().for_each(|it| it.revision = Revision::default());
     }
--- a/marked/src/fleet/heartbeats.rs
+++ b/marked/src/fleet/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Membership by heartbeats: which instances are alive, and which readers they know.
+//! Membership by heartbeats: detection of live instances and readers.
 
 use super::{Fleet, Peer, pull::PROPAGATION_DELAY, readers::READERS_PER_DOMAIN};
 use crate::{
@@ -59,8 +59,8 @@
         if heartbeat.revision <= known || !self.is_credible(heartbeat.revision, known) {
             return;
         }
-        // A later era is only believed if the sender gets answers from the store. An instance that
-        // was given a wrong era by mistake would otherwise pass it on to all listeners.
+        // A later era is only accepted if the sender gets answers from the store. An instance that
+        // was given a wrong era by mistake would otherwise propagate it to all listeners.
         let is_from_reader = heartbeat.role == Role::Reader && heartbeat.answer_age.is_some();
         let is_later = heartbeat.revision.era > known.era;
         if is_later && !(is_starting || lacks_store || is_from_reader) {
--- a/marked/src/fleet/mod.rs
+++ b/marked/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! Gossip between instances: who reads the store, and how updates reach the others.
+//! Gossip between instances: choice of the readers of the store, and propagation of updates.
 //!
 //! Calls to the store cost money and are rate-limited, so two instances in each failure domain read
 //! it and propagate what they read. The readers are not appointed:
@@ -38,7 +38,7 @@
 use seats::AssignedSeat;
 use std::{hash::Hasher, net::SocketAddrV4};
 
-/// How often a listener sends its readers a heartbeat.
+/// Interval at which a listener sends its readers heartbeats.
 const HEARTBEAT_INTERVAL: Millis = Millis::secs(4);
 /// Time after its last message at which an instance is considered gone: two heartbeat intervals
 /// and a margin.
@@ -47,9 +47,9 @@
 /// others. Only readers receive heartbeats of listeners; when the readers are gone, their
 /// successors should know the domain.
 const INDIRECT_TIMEOUT: Millis = Millis::secs(60);
-/// How often an instance that knows no readers asks the seeds for contacts.
+/// Interval at which an instance that knows no readers asks the seeds for contacts.
 const DISCOVERY_INTERVAL: Millis = Millis(1_000);
-/// How often a reader announces itself to the seeds, so that they can name it to starting
+/// Interval at which a reader announces itself to the seeds, so that they can name it to starting
 /// instances.
 const SEED_INTERVAL: Millis = Millis::secs(4);
 
@@ -58,10 +58,10 @@
 struct Peer {
     domain: DomainId,
     role: Role,
-    /// When the store last answered it, by the local clock.
+    /// Time at which the store last answered the instance, by the local clock.
     last_answer: Option<Millis>,
     revision: Revision,
-    /// When a message of it or about it last arrived.
+    /// Arrival of the last message from or about the instance.
     last_seen: Millis,
     /// Whether the instance is known only as a contact in heartbeats of others.
     indirect: bool,
@@ -83,12 +83,12 @@
     domain: DomainId,
     seeds: Vec<SocketAddrV4>,
     peers: Map<SocketAddrV4, Peer>,
-    /// When this instance began to read the store, if it does.
+    /// Time at which this instance began to read the store, if it does.
     reading_since: Option<Millis>,
-    /// When this instance becomes a reader, and the number of other readers for which that time was
-    /// drawn.
+    /// Number of other readers for which a promotion delay was drawn, and time at which this
+    /// instance becomes a reader.
     promotion: Option<(usize, Millis)>,
-    /// When the store last answered this instance.
+    /// Time at which the store last answered this instance.
     last_answer: Option<Millis>,
     /// Revision up to which this instance has propagated updates.
     propagated: Revision,
@@ -96,12 +96,12 @@
     era: (u32, Millis),
     last_heartbeat: Option<Millis>,
     last_discovery: Option<Millis>,
-    /// When this instance last announced itself to the seeds as a reader.
+    /// Time at which this instance last announced itself to the seeds as a reader.
     last_seed_heartbeat: Option<Millis>,
     last_pull: Option<Millis>,
     /// The next pull, if another instance is known to have later changes.
     pending_pull: Option<PendingPull>,
-    /// Instances that may have a snapshot, while this instance knows nothing.
+    /// Instances that may have a snapshot, while this instance knows no revision.
     sources: Vec<SocketAddrV4>,
     started: Millis,
     /// The seat that the first reader last assigned to this instance.
@@ -173,7 +173,7 @@
         self.seeds = seeds.iter().copied().filter(|it| *it != self.address).collect();
     }
 
-    /// When the store last answered this instance or a reader of its domain.
+    /// Time at which the store last answered this instance or a reader of its domain.
     pub fn confirmed(&self) -> Option<Millis> {
         let peers = self.peers.values().filter(|peer| peer.domain == self.domain);
         peers.map(|peer| peer.last_answer).chain([self.last_answer]).max().flatten()
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Does everything that is due.
+    /// Performs all actions that are due.
     pub fn tick(&mut self, catalog: &Catalog, now: Millis) {
         self.track_era(catalog.revision().era, now);
         self.forget_silent(now);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// When [`tick`](Self::tick) has something to do next.
+    /// Time at which [`tick`](Self::tick) has to be called next.
     pub fn deadline(&self, now: Millis) -> Millis {
         self.next_pull(now).into_iter().chain([self.next_decision(now)]).min().unwrap_or(now)
     }
--- a/marked/src/fleet/pull.rs
+++ b/marked/src/fleet/pull.rs
@@ -21,7 +21,7 @@
     pub(super) from: SocketAddrV4,
     /// Revision up to which that instance knows all changes.
     pub(super) revision: Revision,
-    /// When to pull. Until then, the update may still arrive by itself.
+    /// Time of the pull. Until then, the update may still arrive by itself.
     pub(super) due: Millis,
 }
 
@@ -50,8 +50,8 @@
     }
 
     /// Handles a pull without an answer: the instance has no snapshot itself, is busy with other
-    /// pulls, or is gone. While this instance knows nothing, it pulls from the next possible source
-    /// at once.
+    /// pulls, or is gone. While this instance knows no revision, it pulls from the next possible
+    /// source at once.
     pub fn pull_failed(&mut self, from: SocketAddrV4, known: Revision, now: Millis) {
         self.sources.retain(|it| *it != from);
         if known > Revision::default() {
@@ -90,8 +90,8 @@
     }
 
     /// Whether to accept the era in another instance's message. An instance that gets answers from
-    /// the store learns the era there. For others the era is limited, so that no message moves them
-    /// so far ahead that the store never catches up.
+    /// the store learns the era there. For others the era is limited, so that no message makes
+    /// them accept an era that the store never reaches.
     pub fn is_credible(&self, claimed: Revision, known: Revision) -> bool {
         let has_store = self.is_reading() && self.last_answer.is_some();
         let max_lead = if has_store { 0 } else { MAX_ERA_LEAD };
--- a/marked/src/fleet/readers.rs
+++ b/marked/src/fleet/readers.rs
@@ -114,7 +114,7 @@
         if self.is_reading() {
             return now + DISCOVERY_INTERVAL;
         }
-        // When the first of the readers becomes too old.
+        // Time at which the first of the readers no longer counts.
         let oldest = self.readers(now).filter_map(|it| self.peers[&it].last_answer).min();
         oldest.map_or(now, |at| at + READER_TIMEOUT + Millis(1))
     }
--- a/marked/src/flow.rs
+++ b/marked/src/flow.rs
@@ -72,7 +72,7 @@
     retransmitted: bool,
 }
 
-/// What a packet shows about its flow's target.
+/// Information that a packet gives about its flow's target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
     /// Whether the packet ends the handshake.
--- a/marked/src/forwarder/contested.rs
+++ b/marked/src/forwarder/contested.rs
@@ -4,7 +4,7 @@
 //! may reach another instance, which makes its own choice. In both cases two targets may
 //! answer. The caller continues with the sequence numbers of the first answer but puts the mark
 //! that it received last into its packets. Forwarded by that mark, its data would reach a
-//! target without the flow, and the caller would wait until it gives up. Therefore, if this
+//! target without the flow, and the caller would wait until its timeout. Therefore, if this
 //! instance has seen which answer the caller acknowledged, that takes precedence over the mark.
 
 use super::Forwarder;
--- a/marked/src/forwarder/exclusion.rs
+++ b/marked/src/forwarder/exclusion.rs
@@ -80,9 +80,9 @@
 
     /// Whether a target is in slow start, as far as this instance knows.
     fn is_warming(&self, entry: &Entry, warmup: Warmup, now: Millis) -> bool {
-        // Targets that got no flows while their domain was evacuated may have become cold. They
-        // announce that only some time after the evacuation has ended; until then they would
-        // get all new flows, since they are idle.
+        // Targets that got no flows while their domain was evacuated may need a slow start
+        // again. They announce it only some time after the evacuation has ended; until then they
+        // would get all new flows, since they are idle.
         let ended = self.catalog.evacuation_ended(&entry.target.domain);
         now < entry.cold_until || ended.is_some_and(|at| now < at + warmup.span)
     }
--- a/marked/src/forwarder/mod.rs
+++ b/marked/src/forwarder/mod.rs
@@ -1,6 +1,6 @@
 //! Forwarding of callers' packets.
 //!
-//! - A packet in mid-flow goes to the target of its mark, whatever became of that target's
+//! - A packet in mid-flow goes to the target of its mark, whatever the state of that target's
 //!   entry: flows outlive entries. If this instance has seen which target the caller
 //!   acknowledged, it goes there instead.
 //! - A packet with an unknown mark is dropped. Another target would answer it with a reset, and
--- a/marked/src/forwarder/state.rs
+++ b/marked/src/forwarder/state.rs
@@ -70,8 +70,8 @@
 
     /// Whether any opening is unanswered, including those whose caller may have gone. This
     /// counts against a target only together with a probe's result: if all openings are held,
-    /// there are no others, and a full target that is silent would swallow everything that is
-    /// opened late.
+    /// there are no others, and a silent, full target would get all late openings and answer
+    /// none.
     pub(super) fn has_unanswered(&self) -> bool {
         self.unanswered > 0 || self.late_unanswered
     }
--- a/marked/src/forwarder/update.rs
+++ b/marked/src/forwarder/update.rs
@@ -36,8 +36,8 @@
             self.clear_subsets();
         }
         for incarnation in outcome.former_targets {
-            // Nothing was received from it here yet, so it gets new flows only once it has
-            // answered.
+            // This instance has not seen an answer of the target yet, so the target gets new
+            // flows only once it has answered.
             let health = Health::new(Millis(0));
             let state = TargetState { unprobed: true, health, ..TargetState::new(now) };
             self.states.entry(incarnation).or_insert(state);
@@ -63,7 +63,7 @@
         self.catalog.reset_revisions();
     }
 
-    /// Takes over the state of a store that came back from a copy, once that is due.
+    /// Applies the unconfirmed state of a store that came back from a copy, once it is due.
     pub(super) fn confirm_restore(&mut self, now: Millis, out: &mut impl Output) {
         if self.catalog.deadline().is_some_and(|due| due <= now) {
             let outcome = self.catalog.confirm(now);
--- a/marked/src/forwarder/waiting.rs
+++ b/marked/src/forwarder/waiting.rs
@@ -1,6 +1,6 @@
 //! Holding of new flows while their service has no capacity.
 //!
-//! `medlarspur_load::{backlog, limit}` decide the order and the amount of work in progress;
+//! `medlarspur_load::{backlog, limit}` decide the order and the amount of work in flight;
 //! they describe the load patterns that this is for.
 
 use super::{Forwarder, Output, Refusal};
@@ -38,7 +38,7 @@
     pub(super) waited: Millis,
 }
 
-/// Work in progress at a service, as far as this instance sees it.
+/// Work in flight at a service, as far as this instance sees it.
 #[derive(Debug, Clone, Copy)]
 struct Load {
     work: InFlight,
--- a/marked/src/health.rs
+++ b/marked/src/health.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Health {
     last_alive: Millis,
-    /// When the target last accepted an opening.
+    /// Time at which the target last accepted an opening.
     last_accepted: Millis,
     last_probe: Option<Millis>,
     lost: Option<Lost>,
@@ -129,13 +129,13 @@
         self.lost.is_some()
     }
 
-    /// When the target became lost.
+    /// Time at which the target became lost.
     pub fn lost_since(&self) -> Option<Millis> {
         self.lost.map(|lost| lost.since)
     }
 
-    /// When to probe a lost target again. This includes targets that seem gone, because a network
-    /// partition may refuse connections on behalf of a live target.
+    /// Time of the next probe of a lost target. This includes targets that seem gone, because a
+    /// network partition may refuse connections on behalf of a live target.
     pub fn next_probe(&self) -> Option<Millis> {
         self.lost.map(|lost| lost.next_probe)
     }
--- a/marked/src/message.rs
+++ b/marked/src/message.rs
@@ -68,7 +68,7 @@
     },
 }
 
-/// Why a message is rejected.
+/// Reason why a message is rejected.
 #[derive(Debug, Snafu)]
 pub enum MessageError {
     /// The message is empty or of another version.
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -24,7 +24,7 @@
         class: Class,
         /// Rank of the target among the candidates.
         tier: Tier,
-        /// Requests and openings in progress at the target, as seen by this instance.
+        /// Requests and openings in flight at the target, as seen by this instance.
         work: u32,
         /// Number of targets that could take the flow.
         candidates: usize,
@@ -35,7 +35,7 @@
         flow: FlowKey,
         /// The class of the requests inside.
         class: Class,
-        /// Requests and openings in progress at the service, as seen by this instance.
+        /// Requests and openings in flight at the service, as seen by this instance.
         work: u32,
         /// Answer time of the service in hundredths of the latency objective.
         pressure: u32,
--- a/marked/src/update.rs
+++ b/marked/src/update.rs
@@ -15,8 +15,8 @@
 pub const MAX_SLOTS: u32 = 10_000;
 
 /// Maximum number of eras that an update may be ahead of what is known. Each restore takes seconds
-/// at least, so a larger step is a mistake or a lie, and the store could not outdate what it
-/// names.
+/// at least, so a larger step is a mistake or forged. Changes from the store could not supersede
+/// items of such an era.
 pub const MAX_ERA_LEAD: u32 = 64;
 
 /// Position in the store's sequence of changes.
@@ -27,7 +27,7 @@
     Debug, Default, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Revision {
-    /// How often the store had been restored from a copy; 0 if it doesn't say.
+    /// Number of times that the store had been restored from a copy; 0 if it doesn't say.
     pub era: u32,
     /// Number of changes that the store had made.
     pub count: u64,
@@ -117,7 +117,7 @@
     pub routes: Vec<Route>,
     /// Properties of services. Names are unique.
     pub services: Vec<Service>,
-    /// How long a flow may be idle before it may be dropped from memory.
+    /// Time that a flow may be idle before it may be dropped from memory.
     pub idle: Millis,
     /// Number of published routes that can't be served and are therefore left out of `routes`.
     pub omitted: u32,
@@ -153,7 +153,7 @@
     pub age: Millis,
 }
 
-/// What a change says.
+/// Content of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Content {
     /// A new config.
@@ -186,7 +186,7 @@
     pub content: Content,
 }
 
-/// Which changes an update covers.
+/// Changes that an update covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
     /// All changes since a revision.
@@ -209,7 +209,7 @@
 pub struct Update {
     /// Revision of the sender up to which the update is complete.
     pub revision: Revision,
-    /// Which changes the update covers.
+    /// Changes that the update covers.
     pub scope: Scope,
     /// The changes.
     pub changes: Vec<Change>,
--- a/marked/tests/net.rs
+++ b/marked/tests/net.rs
@@ -30,7 +30,7 @@
     pub up: bool,
     /// Whether the instance can reach the store.
     pub store_reachable: bool,
-    /// When the next call to the store is made or answered.
+    /// Time at which the next call to the store is made or answered.
     next_call: u64,
     watching: Option<Revision>,
     /// Number of successive answers of an earlier era than the instance knows.
@@ -42,13 +42,13 @@
     pub now: u64,
     pub instances: BTreeMap<SocketAddrV4, Instance>,
     pub history: Vec<Change>,
-    /// How often the store was restored from a copy.
+    /// Number of times that the store was restored from a copy.
     pub era: u32,
     /// Number of full reads of the store.
     pub full_reads: u64,
     /// Bytes sent in answers to pulls.
     pub pulled_bytes: u64,
-    /// When each change after the first snapshot was published, by its revision.
+    /// Time at which each change after the first snapshot was published, by its revision.
     published: BTreeMap<u64, u64>,
     /// The longest time that a live instance lacked a published change.
     pub lag: u64,
@@ -179,7 +179,7 @@
         }
     }
 
-    /// How long the live instance that is furthest behind has lacked a change.
+    /// Time for which the live instance that is furthest behind has lacked a change.
     fn current_lag(&self) -> u64 {
         let live = self.instances.values().filter(|it| it.up);
         let era = self.era;
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -368,7 +368,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever the order and number of updates, the last change by the operators applies.
+    /// The operators' last change applies in any order and number of updates.
     #[test]
     fn the_last_change_applies_in_any_order(
         changes in operator_changes(8), order in proptest::collection::vec(any::<prop::sample::Index>(), 0..24)
--- a/marked/tests/test_flow.rs
+++ b/marked/tests/test_flow.rs
@@ -1,4 +1,4 @@
-//! What the caller's packets show about a flow's target.
+//! Information that the caller's packets give about a flow's target.
 
 use super::fixtures::{FEED, UPLOAD, flow, middle, millis, target};
 use medlarspur_lib::bundle::Class;
--- a/marked/tests/test_health.rs
+++ b/marked/tests/test_health.rs
@@ -1,4 +1,4 @@
-//! When a target is probed, and when it is lost.
+//! Conditions under which a target is probed or lost.
 
 use super::fixtures::millis;
 use medlarspur_marked::{Health, ProbeResult};
--- a/marked/tests/test_seats.rs
+++ b/marked/tests/test_seats.rs
@@ -26,7 +26,7 @@
     net
 }
 
-/// When each instance last owned a target of its domain.
+/// Times at which each instance last owned a target of its domain.
 #[derive(Default)]
 struct Owners {
     last: BTreeMap<(u8, u64), BTreeMap<SocketAddrV4, u64>>,
