--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -28,10 +28,11 @@
     next: Option<Millis>,
     /// Time of the next probes to addresses without contact.
     next_probe: Option<Millis>,
-    /// Offset of the schedule, so that instances started together don't all
-    /// send at the same moment.
+    /// Delay of the first heartbeats in milliseconds, so that instances started
+    /// together don't all send at the same moment.
     phase: u64,
-    /// Counts these probes, to take the addresses in turn.
+    /// Counts the probes to addresses without contact, to take the addresses in
+    /// turn.
     turn: u64,
     /// The bundle that each peer claimed to have; kept until this instance is
     /// ready.
--- a/lib/src/control/start.rs
+++ b/lib/src/control/start.rs
@@ -43,15 +43,21 @@
 
     /// Returns whether the instance has just become ready: it has a bundle, no
     /// peer is known to have a later one, and platform and peers have answered
-    /// or their time is up. `held` says that a bundle is in force, `alone` that
-    /// there are no peers to wait for, `behind` that a peer claims a later
-    /// bundle.
-    pub(super) fn check(&mut self, now: Millis, held: bool, alone: bool, behind: bool) -> bool {
+    /// or their time is up. `has_bundle` says that a bundle is in force,
+    /// `is_alone` that there are no peers to wait for, `is_behind` that a peer
+    /// claims a later bundle.
+    pub(super) fn check(
+        &mut self,
+        now: Millis,
+        has_bundle: bool,
+        is_alone: bool,
+        is_behind: bool,
+    ) -> bool {
         let started = *self.started.get_or_insert(now);
         let waited = now.since(started);
-        let asked = self.platform && (self.peers || alone) || waited >= START_WAIT;
-        let latest = !behind || waited >= READY_TIMEOUT;
-        let fresh = !self.ready && held && asked && latest;
+        let asked = self.platform && (self.peers || is_alone) || waited >= START_WAIT;
+        let latest = !is_behind || waited >= READY_TIMEOUT;
+        let fresh = !self.ready && has_bundle && asked && latest;
         self.ready |= fresh;
         fresh
     }
--- a/load/src/gate.rs
+++ b/load/src/gate.rs
@@ -35,7 +35,9 @@
     usage: [CallerUsage; CLASSES],
     upload_starts: Map<FlowId, Millis>,
     random: Random,
+    /// Queues in which openings wait.
     active_queues: Vec<QueueId>,
+    /// Waiting openings whose target was removed.
     orphaned: Vec<FlowId>,
     last_tick: Option<Millis>,
     counts: Counts,
--- a/load/src/placement.rs
+++ b/load/src/placement.rs
@@ -84,6 +84,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct HoldTime {
     mean: f64,
+    /// Lowest mean so far. It grows slowly, by [`LEAST_GROWTH`].
     least: f64,
     samples: u32,
     smoothing: f64,
@@ -164,7 +165,9 @@
     started: f64,
     ended: f64,
     reset: f64,
+    /// Time up to which the counts have decayed.
     at: Millis,
+    /// The last report and the time of its arrival.
     report: Option<(Millis, LoadReport)>,
     factor: f64,
 }
--- a/load/src/queue.rs
+++ b/load/src/queue.rs
@@ -51,6 +51,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Queue {
     waiting: VecDeque<QueuedOpening>,
+    /// Time at which an opening first had to wait since the target last had spare capacity.
     busy_since: Option<Millis>,
 }
 
--- a/load/src/refusal.rs
+++ b/load/src/refusal.rs
@@ -24,8 +24,11 @@
 /// The overload of one class of a service, as this instance sees it.
 #[derive(Debug, Clone, Default)]
 pub struct Overload {
+    /// Start of the overload.
     since: Millis,
+    /// Last refusal for lack of capacity.
     last: Option<Millis>,
+    /// Time up to which the rates have decayed.
     at: Millis,
     admitted: f64,
     refused: f64,
--- a/load/src/retry.rs
+++ b/load/src/retry.rs
@@ -101,6 +101,7 @@
 /// Limits early repetitions in proportion to new openings.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
+    /// Last refused caller of each cell, and the time at which it may retry.
     retry_after: Box<[(u64, Millis)]>,
     tokens: f64,
 }
--- a/load/src/shares.rs
+++ b/load/src/shares.rs
@@ -29,6 +29,7 @@
     rate: f64,
     min_burst: f64,
     tokens: f64,
+    /// Cost of a piece of work on which the present debt is based.
     debt_cost: f64,
     at: Millis,
 }
@@ -124,9 +125,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct AdmissionRate {
     ended: f64,
+    /// Time up to which the count of ends has decayed.
     at: Millis,
     is_limited: bool,
+    /// Ratio of admitted work to ended work.
     gain: f64,
+    /// Number of successive updates with idle slots.
     idle_ticks: u8,
 }
 
@@ -191,6 +195,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct UploadDemand {
     count: f64,
+    /// Time up to which the count has decayed.
     at: Millis,
 }
 
--- a/load/src/state.rs
+++ b/load/src/state.rs
@@ -58,6 +58,7 @@
     pub(crate) overload: [Overload; CLASSES],
     pub(crate) holds: [HoldTime; CLASSES],
     pub(crate) admission_rate: AdmissionRate,
+    /// Median work per slot, waiting work included.
     pub(crate) load_per_slot: f64,
     /// Whether reports of draining are trusted.
     pub(crate) trusts_draining: bool,
--- a/marked/src/delta.rs
+++ b/marked/src/delta.rs
@@ -36,41 +36,50 @@
 
     /// Computes the delta from `old` to `new`.
     pub fn between(old: &Config, new: &Config) -> Delta {
-        let known: Map<_, _> = old.routes.iter().map(|it| (it.address, it)).collect();
-        let kept: Set<_> = new.routes.iter().map(|it| it.address).collect();
-        let before: Map<_, _> = old.services.iter().map(|it| (&it.name, it)).collect();
-        let named: Set<_> = new.services.iter().map(|it| &it.name).collect();
-        let is_new = |it: &&Route| known.get(&it.address) != Some(it);
-        let is_other = |it: &&Service| before.get(&it.name) != Some(it);
-        let ended = old.services.iter().map(|it| &it.name).filter(|it| !named.contains(it));
-        let addresses = old.routes.iter().map(|it| it.address);
+        let old_routes: Map<_, _> = old.routes.iter().map(|it| (it.address, it)).collect();
+        let new_addresses: Set<_> = new.routes.iter().map(|it| it.address).collect();
+        let old_services: Map<_, _> = old.services.iter().map(|it| (&it.name, it)).collect();
+        let new_names: Set<_> = new.services.iter().map(|it| &it.name).collect();
+        let is_changed_route = |it: &&Route| old_routes.get(&it.address) != Some(it);
+        let is_changed_service = |it: &&Service| old_services.get(&it.name) != Some(it);
+        let removed_names =
+            old.services.iter().map(|it| &it.name).filter(|it| !new_names.contains(it));
+        let old_addresses = old.routes.iter().map(|it| it.address);
         Delta {
             base: old.version,
             version: new.version,
             idle: new.idle,
             omitted: new.omitted,
-            routes: new.routes.iter().filter(is_new).cloned().collect(),
-            removed_routes: addresses.filter(|it| !kept.contains(it)).collect(),
-            services: new.services.iter().filter(is_other).cloned().collect(),
-            removed_services: ended.cloned().collect(),
+            routes: new.routes.iter().filter(is_changed_route).cloned().collect(),
+            removed_routes: old_addresses.filter(|it| !new_addresses.contains(it)).collect(),
+            services: new.services.iter().filter(is_changed_service).cloned().collect(),
+            removed_services: removed_names.cloned().collect(),
         }
     }
 
     /// Applies the delta to `old`. The order of routes is not preserved; no two routes have the
     /// same address.
     pub fn apply(&self, old: &Config) -> Config {
-        let dropped: Set<_> = self.removed_routes.iter().copied().collect();
-        let set: Set<_> = self.routes.iter().map(|it| it.address).collect();
-        let stays = |it: &&Route| !dropped.contains(&it.address) && !set.contains(&it.address);
-        let ended: Set<_> = self.removed_services.iter().collect();
-        let named: Set<_> = self.services.iter().map(|it| &it.name).collect();
-        let remains = |it: &&Service| !ended.contains(&it.name) && !named.contains(&it.name);
+        let removed: Set<_> = self.removed_routes.iter().copied().collect();
+        let replaced: Set<_> = self.routes.iter().map(|it| it.address).collect();
+        let keeps_route =
+            |it: &&Route| !removed.contains(&it.address) && !replaced.contains(&it.address);
+        let removed_names: Set<_> = self.removed_services.iter().collect();
+        let replaced_names: Set<_> = self.services.iter().map(|it| &it.name).collect();
+        let keeps_service =
+            |it: &&Service| !removed_names.contains(&it.name) && !replaced_names.contains(&it.name);
         Config {
             version: self.version,
             idle: self.idle,
             omitted: self.omitted,
-            routes: old.routes.iter().filter(stays).chain(&self.routes).cloned().collect(),
-            services: old.services.iter().filter(remains).chain(&self.services).cloned().collect(),
+            routes: old.routes.iter().filter(keeps_route).chain(&self.routes).cloned().collect(),
+            services: old
+                .services
+                .iter()
+                .filter(keeps_service)
+                .chain(&self.services)
+                .cloned()
+                .collect(),
         }
     }
 }
--- a/marked/src/fleet/readers.rs
+++ b/marked/src/fleet/readers.rs
@@ -67,8 +67,8 @@
     /// Starts or stops reading the store.
     pub(super) fn update_role(&mut self, catalog: &Catalog, now: Millis) {
         if let Some(since) = self.reading_since {
-            let is_long = now.since(since) >= MIN_READING_TIME;
-            if is_long && self.is_redundant(now) {
+            let may_stop = now.since(since) >= MIN_READING_TIME;
+            if may_stop && self.is_redundant(now) {
                 log::info!("readers: this instance stops reading the store, enough others read it");
                 self.reading_since = None;
                 self.last_answer = None;
--- a/marked/src/update.rs
+++ b/marked/src/update.rs
@@ -78,8 +78,8 @@
 impl Target {
     /// Whether two entries are equal apart from the time at which they were written.
     pub(crate) fn has_same_content(&self, other: &Target) -> bool {
-        let at = |it: &Target| Target { cold: Millis(0), writes: 0, ..it.clone() };
-        at(self) == at(other)
+        let content = |it: &Target| Target { cold: Millis(0), writes: 0, ..it.clone() };
+        content(self) == content(other)
     }
 }
 
