--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -14,7 +14,7 @@
     },
     time::Millis,
 };
-use medlarspur_operator::{Family, MarkedSource, Meters, Operator, Source};
+use medlarspur_operator::{Family, MarkedSource, Meters, OperatorServer, Source};
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     sync::Arc,
@@ -27,24 +27,24 @@
 }
 
 /// Starts an instance with a bundle of this version in force, or none.
-pub fn instance(name: &'static str, version: Option<u64>) -> Operator {
+pub fn instance(name: &'static str, version: Option<u64>) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     meters.count(Family::Packets, "received").add(10);
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-    Operator::start(address, Arc::new(Instance { name, version, era: 0 }), meters).expect("starts")
+    OperatorServer::start(address, Arc::new(Instance { name, version, era: 0 }), meters).expect("starts")
 }
 
 /// Starts an instance where marks are used, with a config of this version in force.
-pub fn marked(name: &'static str, version: Option<u64>) -> Operator {
+pub fn marked(name: &'static str, version: Option<u64>) -> OperatorServer {
     marked_in_era(name, version, 0)
 }
 
 /// The same, of a platform that has come back from a copy as often.
-pub fn marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> Operator {
+pub fn marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let source = Arc::new(Instance { name, version, era });
-    Operator::start_marked(address, source, meters).expect("starts")
+    OperatorServer::start_marked(address, source, meters).expect("starts")
 }
 
 impl MarkedSource for Instance {
--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -19,7 +19,7 @@
     members::{Addresses, Member, MemberState},
     settings::Settings,
 };
-use medlarspur_operator::{Meters, MetersError, Operator, OperatorError};
+use medlarspur_operator::{Meters, MetersError, OperatorServer, OperatorError};
 use medlarspur_peer::{PeerError, PeerSettings, PeerTls, Peers};
 use medlarspur_platform::{Http, Reader, ReaderError};
 use medlarspur_target::{self as target, INTERVAL, Prober, ProberError};
@@ -127,7 +127,7 @@
     let meters = Meters::new().context(MetricsSnafu)?;
     meters::register(&meters, &shared);
     let status = StatusSource::new(settings, shared.clone(), queries, clock);
-    let operator = Operator::start(settings.operator, Arc::new(status), meters.clone())
+    let operator = OperatorServer::start(settings.operator, Arc::new(status), meters.clone())
         .context(OperatorsSnafu)?;
     print_startup_info(settings, &addresses, operator.address())?;
     let lifecycle = Lifecycle::start(shared.clone(), shutdown.clone(), clock);
--- a/daemon/src/logs.rs
+++ b/daemon/src/logs.rs
@@ -7,7 +7,7 @@
     kv::{Error, Key, Value, VisitSource},
 };
 use medlarspur_lib::settings::LogForm;
-use medlarspur_operator::QUIET_TARGETS;
+use medlarspur_operator::SILENCED_LOG_TARGETS;
 use serde::Serialize;
 use std::{
     collections::BTreeMap,
@@ -45,7 +45,7 @@
 fn builder(form: LogForm, level: LevelFilter) -> Builder {
     let mut builder = Builder::new();
     builder.filter_level(level).parse_default_env();
-    for target in QUIET_TARGETS {
+    for target in SILENCED_LOG_TARGETS {
         builder.filter_module(target, LevelFilter::Error);
     }
     match form {
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -12,7 +12,7 @@
 use medlarspur_fabric::Wire;
 use medlarspur_lib::{status::MarkedStatus, time::Millis};
 use medlarspur_marked::Fleet;
-use medlarspur_operator::{Meters, Operator};
+use medlarspur_operator::{Meters, OperatorServer};
 use snafu::{Report, ResultExt};
 use std::{
     net::SocketAddrV4,
@@ -29,7 +29,7 @@
     address: SocketAddrV4,
     meters: Meters,
     due: Millis,
-    server: Option<Operator>,
+    server: Option<OperatorServer>,
 }
 
 impl Instance {
@@ -74,7 +74,7 @@
         if metrics.server.is_none() && metrics.due <= now {
             metrics.due = now + METRICS_DELAY;
             let source = Arc::new(StatusSource::new(self.sender.clone()));
-            match Operator::start_marked(metrics.address, source, metrics.meters.clone()) {
+            match OperatorServer::start_marked(metrics.address, source, metrics.meters.clone()) {
                 Ok(server) => {
                     log::info!(address:% = server.address(); "operators: served");
                     metrics.server = Some(server);
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -119,8 +119,8 @@
     (Gauge::MembersLive, |it| it.members + 1),
     (Gauge::BundleVersion, |it| it.version),
     (Gauge::Reading, |it| u64::from(it.reading)),
-    (Gauge::PictureRevision, |it| it.revision.count),
-    (Gauge::PictureEra, |it| it.revision.era.into()),
+    (Gauge::CatalogRevision, |it| it.revision.count),
+    (Gauge::CatalogEra, |it| it.revision.era.into()),
     (Gauge::TargetsLive, |it| it.live_and_lost.0 as u64),
     (Gauge::TargetsLost, |it| it.live_and_lost.1 as u64),
     (Gauge::TargetsFull, |it| it.full as u64),
@@ -150,7 +150,7 @@
         meters.gauge(gauge, move || value(&read.get()));
     }
     let read = published.clone();
-    meters.gauge(Gauge::PictureAge, move || {
+    meters.gauge(Gauge::CatalogAge, move || {
         read.get().confirmed.map_or(u64::MAX, |at| clock.now().since(at).0)
     });
     let read = calls.clone();
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -12,6 +12,6 @@
 
 pub use self::{
     meters::{ClassMeters, Count, Family, Gauge, Meters, MetersError},
-    server::{Operator, OperatorError, QUIET_TARGETS},
+    server::{OperatorServer, OperatorError, SILENCED_LOG_TARGETS},
     source::{MarkedSource, Source},
 };
--- a/operator/src/meters/family.rs
+++ b/operator/src/meters/family.rs
@@ -115,11 +115,11 @@
     /// 1 while the instance reads the platform for others, else 0.
     Reading,
     /// Milliseconds since the picture of targets and routes was confirmed.
-    PictureAge,
+    CatalogAge,
     /// The revision up to which all changes of targets and routes are known.
-    PictureRevision,
+    CatalogRevision,
     /// How often the platform had come back from a copy when it gave that revision.
-    PictureEra,
+    CatalogEra,
     /// Targets that are known and answer.
     TargetsLive,
     /// Targets that are listed and don't answer.
@@ -143,9 +143,9 @@
         Gauge::BucketsMoving,
         Gauge::PlatformReachable,
         Gauge::Reading,
-        Gauge::PictureAge,
-        Gauge::PictureRevision,
-        Gauge::PictureEra,
+        Gauge::CatalogAge,
+        Gauge::CatalogRevision,
+        Gauge::CatalogEra,
         Gauge::TargetsLive,
         Gauge::TargetsLost,
         Gauge::TargetsFull,
@@ -164,9 +164,9 @@
             Gauge::BucketsMoving => "medlarspur_buckets_moving",
             Gauge::PlatformReachable => "medlarspur_platform_reachable",
             Gauge::Reading => "medlarspur_reading",
-            Gauge::PictureAge => "medlarspur_picture_age_milliseconds",
-            Gauge::PictureRevision => "medlarspur_picture_revision",
-            Gauge::PictureEra => "medlarspur_picture_era",
+            Gauge::CatalogAge => "medlarspur_picture_age_milliseconds",
+            Gauge::CatalogRevision => "medlarspur_picture_revision",
+            Gauge::CatalogEra => "medlarspur_picture_era",
             Gauge::TargetsLive => "medlarspur_targets_live",
             Gauge::TargetsLost => "medlarspur_targets_lost",
             Gauge::TargetsFull => "medlarspur_targets_full",
@@ -185,9 +185,9 @@
             Gauge::BucketsMoving => "Buckets with earlier owners that may hold flows.",
             Gauge::PlatformReachable => "1 while the last call to the platform was answered.",
             Gauge::Reading => "1 while the instance reads the platform for others.",
-            Gauge::PictureAge => "Time since the targets and routes were confirmed.",
-            Gauge::PictureRevision => "Revision up to which all changes are known.",
-            Gauge::PictureEra => "How often the platform had come back from a copy by then.",
+            Gauge::CatalogAge => "Time since the targets and routes were confirmed.",
+            Gauge::CatalogRevision => "Revision up to which all changes are known.",
+            Gauge::CatalogEra => "How often the platform had come back from a copy by then.",
             Gauge::TargetsLive => "Targets that are known and answer.",
             Gauge::TargetsLost => "Targets that are listed and don't answer.",
             Gauge::TargetsFull => {
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -25,7 +25,7 @@
 
 /// Log targets of rocket and below. Their lines are no changes of state, so a
 /// logger filters them out.
-pub const QUIET_TARGETS: [&str; 4] = ["rocket", "_", "hyper", "opentelemetry"];
+pub const SILENCED_LOG_TARGETS: [&str; 4] = ["rocket", "_", "hyper", "opentelemetry"];
 
 /// How long binding may take before the start counts as failed.
 const START_LIMIT: Duration = Duration::from_secs(10);
@@ -64,13 +64,13 @@
 
 /// The running server; it stops when this is dropped.
 #[derive(Debug)]
-pub struct Operator {
+pub struct OperatorServer {
     address: SocketAddr,
     shutdown: Option<Shutdown>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Operator {
+impl OperatorServer {
     /// Serves at `address` on a thread of its own. Set up a logger first, or
     /// rocket installs its own.
     ///
@@ -81,8 +81,8 @@
         address: SocketAddrV4,
         source: Arc<dyn Source>,
         meters: Meters,
-    ) -> Result<Operator, OperatorError> {
-        Operator::launch(address, move |rocket| {
+    ) -> Result<OperatorServer, OperatorError> {
+        OperatorServer::launch(address, move |rocket| {
             rocket.manage(source).manage(meters).mount("/", routes::all())
         })
     }
@@ -96,8 +96,8 @@
         address: SocketAddrV4,
         source: Arc<dyn MarkedSource>,
         meters: Meters,
-    ) -> Result<Operator, OperatorError> {
-        Operator::launch(address, move |rocket| {
+    ) -> Result<OperatorServer, OperatorError> {
+        OperatorServer::launch(address, move |rocket| {
             rocket.manage(source).manage(meters).mount("/", routes::marked())
         })
     }
@@ -105,7 +105,7 @@
     fn launch(
         address: SocketAddrV4,
         mount: impl FnOnce(Rocket<Build>) -> Rocket<Build> + Send + 'static,
-    ) -> Result<Operator, OperatorError> {
+    ) -> Result<OperatorServer, OperatorError> {
         let (say, hear) = mpsc::channel();
         let thread = thread::Builder::new()
             .name("operator".to_owned())
@@ -113,7 +113,7 @@
             .context(ThreadSnafu)?;
         let start = hear.recv_timeout(START_LIMIT).context(LateSnafu { address })?;
         let (address, shutdown) = start?;
-        Ok(Operator { address, shutdown: Some(shutdown), thread: Some(thread) })
+        Ok(OperatorServer { address, shutdown: Some(shutdown), thread: Some(thread) })
     }
 
     /// The address that was bound, with its actual port.
@@ -138,7 +138,7 @@
     }
 }
 
-impl Drop for Operator {
+impl Drop for OperatorServer {
     fn drop(&mut self) {
         self.end();
     }
--- a/operator/tests/fixtures.rs
+++ b/operator/tests/fixtures.rs
@@ -7,7 +7,7 @@
     status::{BundleStatus, Explanation, FlowStatus, Life, Reason, Status, Unready},
     time::Millis,
 };
-use medlarspur_operator::{Meters, Operator, Source};
+use medlarspur_operator::{Meters, OperatorServer, Source};
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     sync::{
@@ -86,15 +86,15 @@
 pub const ANY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 /// A server on a free port, and what it answers from.
-pub fn server(ready: bool) -> (Operator, Arc<Instance>, Meters) {
+pub fn server(ready: bool) -> (OperatorServer, Arc<Instance>, Meters) {
     let instance = Arc::new(Instance { ready: ready.into() });
     let meters = Meters::new().expect("metrics");
-    let operator = Operator::start(ANY, instance.clone(), meters.clone()).expect("starts");
+    let operator = OperatorServer::start(ANY, instance.clone(), meters.clone()).expect("starts");
     (operator, instance, meters)
 }
 
 /// The code and body of a `GET`.
-pub fn get(operator: &Operator, path: &str) -> (u16, String) {
+pub fn get(operator: &OperatorServer, path: &str) -> (u16, String) {
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let url = format!("http://{}{path}", operator.address());
     let mut answer = ureq::Agent::from(config).get(url).call().expect("an answer");
--- a/operator/tests/test_server.rs
+++ b/operator/tests/test_server.rs
@@ -1,7 +1,7 @@
 //! Starting and stopping.
 
 use crate::fixtures::{ANY, Instance, get, server};
-use medlarspur_operator::{Meters, Operator, OperatorError};
+use medlarspur_operator::{Meters, OperatorServer, OperatorError};
 use std::{
     net::{SocketAddr, TcpListener, TcpStream},
     sync::Arc,
@@ -38,7 +38,7 @@
     };
     let instance = Arc::new(Instance { ready: true.into() });
 
-    let error = Operator::start(address, instance, Meters::new().expect("metrics"))
+    let error = OperatorServer::start(address, instance, Meters::new().expect("metrics"))
         .expect_err("the port is in use");
 
     assert!(matches!(error, OperatorError::Launch { .. }), "{error}");
