--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -29,9 +29,10 @@
 /// Starts an instance with a bundle of this version in force, or none.
 pub fn instance(name: &'static str, version: Option<u64>) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
-    meters.count(Family::Packets, "received").add(10);
+    meters.counter(Family::Packets, "received").add(10);
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-    OperatorServer::start(address, Arc::new(Instance { name, version, era: 0 }), meters).expect("starts")
+    OperatorServer::start(address, Arc::new(Instance { name, version, era: 0 }), meters)
+        .expect("starts")
 }
 
 /// Starts an instance where marks are used, with a config of this version in force.
--- a/daemon/src/boot.rs
+++ b/daemon/src/boot.rs
@@ -19,7 +19,7 @@
     members::{Addresses, Member, MemberState},
     settings::Settings,
 };
-use medlarspur_operator::{Meters, MetersError, OperatorServer, OperatorError};
+use medlarspur_operator::{Meters, MetersError, OperatorError, OperatorServer};
 use medlarspur_peer::{PeerError, PeerSettings, PeerTls, Peers};
 use medlarspur_platform::{Http, Reader, ReaderError};
 use medlarspur_target::{self as target, INTERVAL, Prober, ProberError};
--- a/daemon/src/checker.rs
+++ b/daemon/src/checker.rs
@@ -30,7 +30,7 @@
 
     /// Counts a bundle by its outcome, a label of the metric.
     pub fn count_outcome(&self, outcome: &'static str) {
-        self.meters.count(Family::Bundles, outcome).add(1);
+        self.meters.counter(Family::Bundles, outcome).add(1);
     }
 
     fn verify(&self, text: &str) -> Result<Signed, Refusal> {
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -180,7 +180,7 @@
                 self.waiting.entry(opening.flow).or_insert((now, recorder));
             }
             load::Verdict::Admit if !self.waiting.contains_key(&opening.flow) => {
-                recorder.wait(Duration::ZERO);
+                recorder.record_wait(Duration::ZERO);
             }
             _ => self.record_wait(now, opening.flow, verdict),
         }
@@ -190,7 +190,7 @@
     fn record_wait(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
         let Some((since, recorder)) = self.waiting.remove(&flow) else { return };
         if matches!(verdict, load::Verdict::Admit) {
-            recorder.wait(to_duration(now.since(since)));
+            recorder.record_wait(to_duration(now.since(since)));
         }
     }
 
@@ -231,7 +231,7 @@
 
     fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
-            recorder.handshake(to_duration(after));
+            recorder.record_handshake(to_duration(after));
         }
         self.report_signal(now, target, load::Signal::Established { after: Some(after) });
     }
@@ -246,7 +246,7 @@
         if flow.certainty == Certainty::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
-            recorder.length(to_duration(flow.age(now)));
+            recorder.record_lifetime(to_duration(flow.age(now)));
         }
         if let Some(&(service, target)) = self.positions.get(&flow.target) {
             let closing = load::Closing { flow: id, service, class: flow.class, target };
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -138,31 +138,31 @@
 ) {
     for (family, label, value) in COUNTERS {
         let read = published.clone();
-        meters.observe(family, label, move || value(&read.get()));
+        meters.observe_counter(family, label, move || value(&read.get()));
     }
     for error in PacketError::ALL {
         let read = published.clone();
         let value = move || read.get().malformed[error as usize];
-        meters.observe(Family::Drops, error.label(), value);
+        meters.observe_counter(Family::Drops, error.label(), value);
     }
     for (gauge, value) in GAUGES {
         let read = published.clone();
-        meters.gauge(gauge, move || value(&read.get()));
+        meters.observe_gauge(gauge, move || value(&read.get()));
     }
     let read = published.clone();
-    meters.gauge(Gauge::CatalogAge, move || {
+    meters.observe_gauge(Gauge::CatalogAge, move || {
         read.get().confirmed.map_or(u64::MAX, |at| clock.now().since(at).0)
     });
     let read = calls.clone();
-    meters.observe(Family::Platform, "answered", move || read.answered.load(Relaxed));
+    meters.observe_counter(Family::Platform, "answered", move || read.answered.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Platform, "failed", move || read.failed.load(Relaxed));
+    meters.observe_counter(Family::Platform, "failed", move || read.failed.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Drops, "record", move || read.omitted.load(Relaxed));
+    meters.observe_counter(Family::Drops, "record", move || read.omitted.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Platform, "assumed", move || read.assumed.load(Relaxed));
+    meters.observe_counter(Family::Platform, "assumed", move || read.assumed.load(Relaxed));
     if let Some(sink) = sink {
-        meters.observe(Family::Rings, "log", move || sink.lost());
+        meters.observe_counter(Family::Rings, "log", move || sink.lost());
     }
 }
 
@@ -185,9 +185,9 @@
         let meters = &self.meters;
         let times = self.classes.entry(key).or_insert_with(|| meters.class(service, class));
         match span {
-            Span::Handshake(span) => times.handshake(Duration::from_millis(span.0)),
-            Span::Answer(span) => times.answer(Duration::from_millis(span.0)),
-            Span::Length(span) => times.length(Duration::from_millis(span.0)),
+            Span::Handshake(span) => times.record_handshake(Duration::from_millis(span.0)),
+            Span::Answer(span) => times.record_answer(Duration::from_millis(span.0)),
+            Span::Length(span) => times.record_lifetime(Duration::from_millis(span.0)),
         }
     }
 }
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -62,7 +62,7 @@
 /// Registers the metrics of all shared state.
 pub fn register(meters: &Meters, shared: &Arc<Shared>) {
     let read = shared.clone();
-    meters.forwarder(move || read.counters.load_full());
+    meters.observe_forwarder(move || read.counters.load_full());
     register_bundles(meters);
     register_sockets(meters, shared);
     register_platform(meters, shared);
@@ -70,19 +70,19 @@
     register_peers(meters, shared);
     register_gauges(meters, shared);
     let read = shared.clone();
-    meters.observe(Family::Rings, "threads", move || read.overruns.load(Relaxed));
+    meters.observe_counter(Family::Rings, "threads", move || read.overruns.load(Relaxed));
 }
 
 fn register_bundles(meters: &Meters) {
     for label in Refusal::REASONS.into_iter().chain([ACCEPTED, INCOMPLETE]) {
-        meters.count(Family::Bundles, label);
+        meters.counter(Family::Bundles, label);
     }
 }
 
 fn register_sockets(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in SOCKETS {
         let read = shared.clone();
-        meters.observe(Family::Drops, label, move || {
+        meters.observe_counter(Family::Drops, label, move || {
             value(&read.fabric.load()) + value(&read.questions.load())
         });
     }
@@ -91,30 +91,32 @@
 fn register_platform(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in PLATFORM {
         let read = shared.clone();
-        meters.observe(Family::Platform, label, move || value(&read.platform.load()));
+        meters.observe_counter(Family::Platform, label, move || value(&read.platform.load()));
     }
     let read = shared.clone();
-    meters.observe(Family::Rings, "platform", move || read.platform.load().full);
+    meters.observe_counter(Family::Rings, "platform", move || read.platform.load().full);
 }
 
 fn register_probes(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in PROBES {
         let read = shared.clone();
-        meters.observe(Family::Probes, label, move || value(&read.probes.load()));
+        meters.observe_counter(Family::Probes, label, move || value(&read.probes.load()));
     }
     let read = shared.clone();
-    meters.observe(Family::Rings, "probes", move || read.probes.load().full);
+    meters.observe_counter(Family::Rings, "probes", move || read.probes.load().full);
 }
 
 fn register_peers(meters: &Meters, shared: &Arc<Shared>) {
     for (label, value) in MESSAGES {
         let read = shared.clone();
-        meters.observe(Family::Messages, label, move || value(&read.peers.load()));
+        meters.observe_counter(Family::Messages, label, move || value(&read.peers.load()));
     }
     for (ix, kind) in Kind::ALL.into_iter().enumerate() {
         let (sent, received) = (shared.clone(), shared.clone());
-        meters.observe(Family::ControlSent, kind.name(), move || sent.peers.load().sent[ix].bytes);
-        meters.observe(Family::ControlReceived, kind.name(), move || {
+        meters.observe_counter(Family::ControlSent, kind.name(), move || {
+            sent.peers.load().sent[ix].bytes
+        });
+        meters.observe_counter(Family::ControlReceived, kind.name(), move || {
             received.peers.load().received[ix].bytes
         });
     }
@@ -123,7 +125,7 @@
 fn register_gauges(meters: &Meters, shared: &Arc<Shared>) {
     let gauge = |gauge, value: fn(&Shared) -> u64| {
         let read = shared.clone();
-        meters.gauge(gauge, move || value(&read));
+        meters.observe_gauge(gauge, move || value(&read));
     };
     gauge(Gauge::Ready, |shared| u64::from(shared.stage() == Stage::Serving));
     gauge(Gauge::FlowsHeld, |shared| shared.flows.load(Relaxed));
--- a/daemon/src/sample.rs
+++ b/daemon/src/sample.rs
@@ -34,7 +34,7 @@
     /// Ends the measurement, after the packets of the round have been sent.
     pub fn end(&mut self) {
         if let Some((began, meters)) = self.sample.take() {
-            meters.forward(began.elapsed());
+            meters.record_forward(began.elapsed());
         }
     }
 }
--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -11,7 +11,7 @@
 mod source;
 
 pub use self::{
-    meters::{ClassMeters, Count, Family, Gauge, Meters, MetersError},
-    server::{OperatorServer, OperatorError, SILENCED_LOG_TARGETS},
+    meters::{ClassMeters, Counter, Family, Gauge, Meters, MetersError},
+    server::{OperatorError, OperatorServer, SILENCED_LOG_TARGETS},
     source::{MarkedSource, Source},
 };
--- a/operator/src/meters/class.rs
+++ b/operator/src/meters/class.rs
@@ -101,29 +101,29 @@
 impl ClassMeters {
     /// A packet went on this long after it arrived. Sample it: at full rate
     /// the clock alone costs more than the lookup that it measures.
-    pub fn forward(&self, time: Duration) {
+    pub fn record_forward(&self, time: Duration) {
         self.forward.record(time.as_secs_f64());
     }
 
     /// An opening waited this long before it was admitted.
-    pub fn wait(&self, time: Duration) {
+    pub fn record_wait(&self, time: Duration) {
         self.wait.record(time.as_secs_f64());
     }
 
     /// This long after its opening, the next packet of a flow came. That ends
     /// the handshake, if the fabric does not spray packets of a flow.
-    pub fn handshake(&self, time: Duration) {
+    pub fn record_handshake(&self, time: Duration) {
         self.handshake.record(time.as_secs_f64());
     }
 
     /// This long after a request, its caller acknowledged a first part of the
     /// answer.
-    pub fn answer(&self, time: Duration) {
+    pub fn record_answer(&self, time: Duration) {
         self.answer.record(time.as_secs_f64());
     }
 
     /// A flow ended this long after its opening.
-    pub fn length(&self, time: Duration) {
+    pub fn record_lifetime(&self, time: Duration) {
         self.length.record(time.as_secs_f64());
     }
 }
--- a/operator/src/meters/counter.rs
+++ b/operator/src/meters/counter.rs
@@ -16,9 +16,9 @@
 
 /// A counter of one series. Cheap to clone and to add to from any thread.
 #[derive(Clone, Debug, Default)]
-pub struct Count(Arc<AtomicU64>);
+pub struct Counter(Arc<AtomicU64>);
 
-impl Count {
+impl Counter {
     /// Adds `amount`.
     pub fn add(&self, amount: u64) {
         self.0.fetch_add(amount, Ordering::Relaxed);
@@ -35,7 +35,7 @@
 /// All counters of an instance.
 pub(super) struct Counters {
     families: Map<Family, Series>,
-    counts: Mutex<Map<(Family, &'static str), Count>>,
+    counts: Mutex<Map<(Family, &'static str), Counter>>,
 }
 
 impl Counters {
@@ -44,12 +44,12 @@
         Counters { families: families.collect(), counts: Mutex::default() }
     }
 
-    pub(super) fn count(&self, family: Family, label: &'static str) -> Count {
+    pub(super) fn counter(&self, family: Family, label: &'static str) -> Counter {
         let mut counts = lock(&self.counts);
         if let Some(count) = counts.get(&(family, label)) {
             return count.clone();
         }
-        let count = Count::default();
+        let count = Counter::default();
         counts.insert((family, label), count.clone());
         let read = count.clone();
         self.observe(family, label, Box::new(move || read.get()));
--- a/operator/src/meters/forwarder.rs
+++ b/operator/src/meters/forwarder.rs
@@ -36,25 +36,27 @@
 
 impl Meters {
     /// Shows the counters of the packet path, read by `read` at each scrape.
-    pub fn forwarder(&self, read: impl Fn() -> Arc<Counters> + Send + Sync + 'static) {
+    pub fn observe_forwarder(&self, read: impl Fn() -> Arc<Counters> + Send + Sync + 'static) {
         let read = Arc::new(read);
         for (family, label, value) in SERIES {
             let read = read.clone();
-            self.observe(family, label, move || value(&read()));
+            self.observe_counter(family, label, move || value(&read()));
         }
         for error in PacketError::ALL {
             let read = read.clone();
-            self.observe(Family::Drops, error.label(), move || read().malformed[error as usize]);
+            self.observe_counter(Family::Drops, error.label(), move || {
+                read().malformed[error as usize]
+            });
         }
         for error in QuestionError::ALL {
             let read = read.clone();
-            self.observe(Family::Drops, foreign(error), move || {
+            self.observe_counter(Family::Drops, foreign(error), move || {
                 read().refused_datagrams[error as usize]
             });
         }
         let (taken, slept) = (read.clone(), read);
-        self.observe(Family::Messages, "advert-taken", move || taken().adverts);
-        self.observe(Family::Pauses, "slept", move || slept().slept);
+        self.observe_counter(Family::Messages, "advert-taken", move || taken().adverts);
+        self.observe_counter(Family::Pauses, "slept", move || slept().slept);
     }
 }
 
--- a/operator/src/meters/mod.rs
+++ b/operator/src/meters/mod.rs
@@ -11,7 +11,7 @@
 
 pub use self::{
     class::ClassMeters,
-    counter::Count,
+    counter::Counter,
     family::{Family, Gauge},
 };
 
@@ -87,12 +87,12 @@
 
     /// The counter of `family` for one `label`, which shows at zero at once;
     /// the same one at each call.
-    pub fn count(&self, family: Family, label: &'static str) -> Count {
-        self.0.counters.count(family, label)
+    pub fn counter(&self, family: Family, label: &'static str) -> Counter {
+        self.0.counters.counter(family, label)
     }
 
     /// Shows a number that somebody else counts, read by `read` at each scrape.
-    pub fn observe(
+    pub fn observe_counter(
         &self,
         family: Family,
         label: &'static str,
@@ -109,7 +109,7 @@
     }
 
     /// Reads a gauge from `value` at each scrape.
-    pub fn gauge(&self, gauge: Gauge, value: impl Fn() -> u64 + Send + Sync + 'static) {
+    pub fn observe_gauge(&self, gauge: Gauge, value: impl Fn() -> u64 + Send + Sync + 'static) {
         let read = move |observer: &dyn opentelemetry::metrics::AsyncInstrument<u64>| {
             observer.observe(value(), &[]);
         };
--- a/operator/tests/test_meters.rs
+++ b/operator/tests/test_meters.rs
@@ -15,7 +15,7 @@
 fn a_counter_shows_at_zero_before_anything_happens() {
     let meters = Meters::new().expect("metrics");
 
-    let _count = meters.count(Family::Bundles, "bad-signature");
+    let _count = meters.counter(Family::Bundles, "bad-signature");
 
     expect![[r##"
         # HELP medlarspur_bundles_total Bundles that were offered, by what became of them.
@@ -28,7 +28,7 @@
 #[test]
 fn threads_count_into_one_series() {
     let meters = Meters::new().expect("metrics");
-    let count = meters.count(Family::Drops, "malformed");
+    let count = meters.counter(Family::Drops, "malformed");
 
     thread::scope(|scope| {
         for _ in 0..4 {
@@ -46,8 +46,8 @@
 fn the_same_series_is_counted_once() {
     let meters = Meters::new().expect("metrics");
 
-    meters.count(Family::Platform, "ok").add(1);
-    meters.count(Family::Platform, "ok").add(1);
+    meters.counter(Family::Platform, "ok").add(1);
+    meters.counter(Family::Platform, "ok").add(1);
 
     expect![[r#"
         medlarspur_platform_calls_total{result="ok"} 2
@@ -61,7 +61,7 @@
     let counters = Counters { packets: 9, forwarded: 7, ..Counters::default() };
     let counters = Arc::new(counters);
 
-    meters.forwarder(move || counters.clone());
+    meters.observe_forwarder(move || counters.clone());
 
     expect![[r##"
         # HELP medlarspur_drops_total Packets and datagrams that were dropped.
@@ -113,7 +113,7 @@
 #[test]
 fn a_gauge_is_read_at_the_scrape() {
     let (operator, _, meters) = server(true);
-    meters.gauge(Gauge::FlowsHeld, || 42);
+    meters.observe_gauge(Gauge::FlowsHeld, || 42);
 
     let (code, body) = get(&operator, "/metrics");
 
@@ -128,9 +128,9 @@
     let feed = meters.class(&service, Class::Feed);
     let request = meters.class(&service, Class::Request);
 
-    feed.forward(Duration::from_micros(30));
-    meters.class(&service, Class::Feed).forward(Duration::from_micros(30));
-    request.wait(Duration::from_millis(2));
+    feed.record_forward(Duration::from_micros(30));
+    meters.class(&service, Class::Feed).record_forward(Duration::from_micros(30));
+    request.record_wait(Duration::from_millis(2));
 
     expect![[r##"
         # HELP medlarspur_forward_seconds Time from a packet's arrival to its way on; sampled.
@@ -180,7 +180,7 @@
 
     for ix in 0..4000 {
         let service = ServiceName::new(&format!("s{ix}"));
-        meters.class(&service, Class::Feed).length(Duration::from_secs(1));
+        meters.class(&service, Class::Feed).record_lifetime(Duration::from_secs(1));
     }
 
     let counts = lines(&meters, "medlarspur_flow_seconds_count");
--- a/operator/tests/test_pages.rs
+++ b/operator/tests/test_pages.rs
@@ -29,7 +29,7 @@
 fn every_histogram_and_series_of_the_packet_path_is_described() {
     let page = page();
     let meters = Meters::new().expect("metrics");
-    meters.forwarder(|| Arc::new(Counters::default()));
+    meters.observe_forwarder(|| Arc::new(Counters::default()));
     meters.class(&ServiceName::new("alertdesk"), Class::Feed);
 
     let text = meters.text().expect("text");
--- a/operator/tests/test_server.rs
+++ b/operator/tests/test_server.rs
@@ -1,7 +1,7 @@
 //! Starting and stopping.
 
 use crate::fixtures::{ANY, Instance, get, server};
-use medlarspur_operator::{Meters, OperatorServer, OperatorError};
+use medlarspur_operator::{Meters, OperatorError, OperatorServer};
 use std::{
     net::{SocketAddr, TcpListener, TcpStream},
     sync::Arc,
