--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -7,7 +7,7 @@
 use medlarspur_fabric::Counts as SocketCounts;
 use medlarspur_lib::{bundle::Refusal, members::MemberState, view::View};
 use medlarspur_operator::{Family, Gauge, Meters};
-use medlarspur_peer::{Counters as PeerCounters, Kind};
+use medlarspur_peer::{Counters as PeerCounters, MessageKind};
 use medlarspur_platform::Counts as PlatformCounts;
 use medlarspur_target::Counts as ProbeCounts;
 use std::sync::{Arc, atomic::Ordering::Relaxed};
@@ -111,7 +111,7 @@
         let read = shared.clone();
         meters.observe_counter(Family::Messages, label, move || value(&read.peers.load()));
     }
-    for (ix, kind) in Kind::ALL.into_iter().enumerate() {
+    for (ix, kind) in MessageKind::ALL.into_iter().enumerate() {
         let (sent, received) = (shared.clone(), shared.clone());
         meters.observe_counter(Family::ControlSent, kind.name(), move || {
             sent.peers.load().sent[ix].bytes
--- a/peer/src/client.rs
+++ b/peer/src/client.rs
@@ -1,7 +1,7 @@
 //! Hands batches to peers, each over a connection that is kept.
 
 use crate::{
-    MAX_BATCH,
+    MAX_BATCH_BYTES,
     counters::{Live, bump},
     encode,
     generated::{Batch, peer_client::PeerClient},
@@ -19,7 +19,7 @@
 /// take the memory of all others.
 const QUEUE: usize = 64;
 /// How many bytes go in one batch before it is closed.
-const BATCH_BYTES: usize = MAX_BATCH / 4;
+const BATCH_BYTES: usize = MAX_BATCH_BYTES / 4;
 /// How long a connection is tried and a batch may take. A frozen peer answers
 /// nothing; what waits for it is old after this long and is said again.
 const CALL_LIMIT: Duration = Duration::from_secs(2);
--- a/peer/src/counters.rs
+++ b/peer/src/counters.rs
@@ -6,7 +6,7 @@
 
 /// What a control message is for; bytes are counted for each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum MessageKind {
     /// Heartbeats and leaving.
     Members,
     /// Requests and answers about the bundle.
@@ -19,43 +19,48 @@
     History,
 }
 
-impl Kind {
+impl MessageKind {
     /// All kinds, in the order of [`Counters`].
-    pub const ALL: [Kind; 5] =
-        [Kind::Members, Kind::Bundle, Kind::Plan, Kind::Advert, Kind::History];
+    pub const ALL: [MessageKind; 5] = [
+        MessageKind::Members,
+        MessageKind::Bundle,
+        MessageKind::Plan,
+        MessageKind::Advert,
+        MessageKind::History,
+    ];
 
     /// The name for metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Members => "members",
-            Kind::Bundle => "bundle",
-            Kind::Plan => "plan",
-            Kind::Advert => "advert",
-            Kind::History => "history",
+            MessageKind::Members => "members",
+            MessageKind::Bundle => "bundle",
+            MessageKind::Plan => "plan",
+            MessageKind::Advert => "advert",
+            MessageKind::History => "history",
         }
     }
 
-    fn of(envelope: &Envelope) -> Option<Kind> {
+    fn of(envelope: &Envelope) -> Option<MessageKind> {
         Some(match envelope.message.as_ref()? {
             Message::Heartbeat(_)
             | Message::Leave(_)
             | Message::MembersRequest(_)
-            | Message::MembersAnswer(_) => Kind::Members,
+            | Message::MembersAnswer(_) => MessageKind::Members,
             Message::BundleRequest(_)
             | Message::BundleDelta(_)
             | Message::BundleOutline(_)
             | Message::PieceRequest(_)
-            | Message::Pieces(_) => Kind::Bundle,
-            Message::PlanRequest(_) | Message::Plan(_) => Kind::Plan,
-            Message::Advert(_) => Kind::Advert,
-            Message::HistoryRequest(_) | Message::History(_) => Kind::History,
+            | Message::Pieces(_) => MessageKind::Bundle,
+            Message::PlanRequest(_) | Message::Plan(_) => MessageKind::Plan,
+            Message::Advert(_) => MessageKind::Advert,
+            Message::HistoryRequest(_) | Message::History(_) => MessageKind::History,
         })
     }
 }
 
 /// Messages and their encoded bytes, without what gRPC and TLS add.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Bytes {
+pub struct Traffic {
     /// How many messages.
     pub messages: u64,
     /// How many bytes.
@@ -65,10 +70,10 @@
 /// The counters as they stood when asked for.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counters {
-    /// What was handed to peers, by [`Kind::ALL`].
-    pub sent: [Bytes; 5],
-    /// What peers handed over, by [`Kind::ALL`].
-    pub received: [Bytes; 5],
+    /// What was handed to peers, by [`MessageKind::ALL`].
+    pub sent: [Traffic; 5],
+    /// What peers handed over, by [`MessageKind::ALL`].
+    pub received: [Traffic; 5],
     /// Messages that found the channel to the network full.
     pub dropped: u64,
     /// Messages that found the channel from the network full.
@@ -107,8 +112,8 @@
         self.bytes.fetch_add(bytes as u64, Relaxed);
     }
 
-    fn read(&self) -> Bytes {
-        Bytes { messages: self.messages.load(Relaxed), bytes: self.bytes.load(Relaxed) }
+    fn read(&self) -> Traffic {
+        Traffic { messages: self.messages.load(Relaxed), bytes: self.bytes.load(Relaxed) }
     }
 }
 
@@ -136,7 +141,7 @@
 }
 
 fn count(pairs: &[Pair; 5], envelope: &Envelope) {
-    if let Some(kind) = Kind::of(envelope) {
+    if let Some(kind) = MessageKind::of(envelope) {
         pairs[kind as usize].add(envelope.encoded_len());
     }
 }
--- a/peer/src/decode.rs
+++ b/peer/src/decode.rs
@@ -1,7 +1,7 @@
 //! From the wire form to messages, refusing what has no meaning.
 
 use crate::{
-    error::{AbsentSnafu, LargeSnafu, LongSnafu, WireError},
+    error::{MissingSnafu, TooLargeSnafu, TooLongSnafu, WireError},
     generated as wire,
 };
 use medlarspur_lib::{
@@ -13,7 +13,7 @@
 };
 use snafu::{OptionExt, ensure};
 use std::net::{Ipv4Addr, SocketAddrV4};
-use wire::envelope::Message as Kind;
+use wire::envelope::Message as WireMessage;
 
 /// The longest name that is looked at, in bytes.
 const MAX_NAME: usize = 255;
@@ -24,51 +24,51 @@
 
 /// The message that `envelope` carries.
 pub fn decode(envelope: wire::Envelope) -> Decoded<Message> {
-    Ok(match envelope.message.context(AbsentSnafu { field: "message" })? {
-        Kind::Heartbeat(m) => Message::Heartbeat(Box::new(heartbeat(m)?)),
-        Kind::MembersRequest(m) => Message::MembersRequest(message::MembersRequest {
+    Ok(match envelope.message.context(MissingSnafu { field: "message" })? {
+        WireMessage::Heartbeat(m) => Message::Heartbeat(Box::new(heartbeat(m)?)),
+        WireMessage::MembersRequest(m) => Message::MembersRequest(message::MembersRequest {
             sender: addr(m.sender)?,
             groups: m.groups,
         }),
-        Kind::MembersAnswer(m) => Message::MembersAnswer(message::MembersAnswer {
+        WireMessage::MembersAnswer(m) => Message::MembersAnswer(message::MembersAnswer {
             members: m.members.into_iter().map(member).collect::<Decoded<_>>()?,
         }),
-        Kind::BundleRequest(m) => Message::BundleRequest(message::BundleRequest {
+        WireMessage::BundleRequest(m) => Message::BundleRequest(message::BundleRequest {
             sender: addr(m.sender)?,
             base: if m.base.is_empty() { None } else { Some(digest(&m.base)?) },
         }),
-        Kind::BundleDelta(m) => Message::BundleDelta(message::BundleDelta {
+        WireMessage::BundleDelta(m) => Message::BundleDelta(message::BundleDelta {
             version: Version(m.version),
             digest: digest(&m.digest)?,
             base: digest(&m.base)?,
             pieces: m.pieces.into_iter().map(piece).collect(),
         }),
-        Kind::BundleOutline(m) => Message::BundleOutline(message::BundleOutline {
+        WireMessage::BundleOutline(m) => Message::BundleOutline(message::BundleOutline {
             sender: addr(m.sender)?,
             version: Version(m.version),
             digest: digest(&m.digest)?,
             pieces: m.pieces,
         }),
-        Kind::PieceRequest(m) => Message::PieceRequest(message::PieceRequest {
+        WireMessage::PieceRequest(m) => Message::PieceRequest(message::PieceRequest {
             sender: addr(m.sender)?,
             digest: digest(&m.digest)?,
             runs: m.runs.iter().map(|run| (run.first, run.count)).collect(),
         }),
-        Kind::Pieces(m) => Message::Pieces(message::Pieces {
+        WireMessage::Pieces(m) => Message::Pieces(message::Pieces {
             sender: addr(m.sender)?,
             digest: digest(&m.digest)?,
             pieces: m.pieces.into_iter().map(|p| (p.at, p.text.into())).collect(),
         }),
-        Kind::PlanRequest(m) => {
+        WireMessage::PlanRequest(m) => {
             Message::PlanRequest(message::PlanRequest { sender: addr(m.sender)?, groups: m.groups })
         }
-        Kind::Plan(m) => Message::Plan(plan(&m)?),
-        Kind::Advert(m) => Message::Advert(advert(&m)?),
-        Kind::HistoryRequest(m) => {
+        WireMessage::Plan(m) => Message::Plan(plan(&m)?),
+        WireMessage::Advert(m) => Message::Advert(advert(&m)?),
+        WireMessage::HistoryRequest(m) => {
             Message::HistoryRequest(message::HistoryRequest { sender: addr(m.sender)? })
         }
-        Kind::History(m) => Message::History(history(&m)?),
-        Kind::Leave(m) => Message::Leave(message::Leave {
+        WireMessage::History(m) => Message::History(history(&m)?),
+        WireMessage::Leave(m) => Message::Leave(message::Leave {
             sender: InstanceName::new(name("sender", &m.sender)?),
             incarnation: Incarnation(m.incarnation),
         }),
@@ -76,21 +76,21 @@
 }
 
 fn name<'a>(field: &'static str, text: &'a str) -> Decoded<&'a str> {
-    ensure!(!text.is_empty(), AbsentSnafu { field });
-    ensure!(text.len() <= MAX_NAME, LongSnafu { field, len: text.len() });
+    ensure!(!text.is_empty(), MissingSnafu { field });
+    ensure!(text.len() <= MAX_NAME, TooLongSnafu { field, len: text.len() });
     Ok(text)
 }
 
 fn digest(bytes: &[u8]) -> Decoded<Digest> {
-    bytes.try_into().map_err(|_| WireError::DigestLen { len: bytes.len() })
+    bytes.try_into().map_err(|_| WireError::DigestLength { len: bytes.len() })
 }
 
 fn small(field: &'static str, number: u32) -> Decoded<u16> {
-    u16::try_from(number).ok().context(LargeSnafu { field, number })
+    u16::try_from(number).ok().context(TooLargeSnafu { field, number })
 }
 
 fn addr(addr: Option<wire::Addr>) -> Decoded<SocketAddrV4> {
-    let addr = addr.context(AbsentSnafu { field: "address" })?;
+    let addr = addr.context(MissingSnafu { field: "address" })?;
     Ok(SocketAddrV4::new(Ipv4Addr::from_bits(addr.ip), small("port", addr.port)?))
 }
 
@@ -118,9 +118,9 @@
 
 fn heartbeat(m: wire::Heartbeat) -> Decoded<message::Heartbeat> {
     let len = m.rumours.len();
-    ensure!(len <= MAX_RUMOURS, LongSnafu { field: "rumours", len });
+    ensure!(len <= MAX_RUMOURS, TooLongSnafu { field: "rumours", len });
     Ok(message::Heartbeat {
-        sender: member(m.sender.context(AbsentSnafu { field: "sender" })?)?,
+        sender: member(m.sender.context(MissingSnafu { field: "sender" })?)?,
         probe: m.probe,
         digest: digest(&m.digest)?,
         members: m.members,
@@ -152,7 +152,7 @@
     let targets = m.targets.iter().map(|t| target(t)).collect::<Decoded<Vec<_>>>()?;
     let flow = |f: &wire::KnownFlow| {
         let target = targets.get(f.target as usize);
-        let target = target.context(LargeSnafu { field: "target", number: f.target })?;
+        let target = target.context(TooLargeSnafu { field: "target", number: f.target })?;
         Ok((FlowId(f.flow), target.clone()))
     };
     Ok(message::Advert {
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -8,45 +8,46 @@
     message::{self, Message},
 };
 use std::net::SocketAddrV4;
-use wire::envelope::Message as Kind;
+use wire::envelope::Message as WireMessage;
 
 /// The wire form of `message`.
 pub fn encode(message: &Message) -> wire::Envelope {
     let kind = match message {
-        Message::Heartbeat(m) => Kind::Heartbeat(heartbeat(m)),
-        Message::MembersRequest(m) => Kind::MembersRequest(wire::MembersRequest {
+        Message::Heartbeat(m) => WireMessage::Heartbeat(heartbeat(m)),
+        Message::MembersRequest(m) => WireMessage::MembersRequest(wire::MembersRequest {
             sender: addr(m.sender),
             groups: m.groups.clone(),
         }),
-        Message::MembersAnswer(m) => Kind::MembersAnswer(wire::MembersAnswer {
+        Message::MembersAnswer(m) => WireMessage::MembersAnswer(wire::MembersAnswer {
             members: m.members.iter().map(member).collect(),
         }),
-        Message::BundleRequest(m) => Kind::BundleRequest(wire::BundleRequest {
+        Message::BundleRequest(m) => WireMessage::BundleRequest(wire::BundleRequest {
             sender: addr(m.sender),
             base: m.base.map(Vec::from).unwrap_or_default(),
         }),
-        Message::BundleDelta(m) => Kind::BundleDelta(delta(m)),
-        Message::BundleOutline(m) => Kind::BundleOutline(wire::BundleOutline {
+        Message::BundleDelta(m) => WireMessage::BundleDelta(delta(m)),
+        Message::BundleOutline(m) => WireMessage::BundleOutline(wire::BundleOutline {
             sender: addr(m.sender),
             version: m.version.0,
             digest: m.digest.into(),
             pieces: m.pieces.clone(),
         }),
-        Message::PieceRequest(m) => Kind::PieceRequest(piece_request(m)),
-        Message::Pieces(m) => Kind::Pieces(pieces(m)),
-        Message::PlanRequest(m) => Kind::PlanRequest(wire::PlanRequest {
+        Message::PieceRequest(m) => WireMessage::PieceRequest(piece_request(m)),
+        Message::Pieces(m) => WireMessage::Pieces(pieces(m)),
+        Message::PlanRequest(m) => WireMessage::PlanRequest(wire::PlanRequest {
             sender: addr(m.sender),
             groups: m.groups.clone(),
         }),
-        Message::Plan(m) => Kind::Plan(plan(m)),
-        Message::Advert(m) => Kind::Advert(advert(m)),
+        Message::Plan(m) => WireMessage::Plan(plan(m)),
+        Message::Advert(m) => WireMessage::Advert(advert(m)),
         Message::HistoryRequest(m) => {
-            Kind::HistoryRequest(wire::HistoryRequest { sender: addr(m.sender) })
-        }
-        Message::History(m) => Kind::History(history(m)),
-        Message::Leave(m) => {
-            Kind::Leave(wire::Leave { sender: m.sender.to_string(), incarnation: m.incarnation.0 })
+            WireMessage::HistoryRequest(wire::HistoryRequest { sender: addr(m.sender) })
         }
+        Message::History(m) => WireMessage::History(history(m)),
+        Message::Leave(m) => WireMessage::Leave(wire::Leave {
+            sender: m.sender.to_string(),
+            incarnation: m.incarnation.0,
+        }),
     };
     wire::Envelope { message: Some(kind) }
 }
--- a/peer/src/error.rs
+++ b/peer/src/error.rs
@@ -31,7 +31,7 @@
 /// Why a peer's batch was refused.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
-pub enum Refused {
+pub enum BatchError {
     /// It is of another site.
     #[snafu(display("the batch is of another site"))]
     Site,
@@ -55,13 +55,13 @@
 pub enum WireError {
     /// A field that is always needed is absent.
     #[snafu(display("{field} is absent"))]
-    Absent {
+    Missing {
         /// The field.
         field: &'static str,
     },
     /// A field is longer than allowed.
     #[snafu(display("{field} has {len} entries or bytes, more than allowed"))]
-    Long {
+    TooLong {
         /// The field.
         field: &'static str,
         /// How many it has.
@@ -69,7 +69,7 @@
     },
     /// A number is larger than allowed.
     #[snafu(display("{field} is {number}, more than allowed"))]
-    Large {
+    TooLarge {
         /// The field.
         field: &'static str,
         /// What it is.
@@ -77,7 +77,7 @@
     },
     /// A digest hasn't got 32 bytes.
     #[snafu(display("a digest has {len} bytes"))]
-    DigestLen {
+    DigestLength {
         /// How many it has.
         len: usize,
     },
--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -18,14 +18,14 @@
 mod start;
 
 pub use self::{
-    counters::{Bytes, Counters, Kind},
+    counters::{Counters, MessageKind, Traffic},
     decode::decode,
     encode::encode,
-    error::{PeerError, Refused, WireError},
+    error::{BatchError, PeerError, WireError},
     settings::{PeerSettings, PeerTls},
     start::{PeerHandle, Peers},
 };
 
 /// The largest batch that is looked at: a bundle's megabyte as one difference
 /// that shares nothing with its base, and room for its neighbours.
-pub const MAX_BATCH: usize = 2 << 20;
+pub const MAX_BATCH_BYTES: usize = 2 << 20;
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -1,10 +1,10 @@
 //! Takes batches from peers.
 
 use crate::{
-    MAX_BATCH,
+    MAX_BATCH_BYTES,
     counters::{Live, bump},
     decode,
-    error::{MalformedSnafu, OversizeSnafu, Refused, SiteSnafu},
+    error::{BatchError, MalformedSnafu, OversizeSnafu, SiteSnafu},
     generated::{Batch, peer_server},
 };
 use medlarspur_lib::{ids::SiteName, message::Message};
@@ -33,10 +33,10 @@
 
 impl Server {
     /// Takes all of a batch or nothing of it.
-    fn take(&self, batch: Batch) -> Result<(), Refused> {
+    fn take(&self, batch: Batch) -> Result<(), BatchError> {
         ensure!(batch.site == self.site.as_str(), SiteSnafu);
         let bytes = batch.encoded_len();
-        ensure!(bytes <= MAX_BATCH, OversizeSnafu { bytes });
+        ensure!(bytes <= MAX_BATCH_BYTES, OversizeSnafu { bytes });
         for envelope in &batch.messages {
             self.counters.received(envelope);
         }
@@ -49,18 +49,18 @@
         Ok(())
     }
 
-    fn refuse(&self, refused: &Refused) -> Status {
+    fn refuse(&self, refused: &BatchError) -> Status {
         let counters = &self.counters;
         match refused {
-            Refused::Site => {
+            BatchError::Site => {
                 bump(&counters.foreign);
                 Status::permission_denied(refused.to_string())
             }
-            Refused::Oversize { .. } => {
+            BatchError::Oversize { .. } => {
                 bump(&counters.oversize);
                 Status::out_of_range(refused.to_string())
             }
-            Refused::Malformed { .. } => {
+            BatchError::Malformed { .. } => {
                 bump(&counters.malformed);
                 Status::invalid_argument(refused.to_string())
             }
--- a/peer/src/start.rs
+++ b/peer/src/start.rs
@@ -1,7 +1,7 @@
 //! The thread of the control connections and the handle on it.
 
 use crate::{
-    Counters, MAX_BATCH, PeerSettings, PeerTls,
+    Counters, MAX_BATCH_BYTES, PeerSettings, PeerTls,
     client::{self, Caller},
     counters::{Live, bump},
     error::{ListenSnafu, PeerError, ThreadSnafu, TlsSnafu},
@@ -71,7 +71,7 @@
             Server { site: settings.site.clone(), inbox: inbox_in, counters: counters.clone() };
         let builder = builder(settings.tls.as_ref())?;
         // Twice the limit, so that what is somewhat too large is read and counted.
-        let service = PeerServer::new(server).max_decoding_message_size(2 * MAX_BATCH);
+        let service = PeerServer::new(server).max_decoding_message_size(2 * MAX_BATCH_BYTES);
         let tls = settings.tls.as_ref().map(client_tls);
         let caller = Arc::new(Caller { site: settings.site, tls, counters: counters.clone() });
         let runtime = tokio::runtime::Builder::new_current_thread()
--- a/peer/tests/test_connections.rs
+++ b/peer/tests/test_connections.rs
@@ -3,7 +3,7 @@
 use crate::fixtures::{Authority, eventually, heartbeat, refusing, start};
 use medlarspur_lib::message::{Message, PieceRequest, Pieces};
 use medlarspur_peer::{
-    MAX_BATCH,
+    MAX_BATCH_BYTES,
     generated::{Batch, Envelope, Heartbeat, envelope, peer_client::PeerClient},
 };
 use std::time::Duration;
@@ -94,7 +94,7 @@
 #[test]
 fn oversize_batch_is_refused_and_counted() {
     let b = start("gromovestnik", None);
-    let text = "x".repeat(MAX_BATCH + 1);
+    let text = "x".repeat(MAX_BATCH_BYTES + 1);
     let pieces = Pieces { sender: b.addr(), digest: [0; 32], pieces: vec![(0, text.into())] };
     let messages = vec![medlarspur_peer::encode(&Message::Pieces(pieces))];
 
