--- a/operator/src/meters/class.rs
+++ b/operator/src/meters/class.rs
@@ -8,15 +8,17 @@
 use std::time::Duration;
 
 /// From the 5 µs of a lookup to the few milliseconds of a held packet.
-const FORWARD: [f64; 11] = [5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 2.5e-4, 1e-3, 2.5e-3, 5e-3, 1e-2, 5e-2];
+const FORWARD_BOUNDS: [f64; 11] =
+    [5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 2.5e-4, 1e-3, 2.5e-3, 5e-3, 1e-2, 5e-2];
 /// From admission at once to the longest wait that a caller is given.
-const WAIT: [f64; 10] = [1e-4, 1e-3, 5e-3, 1e-2, 2.5e-2, 5e-2, 0.1, 0.25, 0.5, 1.0];
+const WAIT_BOUNDS: [f64; 10] = [1e-4, 1e-3, 5e-3, 1e-2, 2.5e-2, 5e-2, 0.1, 0.25, 0.5, 1.0];
 /// From the round trip within a failure domain to a few lost packets.
-const HANDSHAKE: [f64; 10] = [1e-3, 2e-3, 5e-3, 1e-2, 2.5e-2, 5e-2, 0.1, 0.5, 1.0, 3.0];
+const HANDSHAKE_BOUNDS: [f64; 10] = [1e-3, 2e-3, 5e-3, 1e-2, 2.5e-2, 5e-2, 0.1, 0.5, 1.0, 3.0];
 /// From the fastest request to the longest time that callers wait.
-const ANSWER: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 8.0];
+const ANSWER_BOUNDS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 8.0];
 /// From a short request to a feed of a day.
-const LENGTH: [f64; 10] = [0.1, 1.0, 5.0, 30.0, 120.0, 600.0, 3600.0, 14400.0, 43200.0, 86400.0];
+const LIFETIME_BOUNDS: [f64; 10] =
+    [0.1, 1.0, 5.0, 30.0, 120.0, 600.0, 3600.0, 14400.0, 43200.0, 86400.0];
 
 /// The histograms of all services.
 pub(super) struct Histograms {
@@ -24,15 +26,15 @@
     wait: Histogram<f64>,
     handshake: Histogram<f64>,
     answer: Histogram<f64>,
-    length: Histogram<f64>,
+    lifetime: Histogram<f64>,
 }
 
 impl Histograms {
     pub(super) fn new(meter: &Meter) -> Histograms {
-        let histogram = |name, about, bounds: &[f64]| {
+        let histogram = |name, description, bounds: &[f64]| {
             meter
                 .f64_histogram(name)
-                .with_description(about)
+                .with_description(description)
                 .with_boundaries(bounds.to_vec())
                 .build()
         };
@@ -40,27 +42,27 @@
             forward: histogram(
                 "medlarspur_forward_seconds",
                 "Time from a packet's arrival to its way on; sampled.",
-                &FORWARD,
+                &FORWARD_BOUNDS,
             ),
             wait: histogram(
                 "medlarspur_wait_seconds",
                 "Time that an opening waited before it was admitted.",
-                &WAIT,
+                &WAIT_BOUNDS,
             ),
             handshake: histogram(
                 "medlarspur_handshake_seconds",
                 "Time from an opening to the next packet of its flow here.",
-                &HANDSHAKE,
+                &HANDSHAKE_BOUNDS,
             ),
             answer: histogram(
                 "medlarspur_answer_seconds",
                 "Time from a request to the acknowledgement of its first answer.",
-                &ANSWER,
+                &ANSWER_BOUNDS,
             ),
-            length: histogram(
+            lifetime: histogram(
                 "medlarspur_flow_seconds",
                 "Time from the opening to the end of a flow that was opened here.",
-                &LENGTH,
+                &LIFETIME_BOUNDS,
             ),
         }
     }
@@ -75,7 +77,7 @@
             wait: self.wait.bind(&labels),
             handshake: self.handshake.bind(&labels),
             answer: self.answer.bind(&labels),
-            length: self.length.bind(&labels),
+            lifetime: self.lifetime.bind(&labels),
         }
     }
 }
@@ -95,7 +97,7 @@
     wait: BoundHistogram<f64>,
     handshake: BoundHistogram<f64>,
     answer: BoundHistogram<f64>,
-    length: BoundHistogram<f64>,
+    lifetime: BoundHistogram<f64>,
 }
 
 impl ClassMeters {
@@ -124,6 +126,6 @@
 
     /// A flow ended this long after its opening.
     pub fn record_lifetime(&self, time: Duration) {
-        self.length.record(time.as_secs_f64());
+        self.lifetime.record(time.as_secs_f64());
     }
 }
--- a/operator/src/meters/counter.rs
+++ b/operator/src/meters/counter.rs
@@ -12,7 +12,7 @@
 };
 
 /// Reads the value of one series.
-pub(super) type Read = Box<dyn Fn() -> u64 + Send + Sync>;
+pub(super) type ReadValue = Box<dyn Fn() -> u64 + Send + Sync>;
 
 /// A counter of one series. Cheap to clone and to add to from any thread.
 #[derive(Clone, Debug, Default)]
@@ -30,42 +30,43 @@
 }
 
 /// The series of one family, by label.
-type Series = Arc<Mutex<Vec<(&'static str, Read)>>>;
+type Series = Arc<Mutex<Vec<(&'static str, ReadValue)>>>;
 
 /// All counters of an instance.
 pub(super) struct Counters {
     families: Map<Family, Series>,
-    counts: Mutex<Map<(Family, &'static str), Counter>>,
+    handles: Mutex<Map<(Family, &'static str), Counter>>,
 }
 
 impl Counters {
     pub(super) fn new(meter: &Meter) -> Counters {
-        let families = Family::ALL.into_iter().map(|family| (family, register(meter, family)));
-        Counters { families: families.collect(), counts: Mutex::default() }
+        let families =
+            Family::ALL.into_iter().map(|family| (family, register_family(meter, family)));
+        Counters { families: families.collect(), handles: Mutex::default() }
     }
 
     pub(super) fn counter(&self, family: Family, label: &'static str) -> Counter {
-        let mut counts = lock(&self.counts);
-        if let Some(count) = counts.get(&(family, label)) {
-            return count.clone();
+        let mut handles = lock(&self.handles);
+        if let Some(counter) = handles.get(&(family, label)) {
+            return counter.clone();
         }
-        let count = Counter::default();
-        counts.insert((family, label), count.clone());
-        let read = count.clone();
+        let counter = Counter::default();
+        handles.insert((family, label), counter.clone());
+        let read = counter.clone();
         self.observe(family, label, Box::new(move || read.get()));
-        count
+        counter
     }
 
-    pub(super) fn observe(&self, family: Family, label: &'static str, read: Read) {
+    pub(super) fn observe(&self, family: Family, label: &'static str, read: ReadValue) {
         lock(&self.families[&family]).push((label, read));
     }
 }
 
-fn register(meter: &Meter, family: Family) -> Series {
+fn register_family(meter: &Meter, family: Family) -> Series {
     let series = Series::default();
-    let shown = series.clone();
+    let registered = series.clone();
     let observe = move |observer: &dyn AsyncInstrument<u64>| {
-        for (label, read) in lock(&shown).iter() {
+        for (label, read) in lock(&registered).iter() {
             observer.observe(read(), &[KeyValue::new(family.label(), *label)]);
         }
     };
--- a/operator/src/meters/forwarder.rs
+++ b/operator/src/meters/forwarder.rs
@@ -50,19 +50,19 @@
         }
         for error in QuestionError::ALL {
             let read = read.clone();
-            self.observe_counter(Family::Drops, foreign(error), move || {
+            self.observe_counter(Family::Drops, question_error_label(error), move || {
                 read().refused_datagrams[error as usize]
             });
         }
-        let (taken, slept) = (read.clone(), read);
-        self.observe_counter(Family::Messages, "advert-taken", move || taken().adverts);
-        self.observe_counter(Family::Pauses, "slept", move || slept().slept);
+        let (adverts, sleeps) = (read.clone(), read);
+        self.observe_counter(Family::Messages, "advert-taken", move || adverts().adverts);
+        self.observe_counter(Family::Pauses, "slept", move || sleeps().slept);
     }
 }
 
 /// The reason of a datagram of a peer that is refused; those of callers'
 /// packets are other reasons.
-fn foreign(error: QuestionError) -> &'static str {
+fn question_error_label(error: QuestionError) -> &'static str {
     match error {
         QuestionError::Length => "question-length",
         QuestionError::Checksum => "question-checksum",
--- a/operator/src/meters/mod.rs
+++ b/operator/src/meters/mod.rs
@@ -28,7 +28,7 @@
 
 /// The most series of one metric; the library's own limit of 2,000 would put
 /// the services beyond it into one nameless series at the target size.
-const SERIES: usize = 16_384;
+const MAX_SERIES: usize = 16_384;
 
 /// Why metrics can't be set up or written.
 #[derive(Debug, Snafu)]
@@ -76,7 +76,7 @@
             .build()
             .context(ExporterSnafu)?;
         let provider =
-            SdkMeterProvider::builder().with_reader(exporter).with_view(many_series).build();
+            SdkMeterProvider::builder().with_reader(exporter).with_view(raise_series_limit).build();
         let meter = provider.meter("medlarspur");
         let counters = Counters::new(&meter);
         let histograms = Histograms::new(&meter);
@@ -104,8 +104,8 @@
     /// The meters of one class of a service; the same ones at each call.
     pub fn class(&self, service: &ServiceName, class: Class) -> Arc<ClassMeters> {
         let mut classes = self.0.classes.lock().unwrap_or_else(PoisonError::into_inner);
-        let make = || Arc::new(self.0.histograms.bind(service, class));
-        classes.entry((service.clone(), class)).or_insert_with(make).clone()
+        let create = || Arc::new(self.0.histograms.bind(service, class));
+        classes.entry((service.clone(), class)).or_insert_with(create).clone()
     }
 
     /// Reads a gauge from `value` at each scrape.
@@ -133,6 +133,6 @@
     }
 }
 
-fn many_series(_: &Instrument) -> Option<Stream> {
-    Stream::builder().with_cardinality_limit(SERIES).build().ok()
+fn raise_series_limit(_: &Instrument) -> Option<Stream> {
+    Stream::builder().with_cardinality_limit(MAX_SERIES).build().ok()
 }
--- a/operator/src/routes.rs
+++ b/operator/src/routes.rs
@@ -21,33 +21,33 @@
 use std::sync::Arc;
 
 /// How many flows are listed if the caller names no number.
-const FLOWS: usize = 100;
+const DEFAULT_FLOWS: usize = 100;
 /// The most flows in one answer, about two megabytes of JSON.
 const MAX_FLOWS: usize = 10_000;
 
 /// The instance, as rocket keeps it.
-pub(crate) type Shared = Arc<dyn Source>;
+pub(crate) type SharedSource = Arc<dyn Source>;
 /// The same where marks are used.
-pub(crate) type SharedMarked = Arc<dyn MarkedSource>;
+pub(crate) type SharedMarkedSource = Arc<dyn MarkedSource>;
 
 /// What is wrong with a question.
 #[derive(Serialize)]
-struct Wrong {
+struct ErrorBody {
     error: String,
 }
 
-type Answer<T> = Result<Json<T>, Custom<Json<Wrong>>>;
+type JsonResult<T> = Result<Json<T>, Custom<Json<ErrorBody>>>;
 
-pub(crate) fn all() -> Vec<Route> {
+pub(crate) fn table_routes() -> Vec<Route> {
     routes![healthz, readyz, status, explain, flows, metrics]
 }
 
-pub(crate) fn marked() -> Vec<Route> {
+pub(crate) fn marked_routes() -> Vec<Route> {
     routes![healthz, marked_status, marked_explain, metrics]
 }
 
 pub(crate) fn catchers() -> Vec<Catcher> {
-    catchers![not_found, other]
+    catchers![not_found, other_error]
 }
 
 #[get("/healthz")]
@@ -56,7 +56,7 @@
 }
 
 #[get("/readyz")]
-fn readyz(source: &State<Shared>) -> Custom<String> {
+fn readyz(source: &State<SharedSource>) -> Custom<String> {
     match source.status().unready {
         None => Custom(Code::Ok, "ready\n".to_owned()),
         Some(unready) => Custom(Code::ServiceUnavailable, format!("{unready}\n")),
@@ -64,56 +64,56 @@
 }
 
 #[get("/status")]
-fn status(source: &State<Shared>) -> Json<Status> {
+fn status(source: &State<SharedSource>) -> Json<Status> {
     Json(source.status())
 }
 
 #[get("/explain?<flow>")]
-fn explain(source: &State<Shared>, flow: &str) -> Answer<Explanation> {
-    let key: FlowKey = flow.parse().map_err(|error| wrong(Code::BadRequest, &error))?;
+fn explain(source: &State<SharedSource>, flow: &str) -> JsonResult<Explanation> {
+    let key: FlowKey = flow.parse().map_err(|error| error_response(Code::BadRequest, &error))?;
     Ok(Json(source.explain(&key)))
 }
 
 #[get("/status")]
-fn marked_status(source: &State<SharedMarked>) -> Answer<MarkedStatus> {
-    source.status().map(Json).ok_or_else(busy)
+fn marked_status(source: &State<SharedMarkedSource>) -> JsonResult<MarkedStatus> {
+    source.status().map(Json).ok_or_else(busy_response)
 }
 
 #[get("/explain?<flow>")]
-fn marked_explain(source: &State<SharedMarked>, flow: &str) -> Answer<MarkedExplanation> {
-    let key: FlowKey = flow.parse().map_err(|error| wrong(Code::BadRequest, &error))?;
-    source.explain(&key).map(Json).ok_or_else(busy)
+fn marked_explain(source: &State<SharedMarkedSource>, flow: &str) -> JsonResult<MarkedExplanation> {
+    let key: FlowKey = flow.parse().map_err(|error| error_response(Code::BadRequest, &error))?;
+    source.explain(&key).map(Json).ok_or_else(busy_response)
 }
 
 /// The packet path has not answered.
-fn busy() -> Custom<Json<Wrong>> {
+fn busy_response() -> Custom<Json<ErrorBody>> {
     let error = "the instance is too busy to answer; ask again".to_owned();
-    Custom(Code::ServiceUnavailable, Json(Wrong { error }))
+    Custom(Code::ServiceUnavailable, Json(ErrorBody { error }))
 }
 
 #[get("/flows?<limit>")]
-fn flows(source: &State<Shared>, limit: Option<usize>) -> Json<Vec<FlowStatus>> {
-    Json(source.flows(limit.unwrap_or(FLOWS).min(MAX_FLOWS)))
+fn flows(source: &State<SharedSource>, limit: Option<usize>) -> Json<Vec<FlowStatus>> {
+    Json(source.flows(limit.unwrap_or(DEFAULT_FLOWS).min(MAX_FLOWS)))
 }
 
 #[get("/metrics")]
-fn metrics(meters: &State<Meters>) -> Result<(ContentType, String), Custom<Json<Wrong>>> {
-    let text = meters.text().map_err(|error| wrong(Code::InternalServerError, &error))?;
+fn metrics(meters: &State<Meters>) -> Result<(ContentType, String), Custom<Json<ErrorBody>>> {
+    let text = meters.text().map_err(|error| error_response(Code::InternalServerError, &error))?;
     let kind = ContentType::new("text", "plain").with_params([("version", "0.0.4")]);
     Ok((kind, text))
 }
 
 #[catch(404)]
-fn not_found(request: &Request<'_>) -> Json<Wrong> {
-    let known = "/healthz, /readyz, /status, /explain?flow=, /flows?limit= and /metrics";
-    Json(Wrong { error: format!("nothing at {}; there are {known}", request.uri()) })
+fn not_found(request: &Request<'_>) -> Json<ErrorBody> {
+    let paths = "/healthz, /readyz, /status, /explain?flow=, /flows?limit= and /metrics";
+    Json(ErrorBody { error: format!("nothing at {}; there are {paths}", request.uri()) })
 }
 
 #[catch(default)]
-fn other(code: Code, request: &Request<'_>) -> Json<Wrong> {
-    Json(Wrong { error: format!("{} {}: {code}", request.method(), request.uri()) })
+fn other_error(code: Code, request: &Request<'_>) -> Json<ErrorBody> {
+    Json(ErrorBody { error: format!("{} {}: {code}", request.method(), request.uri()) })
 }
 
-fn wrong(code: Code, error: &dyn std::error::Error) -> Custom<Json<Wrong>> {
-    Custom(code, Json(Wrong { error: error.to_string() }))
+fn error_response(code: Code, error: &dyn std::error::Error) -> Custom<Json<ErrorBody>> {
+    Custom(code, Json(ErrorBody { error: error.to_string() }))
 }
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -28,9 +28,9 @@
 pub const SILENCED_LOG_TARGETS: [&str; 4] = ["rocket", "_", "hyper", "opentelemetry"];
 
 /// How long binding may take before the start counts as failed.
-const START_LIMIT: Duration = Duration::from_secs(10);
+const START_TIMEOUT: Duration = Duration::from_secs(10);
 /// Seconds that answers under way have at a shutdown; they are short.
-const GRACE: u32 = 1;
+const SHUTDOWN_GRACE: u32 = 1;
 
 /// Why operators can't be served.
 #[derive(Debug, Snafu)]
@@ -51,7 +51,7 @@
     },
     /// Rocket says neither that it runs nor that it doesn't.
     #[snafu(display("serving operators at {address} did not start in time"))]
-    Late {
+    StartTimeout {
         /// The address of the settings.
         address: SocketAddrV4,
         /// What the wait ended by.
@@ -60,7 +60,7 @@
 }
 
 /// What the thread says once.
-type Start = Result<(SocketAddr, Shutdown), OperatorError>;
+type StartResult = Result<(SocketAddr, Shutdown), OperatorError>;
 
 /// The running server; it stops when this is dropped.
 #[derive(Debug)]
@@ -83,7 +83,7 @@
         meters: Meters,
     ) -> Result<OperatorServer, OperatorError> {
         OperatorServer::launch(address, move |rocket| {
-            rocket.manage(source).manage(meters).mount("/", routes::all())
+            rocket.manage(source).manage(meters).mount("/", routes::table_routes())
         })
     }
 
@@ -98,7 +98,7 @@
         meters: Meters,
     ) -> Result<OperatorServer, OperatorError> {
         OperatorServer::launch(address, move |rocket| {
-            rocket.manage(source).manage(meters).mount("/", routes::marked())
+            rocket.manage(source).manage(meters).mount("/", routes::marked_routes())
         })
     }
 
@@ -106,12 +106,12 @@
         address: SocketAddrV4,
         mount: impl FnOnce(Rocket<Build>) -> Rocket<Build> + Send + 'static,
     ) -> Result<OperatorServer, OperatorError> {
-        let (say, hear) = mpsc::channel();
+        let (sender, receiver) = mpsc::channel();
         let thread = thread::Builder::new()
             .name("operator".to_owned())
-            .spawn(move || serve(address, mount, &say))
+            .spawn(move || serve(address, mount, &sender))
             .context(ThreadSnafu)?;
-        let start = hear.recv_timeout(START_LIMIT).context(LateSnafu { address })?;
+        let start = receiver.recv_timeout(START_TIMEOUT).context(StartTimeoutSnafu { address })?;
         let (address, shutdown) = start?;
         Ok(OperatorServer { address, shutdown: Some(shutdown), thread: Some(thread) })
     }
@@ -123,10 +123,10 @@
 
     /// Stops serving and waits for the thread.
     pub fn stop(mut self) {
-        self.end();
+        self.shut_down();
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         if let Some(shutdown) = self.shutdown.take() {
             shutdown.notify();
         }
@@ -140,37 +140,37 @@
 
 impl Drop for OperatorServer {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
 fn serve(
     address: SocketAddrV4,
     mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
-    say: &Sender<Start>,
+    sender: &Sender<StartResult>,
 ) {
     let runtime = match Builder::new_current_thread().enable_all().build().context(ThreadSnafu) {
         Ok(runtime) => runtime,
-        Err(error) => return tell(say, Err(error)),
+        Err(error) => return send_start(sender, Err(error)),
     };
-    let rocket = build(address, mount, say.clone());
+    let rocket = build_rocket(address, mount, sender.clone());
     if let Err(error) = runtime.block_on(rocket.launch()) {
         // Reading the kind also keeps rocket's error from panicking on drop.
         let detail = error.kind().to_string();
-        tell(say, Err(OperatorError::Launch { address, detail }));
+        send_start(sender, Err(OperatorError::Launch { address, detail }));
     }
 }
 
-fn build(
+fn build_rocket(
     address: SocketAddrV4,
     mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
-    say: Sender<Start>,
+    sender: Sender<StartResult>,
 ) -> Rocket<Build> {
     let started = AdHoc::on_liftoff("started", move |rocket| {
         Box::pin(async move {
             let config = rocket.config();
             let address = SocketAddr::new(config.address, config.port);
-            tell(&say, Ok((address, rocket.shutdown())));
+            send_start(&sender, Ok((address, rocket.shutdown())));
         })
     });
     mount(rocket::custom(config(address))).register("/", routes::catchers()).attach(started)
@@ -190,15 +190,15 @@
     };
     config.shutdown.ctrlc = false;
     config.shutdown.signals.clear();
-    config.shutdown.grace = GRACE;
-    config.shutdown.mercy = GRACE;
+    config.shutdown.grace = SHUTDOWN_GRACE;
+    config.shutdown.mercy = SHUTDOWN_GRACE;
     config
 }
 
 /// Nobody hears it once the start took too long; the server then ends with
 /// its process, which failed to start.
-fn tell(say: &Sender<Start>, start: Start) {
-    if say.send(start).is_err() {
+fn send_start(sender: &Sender<StartResult>, start: StartResult) {
+    if sender.send(start).is_err() {
         log::error!("operator: the server started after its limit");
     }
 }
--- a/operator/tests/fixtures.rs
+++ b/operator/tests/fixtures.rs
@@ -83,13 +83,14 @@
 }
 
 /// Any free port of the loopback address.
-pub const ANY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
+pub const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
 /// A server on a free port, and what it answers from.
-pub fn server(ready: bool) -> (OperatorServer, Arc<Instance>, Meters) {
+pub fn start_server(ready: bool) -> (OperatorServer, Arc<Instance>, Meters) {
     let instance = Arc::new(Instance { ready: ready.into() });
     let meters = Meters::new().expect("metrics");
-    let operator = OperatorServer::start(ANY, instance.clone(), meters.clone()).expect("starts");
+    let operator =
+        OperatorServer::start(ANY_PORT, instance.clone(), meters.clone()).expect("starts");
     (operator, instance, meters)
 }
 
--- a/operator/tests/test_meters.rs
+++ b/operator/tests/test_meters.rs
@@ -1,12 +1,12 @@
 //! Counters, gauges and histograms, as a scrape sees them.
 
-use crate::fixtures::{get, server};
+use crate::fixtures::{get, start_server};
 use expect_test::expect;
 use medlarspur_lib::{bundle::Class, forwarder::Counters, ids::ServiceName};
 use medlarspur_operator::{Family, Gauge, Meters};
 use std::{sync::Arc, thread, time::Duration};
 
-fn lines(meters: &Meters, part: &str) -> String {
+fn metric_lines(meters: &Meters, part: &str) -> String {
     let text = meters.text().expect("text");
     text.lines().filter(|line| line.contains(part)).map(|line| format!("{line}\n")).collect()
 }
@@ -22,7 +22,7 @@
         # TYPE medlarspur_bundles_total counter
         medlarspur_bundles_total{outcome="bad-signature"} 0
     "##]]
-    .assert_eq(&lines(&meters, "medlarspur_bundles"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_bundles"));
 }
 
 #[test]
@@ -39,7 +39,7 @@
     expect![[r#"
         medlarspur_drops_total{reason="malformed"} 8000
     "#]]
-    .assert_eq(&lines(&meters, "medlarspur_drops_total{"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_drops_total{"));
 }
 
 #[test]
@@ -52,7 +52,7 @@
     expect![[r#"
         medlarspur_platform_calls_total{result="ok"} 2
     "#]]
-    .assert_eq(&lines(&meters, "medlarspur_platform_calls_total{"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_platform_calls_total{"));
 }
 
 #[test]
@@ -107,12 +107,12 @@
         medlarspur_questions_total{answer="found"} 0
         medlarspur_questions_total{answer="guessed"} 0
     "##]]
-    .assert_eq(&lines(&meters, "medlarspur_"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_"));
 }
 
 #[test]
 fn a_gauge_is_read_at_the_scrape() {
-    let (operator, _, meters) = server(true);
+    let (operator, _, meters) = start_server(true);
     meters.observe_gauge(Gauge::FlowsHeld, || 42);
 
     let (code, body) = get(&operator, "/metrics");
@@ -164,12 +164,12 @@
         medlarspur_forward_seconds_sum{class="request",service="alertdesk"} 0
         medlarspur_forward_seconds_count{class="request",service="alertdesk"} 0
     "##]]
-    .assert_eq(&lines(&meters, "medlarspur_forward_seconds"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_forward_seconds"));
     expect![[r#"
         medlarspur_wait_seconds_sum{class="feed",service="alertdesk"} 0
         medlarspur_wait_seconds_sum{class="request",service="alertdesk"} 0.002
     "#]]
-    .assert_eq(&lines(&meters, "medlarspur_wait_seconds_sum"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_wait_seconds_sum"));
 }
 
 /// At the target size there are 3,400 services. The library would put those
@@ -183,7 +183,7 @@
         meters.class(&service, Class::Feed).record_lifetime(Duration::from_secs(1));
     }
 
-    let counts = lines(&meters, "medlarspur_flow_seconds_count");
+    let counts = metric_lines(&meters, "medlarspur_flow_seconds_count");
     assert_eq!(counts.lines().count(), 4000);
     assert!(!counts.contains("overflow"));
 }
--- a/operator/tests/test_routes.rs
+++ b/operator/tests/test_routes.rs
@@ -1,13 +1,13 @@
 //! What each route answers.
 
-use crate::fixtures::{get, server};
+use crate::fixtures::{get, start_server};
 use expect_test::expect;
 use medlarspur_lib::status::{Explanation, FlowStatus, Reason, Status};
 use std::sync::atomic::Ordering;
 
 #[test]
 fn health_says_that_the_process_answers() {
-    let (operator, ..) = server(false);
+    let (operator, ..) = start_server(false);
 
     assert_eq!(get(&operator, "/healthz"), (200, "ok\n".to_owned()));
 }
@@ -16,7 +16,7 @@
 /// called itself ready, the fabric would send it packets that it must drop.
 #[test]
 fn an_instance_without_a_bundle_is_not_ready_and_says_why() {
-    let (operator, instance, _) = server(false);
+    let (operator, instance, _) = start_server(false);
 
     let (code, body) = get(&operator, "/readyz");
     instance.ready.store(true, Ordering::Relaxed);
@@ -32,7 +32,7 @@
 
 #[test]
 fn status_is_json() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/status");
 
@@ -43,7 +43,7 @@
 
 #[test]
 fn explain_takes_the_text_of_a_flow() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/explain?flow=tcp:10.9.0.1:4000:10.70.0.1:7001");
 
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_flow_that_is_none_is_a_bad_request() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/explain?flow=tcp:nowhere");
 
@@ -67,7 +67,7 @@
 
 #[test]
 fn flows_are_limited() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
     let count = |path: &str| {
         let (_, body) = get(&operator, path);
         serde_json::from_str::<Vec<FlowStatus>>(&body).expect("flows").len()
@@ -80,7 +80,7 @@
 
 #[test]
 fn another_path_is_not_found_and_names_those_that_are() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/config");
 
@@ -90,7 +90,7 @@
 
 #[test]
 fn nothing_can_be_changed() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
     let url = format!("http://{}/status", operator.address());
 
     for method in ["POST", "PUT", "DELETE", "PATCH"] {
--- a/operator/tests/test_server.rs
+++ b/operator/tests/test_server.rs
@@ -1,6 +1,6 @@
 //! Starting and stopping.
 
-use crate::fixtures::{ANY, Instance, get, server};
+use crate::fixtures::{ANY_PORT, Instance, get, start_server};
 use medlarspur_operator::{Meters, OperatorError, OperatorServer};
 use std::{
     net::{SocketAddr, TcpListener, TcpStream},
@@ -9,8 +9,8 @@
 
 #[test]
 fn two_servers_run_side_by_side() {
-    let (first, ..) = server(true);
-    let (second, ..) = server(false);
+    let (first, ..) = start_server(true);
+    let (second, ..) = start_server(false);
 
     assert_ne!(first.address().port(), 0);
     assert_ne!(first.address(), second.address());
@@ -20,7 +20,7 @@
 
 #[test]
 fn a_stopped_server_leaves_its_port() {
-    let (operator, ..) = server(true);
+    let (operator, ..) = start_server(true);
     let address = operator.address();
 
     operator.stop();
@@ -32,7 +32,7 @@
 /// daemon would run on and answer nobody.
 #[test]
 fn a_port_in_use_fails_the_start() {
-    let holder = TcpListener::bind(ANY).expect("a port");
+    let holder = TcpListener::bind(ANY_PORT).expect("a port");
     let SocketAddr::V4(address) = holder.local_addr().expect("an address") else {
         unreachable!("bound to IPv4")
     };
