--- a/operator/src/lib.rs
+++ b/operator/src/lib.rs
@@ -1,9 +1,8 @@
-//! The operators' side of an instance: status, explanations and metrics over
-//! HTTP, for reading only.
+//! HTTP server for operators: status, explanations and metrics of an instance, read-only.
 //!
-//! Operators change an instance by publishing a bundle and in no other way, so
-//! there is no route here that changes anything. The JSON is that of
-//! [`medlarspur_lib::status`]; the metrics are described in `docs/metrics.md`.
+//! Operators change an instance only by publishing a bundle, so no route changes
+//! anything. [`medlarspur_lib::status`] defines the JSON; `docs/metrics.md` describes the
+//! metrics.
 
 mod meters;
 mod routes;
--- a/operator/src/meters/class.rs
+++ b/operator/src/meters/class.rs
@@ -1,4 +1,6 @@
-//! The histograms of a service and class.
+//! Histograms of a class of a service.
+//!
+//! All bounds are in seconds.
 
 use medlarspur_lib::{bundle::Class, ids::ServiceName};
 use opentelemetry::{
@@ -7,20 +9,20 @@
 };
 use std::time::Duration;
 
-/// From the 5 µs of a lookup to the few milliseconds of a held packet.
+/// Bounds from 5 µs, the time of a lookup, to the few milliseconds that a packet is held.
 const FORWARD_BOUNDS: [f64; 11] =
     [5e-6, 1e-5, 2e-5, 5e-5, 1e-4, 2.5e-4, 1e-3, 2.5e-3, 5e-3, 1e-2, 5e-2];
-/// From admission at once to the longest wait that a caller is given.
+/// Bounds from immediate admission to the longest time that an opening may wait.
 const WAIT_BOUNDS: [f64; 10] = [1e-4, 1e-3, 5e-3, 1e-2, 2.5e-2, 5e-2, 0.1, 0.25, 0.5, 1.0];
-/// From the round trip within a failure domain to a few lost packets.
+/// Bounds from the round-trip time within a failure domain to a few retransmissions.
 const HANDSHAKE_BOUNDS: [f64; 10] = [1e-3, 2e-3, 5e-3, 1e-2, 2.5e-2, 5e-2, 0.1, 0.5, 1.0, 3.0];
-/// From the fastest request to the longest time that callers wait.
+/// Bounds from the fastest request to the longest time that callers wait.
 const ANSWER_BOUNDS: [f64; 10] = [0.01, 0.025, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 8.0];
-/// From a short request to a feed of a day.
+/// Bounds from a short request to a feed that lasts a day.
 const LIFETIME_BOUNDS: [f64; 10] =
     [0.1, 1.0, 5.0, 30.0, 120.0, 600.0, 3600.0, 14400.0, 43200.0, 86400.0];
 
-/// The histograms of all services.
+/// The histograms, shared by all services and classes.
 pub(super) struct Histograms {
     forward: Histogram<f64>,
     wait: Histogram<f64>,
@@ -90,7 +92,7 @@
     }
 }
 
-/// What is measured of one class of a service.
+/// Histograms of one class of a service.
 #[derive(Debug)]
 pub struct ClassMeters {
     forward: BoundHistogram<f64>,
@@ -101,30 +103,31 @@
 }
 
 impl ClassMeters {
-    /// A packet went on this long after it arrived. Sample it: at full rate
-    /// the clock alone costs more than the lookup that it measures.
+    /// Records the time from a packet's arrival until it was sent on. Callers sample
+    /// packets: reading the clock for each one costs more than the lookup that is measured.
     pub fn record_forward(&self, time: Duration) {
         self.forward.record(time.as_secs_f64());
     }
 
-    /// An opening waited this long before it was admitted.
+    /// Records the time that an opening waited before it was admitted.
     pub fn record_wait(&self, time: Duration) {
         self.wait.record(time.as_secs_f64());
     }
 
-    /// This long after its opening, the next packet of a flow came. That ends
-    /// the handshake, if the fabric does not spray packets of a flow.
+    /// Records the time from the opening of a flow to its next packet. That packet
+    /// completes the handshake, unless the fabric sprays the packets of a flow over
+    /// instances.
     pub fn record_handshake(&self, time: Duration) {
         self.handshake.record(time.as_secs_f64());
     }
 
-    /// This long after a request, its caller acknowledged a first part of the
+    /// Records the time from a request until its caller acknowledged the first part of the
     /// answer.
     pub fn record_answer(&self, time: Duration) {
         self.answer.record(time.as_secs_f64());
     }
 
-    /// A flow ended this long after its opening.
+    /// Records the time from the opening of a flow to its end.
     pub fn record_lifetime(&self, time: Duration) {
         self.lifetime.record(time.as_secs_f64());
     }
--- a/operator/src/meters/counter.rs
+++ b/operator/src/meters/counter.rs
@@ -1,4 +1,4 @@
-//! Counters, each read at a scrape from wherever it is counted.
+//! Counters, whose values are read at a scrape from the place where they are kept.
 
 use super::Family;
 use medlarspur_lib::collections::Map;
@@ -11,10 +11,10 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// Reads the value of one series.
+/// Function that returns the value of one series.
 pub(super) type ReadValue = Box<dyn Fn() -> u64 + Send + Sync>;
 
-/// A counter of one series. Cheap to clone and to add to from any thread.
+/// Counter of one series. Cloning it and adding to it is cheap on any thread.
 #[derive(Clone, Debug, Default)]
 pub struct Counter(Arc<AtomicU64>);
 
@@ -29,10 +29,10 @@
     }
 }
 
-/// The series of one family, by label.
+/// The series of one family, each with its label.
 type Series = Arc<Mutex<Vec<(&'static str, ReadValue)>>>;
 
-/// All counters of an instance.
+/// All counters of an instance. `handles` holds those that are kept here.
 pub(super) struct Counters {
     families: Map<Family, Series>,
     handles: Mutex<Map<(Family, &'static str), Counter>>,
@@ -78,7 +78,7 @@
     series
 }
 
-/// A panic elsewhere leaves the numbers whole, so they are still shown.
+/// Locks a mutex, poisoned or not. A panic in another thread leaves the values intact.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/operator/src/meters/family.rs
+++ b/operator/src/meters/family.rs
@@ -1,19 +1,19 @@
-//! The counters and gauges of an instance, by name.
+//! Names, labels and descriptions of the counters and gauges.
 
-/// A family of counters that differ in one label.
+/// Counters of one metric, which differ in one label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Family {
-    /// Packets of callers, by event; one packet has several.
+    /// Packets of callers, by event. One packet may count in several events.
     Packets,
     /// Flows, by event.
     Flows,
     /// Packets and datagrams that were dropped, by reason.
     Drops,
-    /// Bundles that were offered, by what became of them.
+    /// Bundles received, by outcome.
     Bundles,
     /// Control messages of peers, by event.
     Messages,
-    /// Questions to peers about flows, by answer.
+    /// Flow lookups at peers, by answer.
     Questions,
     /// Times that a ring between threads was full, by ring.
     Rings,
@@ -21,7 +21,7 @@
     Platform,
     /// Probes of targets, by result.
     Probes,
-    /// Pauses of the process, by what was noticed.
+    /// Pauses of the process, by event.
     Pauses,
     /// Bytes of control messages to peers, by kind of message.
     ControlSent,
@@ -46,7 +46,7 @@
         Family::ControlReceived,
     ];
 
-    /// Its name in the metrics, to which the exporter adds `_total`.
+    /// Returns the name of the metric, without the suffix `_total` that the exporter adds.
     pub fn name(self) -> &'static str {
         match self {
             Family::Packets => "medlarspur_packets",
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The name of the label in which its series differ.
+    /// Returns the name of the label in which the series differ.
     pub fn label(self) -> &'static str {
         match self {
             Family::Packets | Family::Flows | Family::Messages | Family::Pauses => "event",
@@ -95,40 +95,41 @@
     }
 }
 
-/// A value that is read at each scrape.
+/// A metric whose value can rise and fall, read at each scrape.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Gauge {
-    /// 1 while the instance serves, else 0.
+    /// 1 while the instance is ready, else 0.
     Ready,
-    /// The flows that the instance knows.
+    /// Number of flows in the flow table.
     FlowsHeld,
-    /// The instances that it believes to be live.
+    /// Number of instances that are believed to be live.
     MembersLive,
-    /// The version of the bundle in force, 0 without one.
+    /// Version of the bundle in force, 0 without one.
     BundleVersion,
-    /// 1 while its version is known with two contents, else 0.
+    /// 1 while two bundles with the version in force are known, else 0.
     BundleConflict,
-    /// The buckets with earlier owners that may hold flows.
+    /// Number of buckets with earlier owners that may still have flows.
     BucketsMoving,
     /// 1 while the last call to the platform was answered, else 0.
     PlatformReachable,
     /// 1 while the instance reads the platform for others, else 0.
     Reading,
-    /// Milliseconds since the picture of targets and routes was confirmed.
+    /// Milliseconds since the catalog was last confirmed.
     CatalogAge,
-    /// The revision up to which all changes of targets and routes are known.
+    /// Revision up to which all changes of targets and routes are known.
     CatalogRevision,
-    /// How often the platform had come back from a copy when it gave that revision.
+    /// Era of [`CatalogRevision`](Self::CatalogRevision): how often the platform had been
+    /// restored from a copy by then.
     CatalogEra,
-    /// Targets that are known and answer.
+    /// Number of listed targets that answer.
     TargetsLive,
-    /// Targets that are listed and don't answer.
+    /// Number of listed targets that don't answer.
     TargetsLost,
-    /// Targets that take no openings and serve the flows that they have.
+    /// Number of targets that accept no openings but serve the flows that they have.
     TargetsFull,
-    /// Failure domains that operators have emptied.
+    /// Number of failure domains that operators have evacuated.
     DomainsEvacuated,
-    /// Routes of the config in force that can't be served.
+    /// Number of routes of the config in force that can't be served.
     RoutesOmitted,
 }
 
@@ -153,7 +154,7 @@
         Gauge::RoutesOmitted,
     ];
 
-    /// Its name in the metrics.
+    /// Returns the name of the metric.
     pub fn name(self) -> &'static str {
         match self {
             Gauge::Ready => "medlarspur_ready",
--- a/operator/src/meters/forwarder.rs
+++ b/operator/src/meters/forwarder.rs
@@ -1,14 +1,13 @@
-//! Shows what the packet path counts.
+//! Exports the counters of the packet path.
 //!
-//! The packet thread counts in plain numbers of its own and publishes copies;
-//! the metrics read the copies at a scrape, so that counting costs the packet
-//! path nothing that other threads could slow down.
+//! The packet thread counts in plain integers of its own and publishes copies. A scrape
+//! reads the copies, so other threads can't slow down counting.
 
 use super::{Family, Meters};
 use medlarspur_lib::{forwarder::Counters, packet::PacketError, question::QuestionError};
 use std::sync::Arc;
 
-/// One series and where its value is found.
+/// Family and label of a series, and the function that reads its value.
 type Series = (Family, &'static str, fn(&Counters) -> u64);
 
 const SERIES: [Series; 20] = [
@@ -35,7 +34,7 @@
 ];
 
 impl Meters {
-    /// Shows the counters of the packet path, read by `read` at each scrape.
+    /// Exports the counters of the packet path. Each scrape calls `read` for them.
     pub fn observe_forwarder(&self, read: impl Fn() -> Arc<Counters> + Send + Sync + 'static) {
         let read = Arc::new(read);
         for (family, label, value) in SERIES {
@@ -60,8 +59,8 @@
     }
 }
 
-/// The reason of a datagram of a peer that is refused; those of callers'
-/// packets are other reasons.
+/// Returns the drop reason of a refused datagram from a peer. It differs from the reasons
+/// for packets of callers.
 fn question_error_label(error: QuestionError) -> &'static str {
     match error {
         QuestionError::Length => "question-length",
--- a/operator/src/meters/mod.rs
+++ b/operator/src/meters/mod.rs
@@ -1,8 +1,8 @@
-//! What an instance counts and measures.
+//! Metrics of an instance.
 //!
-//! A thread asks once for the handle of each series that it records, and then
-//! records without looking anything up: a counter is one atomic addition, a
-//! histogram one short lock that only a scrape contends for.
+//! A thread gets the handle of each series once and then records without a lookup. Adding
+//! to a counter is one atomic addition; recording in a histogram takes one short lock, for
+//! which only a scrape contends.
 
 mod class;
 mod counter;
@@ -26,34 +26,34 @@
 use snafu::{ResultExt, Snafu};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// The most series of one metric; the library's own limit of 2,000 would put
-/// the services beyond it into one nameless series at the target size.
+/// Maximum number of series of one metric. The design allows for 3,400 services. The
+/// library's default of 2,000 would merge those beyond it into one unnamed series.
 const MAX_SERIES: usize = 16_384;
 
-/// Why metrics can't be set up or written.
+/// Error of setting up or exporting metrics.
 #[derive(Debug, Snafu)]
 pub enum MetersError {
-    /// The exporter refuses its registry.
+    /// The exporter rejects its registry.
     #[snafu(display("the metrics exporter can't be set up"))]
     Exporter {
-        /// What the library says.
+        /// Error of the library.
         source: OTelSdkError,
     },
-    /// The metrics have no text form.
+    /// The metrics can't be encoded as text.
     #[snafu(display("the metrics can't be written as text"))]
     Encode {
-        /// What the library says.
+        /// Error of the library.
         source: prometheus::Error,
     },
 }
 
-/// All metrics of an instance; clones share them.
+/// All metrics of an instance. Clones share them.
 #[derive(Clone)]
 pub struct Meters(Arc<Inner>);
 
 struct Inner {
     registry: Registry,
-    /// Holds the pipeline; without it every instrument falls silent.
+    /// Keeps the pipeline alive. Once it is dropped, instruments record nothing.
     _provider: SdkMeterProvider,
     meter: Meter,
     counters: Counters,
@@ -62,7 +62,7 @@
 }
 
 impl Meters {
-    /// Sets up all metrics, each at zero.
+    /// Creates all metrics, each at zero.
     ///
     /// # Errors
     ///
@@ -85,13 +85,13 @@
         Ok(Meters(Arc::new(inner)))
     }
 
-    /// The counter of `family` for one `label`, which shows at zero at once;
-    /// the same one at each call.
+    /// Returns the counter of `family` with this `label`, the same one at each call. It is
+    /// exported from then on, starting at zero.
     pub fn counter(&self, family: Family, label: &'static str) -> Counter {
         self.0.counters.counter(family, label)
     }
 
-    /// Shows a number that somebody else counts, read by `read` at each scrape.
+    /// Exports a counter that is kept elsewhere. Each scrape calls `read` for its value.
     pub fn observe_counter(
         &self,
         family: Family,
@@ -101,14 +101,14 @@
         self.0.counters.observe(family, label, Box::new(read));
     }
 
-    /// The meters of one class of a service; the same ones at each call.
+    /// Returns the histograms of one class of a service, the same ones at each call.
     pub fn class(&self, service: &ServiceName, class: Class) -> Arc<ClassMeters> {
         let mut classes = self.0.classes.lock().unwrap_or_else(PoisonError::into_inner);
         let create = || Arc::new(self.0.histograms.bind(service, class));
         classes.entry((service.clone(), class)).or_insert_with(create).clone()
     }
 
-    /// Reads a gauge from `value` at each scrape.
+    /// Exports a gauge. Each scrape calls `value` for its value.
     pub fn observe_gauge(&self, gauge: Gauge, value: impl Fn() -> u64 + Send + Sync + 'static) {
         let read = move |observer: &dyn opentelemetry::metrics::AsyncInstrument<u64>| {
             observer.observe(value(), &[]);
@@ -121,11 +121,11 @@
             .build();
     }
 
-    /// Everything in the text form of Prometheus.
+    /// Returns all metrics in the text format of Prometheus.
     ///
     /// # Errors
     ///
-    /// Fails if a metric has no text form.
+    /// Fails if a metric can't be encoded.
     pub fn text(&self) -> Result<String, MetersError> {
         let mut text = Vec::new();
         TextEncoder::new().encode(&self.0.registry.gather(), &mut text).context(EncodeSnafu)?;
@@ -133,6 +133,7 @@
     }
 }
 
+/// Returns a view that raises the limit of series to [`MAX_SERIES`] for every instrument.
 fn raise_series_limit(_: &Instrument) -> Option<Stream> {
     Stream::builder().with_cardinality_limit(MAX_SERIES).build().ok()
 }
--- a/operator/src/routes.rs
+++ b/operator/src/routes.rs
@@ -1,4 +1,4 @@
-//! The routes, all of them `GET`.
+//! The HTTP routes. All of them are `GET`.
 
 use crate::{
     meters::Meters,
@@ -20,17 +20,17 @@
 use serde::Serialize;
 use std::sync::Arc;
 
-/// How many flows are listed if the caller names no number.
+/// Number of flows in a response to a request without a limit.
 const DEFAULT_FLOWS: usize = 100;
-/// The most flows in one answer, about two megabytes of JSON.
+/// Maximum number of flows in a response, about two megabytes of JSON.
 const MAX_FLOWS: usize = 10_000;
 
-/// The instance, as rocket keeps it.
+/// The instance, as rocket's managed state.
 pub(crate) type SharedSource = Arc<dyn Source>;
-/// The same where marks are used.
+/// The instance at a site whose fabric returns marks, as rocket's managed state.
 pub(crate) type SharedMarkedSource = Arc<dyn MarkedSource>;
 
-/// What is wrong with a question.
+/// Body of an error response.
 #[derive(Serialize)]
 struct ErrorBody {
     error: String,
@@ -38,10 +38,12 @@
 
 type JsonResult<T> = Result<Json<T>, Custom<Json<ErrorBody>>>;
 
+/// Returns the routes of an instance that maps flows to targets by bucket tables.
 pub(crate) fn table_routes() -> Vec<Route> {
     routes![healthz, readyz, status, explain, flows, metrics]
 }
 
+/// Returns the routes of an instance at a site whose fabric returns marks.
 pub(crate) fn marked_routes() -> Vec<Route> {
     routes![healthz, marked_status, marked_explain, metrics]
 }
@@ -85,7 +87,7 @@
     source.explain(&key).map(Json).ok_or_else(busy_response)
 }
 
-/// The packet path has not answered.
+/// The response if the packet path did not answer in time.
 fn busy_response() -> Custom<Json<ErrorBody>> {
     let error = "the instance is too busy to answer; ask again".to_owned();
     Custom(Code::ServiceUnavailable, Json(ErrorBody { error }))
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The thread that serves operators.
+//! The HTTP server and its thread.
 
 use crate::{
     meters::Meters,
@@ -23,46 +23,46 @@
     time::Duration,
 };
 
-/// Log targets of rocket and below. Their lines are no changes of state, so a
-/// logger filters them out.
+/// Log targets of rocket and its dependencies. Loggers filter them out, since their lines
+/// don't report changes of an instance's state.
 pub const SILENCED_LOG_TARGETS: [&str; 4] = ["rocket", "_", "hyper", "opentelemetry"];
 
-/// How long binding may take before the start counts as failed.
+/// Maximum time to bind the address.
 const START_TIMEOUT: Duration = Duration::from_secs(10);
-/// Seconds that answers under way have at a shutdown; they are short.
+/// Seconds that requests in flight have to finish at a shutdown. Responses are short.
 const SHUTDOWN_GRACE: u32 = 1;
 
-/// Why operators can't be served.
+/// Error of starting the server.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// The system gives no thread.
-    #[snafu(display("the operators' thread can't be started"))]
+    /// The thread or its runtime can't be started.
+    #[snafu(display("can't start the thread that serves operators"))]
     Thread {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address can't be bound, or rocket refuses its settings.
-    #[snafu(display("operators can't be served at {address}: {detail}"))]
+    /// The address can't be bound, or rocket rejects the settings.
+    #[snafu(display("can't serve operators at {address}: {detail}"))]
     Launch {
-        /// The address of the settings.
+        /// The configured address.
         address: SocketAddrV4,
-        /// What rocket says.
+        /// Rocket's error.
         detail: String,
     },
-    /// Rocket says neither that it runs nor that it doesn't.
-    #[snafu(display("serving operators at {address} did not start in time"))]
+    /// Rocket reported neither a start nor an error in time.
+    #[snafu(display("the server for operators at {address} did not start in time"))]
     StartTimeout {
-        /// The address of the settings.
+        /// The configured address.
         address: SocketAddrV4,
-        /// What the wait ended by.
+        /// Why the wait ended.
         source: RecvTimeoutError,
     },
 }
 
-/// What the thread says once.
+/// Result of the start, which the thread sends once.
 type StartResult = Result<(SocketAddr, Shutdown), OperatorError>;
 
-/// The running server; it stops when this is dropped.
+/// The running server. It stops when this is dropped.
 #[derive(Debug)]
 pub struct OperatorServer {
     address: SocketAddr,
@@ -71,12 +71,12 @@
 }
 
 impl OperatorServer {
-    /// Serves at `address` on a thread of its own. Set up a logger first, or
+    /// Serves at `address` on a thread of its own. Callers set up a logger first, or
     /// rocket installs its own.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn start(
         address: SocketAddrV4,
         source: Arc<dyn Source>,
@@ -87,11 +87,11 @@
         })
     }
 
-    /// Serves an instance where marks are used, as [`start`](Self::start) does.
+    /// Like [`start`](Self::start), for an instance at a site whose fabric returns marks.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn start_marked(
         address: SocketAddrV4,
         source: Arc<dyn MarkedSource>,
@@ -116,7 +116,7 @@
         Ok(OperatorServer { address, shutdown: Some(shutdown), thread: Some(thread) })
     }
 
-    /// The address that was bound, with its actual port.
+    /// Returns the bound address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -155,7 +155,7 @@
     };
     let rocket = build_rocket(address, mount, sender.clone());
     if let Err(error) = runtime.block_on(rocket.launch()) {
-        // Reading the kind also keeps rocket's error from panicking on drop.
+        // Reading the kind also prevents rocket's error from panicking on drop.
         let detail = error.kind().to_string();
         send_start(sender, Err(OperatorError::Launch { address, detail }));
     }
@@ -176,8 +176,8 @@
     mount(rocket::custom(config(address))).register("/", routes::catchers()).attach(started)
 }
 
-/// Signals are the daemon's: if rocket took SIGTERM, the instance would stop
-/// answering its operators while it still hands over.
+/// Returns rocket's configuration. Signals are left to the daemon: if rocket handled
+/// SIGTERM, the instance would stop serving operators while it still drains.
 fn config(address: SocketAddrV4) -> Config {
     let mut config = Config {
         address: (*address.ip()).into(),
@@ -195,8 +195,8 @@
     config
 }
 
-/// Nobody hears it once the start took too long; the server then ends with
-/// its process, which failed to start.
+/// Sends the result of the start. After [`START_TIMEOUT`] nothing receives it; the server
+/// then ends together with its process, which failed to start.
 fn send_start(sender: &Sender<StartResult>, start: StartResult) {
     if sender.send(start).is_err() {
         log::error!("operator: the server started after its limit");
--- a/operator/src/source.rs
+++ b/operator/src/source.rs
@@ -1,29 +1,29 @@
-//! Where the answers come from.
+//! Interface through which the server reads an instance.
 
 use medlarspur_lib::{
     packet::FlowKey,
     status::{Explanation, FlowStatus, MarkedExplanation, MarkedStatus, Status},
 };
 
-/// An instance that can be asked. Its methods run on the thread that serves
-/// HTTP and must not wait for the packet path.
+/// An instance whose state can be read. The methods run on the thread that serves HTTP
+/// and must not wait for the packet path.
 pub trait Source: Send + Sync + 'static {
-    /// The state of the instance.
+    /// Returns the state of the instance.
     fn status(&self) -> Status;
 
-    /// Where the next packet of `flow` would go, and why.
+    /// Returns the target that the next packet of `flow` would go to, and the reason.
     fn explain(&self, flow: &FlowKey) -> Explanation;
 
-    /// At most `limit` of the flows that the instance knows.
+    /// Returns up to `limit` flows of the flow table.
     fn flows(&self, limit: usize) -> Vec<FlowStatus>;
 }
 
-/// An instance that can be asked where the fabric returns marks. Its packet path is
-/// asked in turn and is not held up by it; nothing comes back if it is too busy.
+/// An instance at a site whose fabric returns marks. The packet path answers between
+/// packets and isn't delayed. The methods return `None` if it is too busy to answer.
 pub trait MarkedSource: Send + Sync + 'static {
-    /// The state of the instance.
+    /// Returns the state of the instance.
     fn status(&self) -> Option<MarkedStatus>;
 
-    /// Where `flow` goes, and why.
+    /// Returns the target that `flow` goes to, and the reason.
     fn explain(&self, flow: &FlowKey) -> Option<MarkedExplanation>;
 }
--- a/operator/tests/fixtures.rs
+++ b/operator/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! An instance that answers from fixed values, and a client.
+//! An instance with a fixed state, and an HTTP client.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -16,7 +16,7 @@
     },
 };
 
-/// An instance with a thousand flows, ready or not.
+/// An instance with a thousand flows, which is ready or not.
 pub struct Instance {
     pub ready: AtomicBool,
 }
@@ -82,10 +82,10 @@
     }
 }
 
-/// Any free port of the loopback address.
+/// The loopback address with port 0, for which the system chooses a free port.
 pub const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// A server on a free port, and what it answers from.
+/// Starts a server on a free port. Returns it with its instance and metrics.
 pub fn start_server(ready: bool) -> (OperatorServer, Arc<Instance>, Meters) {
     let instance = Arc::new(Instance { ready: ready.into() });
     let meters = Meters::new().expect("metrics");
@@ -94,11 +94,11 @@
     (operator, instance, meters)
 }
 
-/// The code and body of a `GET`.
+/// Sends a `GET`. Returns the status code and the body.
 pub fn get(operator: &OperatorServer, path: &str) -> (u16, String) {
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let url = format!("http://{}{path}", operator.address());
-    let mut answer = ureq::Agent::from(config).get(url).call().expect("an answer");
+    let mut answer = ureq::Agent::from(config).get(url).call().expect("a response");
     let body = answer.body_mut().read_to_string().expect("text");
     (answer.status().as_u16(), body)
 }
--- a/operator/tests/runner.rs
+++ b/operator/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Tests of the operators' interface, over HTTP.
+//! Tests of the HTTP server for operators.
 
 mod fixtures;
 mod test_meters;
--- a/operator/tests/test_meters.rs
+++ b/operator/tests/test_meters.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms, as a scrape sees them.
+//! Counters, gauges and histograms, as a scrape returns them.
 
 use crate::fixtures::{get, start_server};
 use expect_test::expect;
@@ -6,13 +6,14 @@
 use medlarspur_operator::{Family, Gauge, Meters};
 use std::{sync::Arc, thread, time::Duration};
 
+/// Returns the exported lines that contain `part`.
 fn metric_lines(meters: &Meters, part: &str) -> String {
     let text = meters.text().expect("text");
     text.lines().filter(|line| line.contains(part)).map(|line| format!("{line}\n")).collect()
 }
 
 #[test]
-fn a_counter_shows_at_zero_before_anything_happens() {
+fn a_new_counter_is_exported_as_zero() {
     let meters = Meters::new().expect("metrics");
 
     let _count = meters.counter(Family::Bundles, "bad-signature");
@@ -26,7 +27,7 @@
 }
 
 #[test]
-fn threads_count_into_one_series() {
+fn threads_share_a_series() {
     let meters = Meters::new().expect("metrics");
     let count = meters.counter(Family::Drops, "malformed");
 
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn the_same_series_is_counted_once() {
+fn the_same_label_gives_the_same_series() {
     let meters = Meters::new().expect("metrics");
 
     meters.counter(Family::Platform, "ok").add(1);
@@ -56,7 +57,7 @@
 }
 
 #[test]
-fn what_the_packet_path_counts_is_shown() {
+fn counters_of_the_packet_path_are_exported() {
     let meters = Meters::new().expect("metrics");
     let counters = Counters { packets: 9, forwarded: 7, ..Counters::default() };
     let counters = Arc::new(counters);
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_gauge_is_read_at_the_scrape() {
+fn a_gauge_is_read_at_each_scrape() {
     let (operator, _, meters) = start_server(true);
     meters.observe_gauge(Gauge::FlowsHeld, || 42);
 
@@ -122,7 +123,7 @@
 }
 
 #[test]
-fn histograms_tell_services_and_classes_apart() {
+fn services_and_classes_have_separate_histograms() {
     let meters = Meters::new().expect("metrics");
     let service = ServiceName::new("alertdesk");
     let feed = meters.class(&service, Class::Feed);
@@ -172,10 +173,10 @@
     .assert_eq(&metric_lines(&meters, "medlarspur_wait_seconds_sum"));
 }
 
-/// At the target size there are 3,400 services. The library would put those
-/// beyond its limit into one nameless series, and they could not be told apart.
+/// Guards against services without a series of their own. By default, the library merges
+/// those beyond 2,000 into one unnamed series; the design allows for 3,400 services.
 #[test]
-fn thousands_of_services_keep_their_own_series() {
+fn thousands_of_services_have_their_own_series() {
     let meters = Meters::new().expect("metrics");
 
     for ix in 0..4000 {
--- a/operator/tests/test_pages.rs
+++ b/operator/tests/test_pages.rs
@@ -1,4 +1,4 @@
-//! The page of metrics names what is shown.
+//! The documentation of the metrics is complete.
 
 use medlarspur_lib::{bundle::Class, forwarder::Counters, ids::ServiceName};
 use medlarspur_operator::{Family, Gauge, Meters};
@@ -9,8 +9,8 @@
     fs::read_to_string(path).expect("the page")
 }
 
-/// What stands between the first pair of quotes of a series.
-fn label(line: &str) -> Option<&str> {
+/// Returns the value of the first label of a series, which is in quotes.
+fn first_label(line: &str) -> Option<&str> {
     line.split('"').nth(1)
 }
 
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn every_histogram_and_series_of_the_packet_path_is_described() {
+fn every_histogram_and_counter_of_the_packet_path_is_described() {
     let page = page();
     let meters = Meters::new().expect("metrics");
     meters.observe_forwarder(|| Arc::new(Counters::default()));
@@ -38,7 +38,7 @@
     for name in histograms.filter_map(|line| line.strip_prefix("# TYPE ")) {
         assert!(page.contains(&format!("`{name}`")), "{name}");
     }
-    let series = text.lines().filter(|line| line.contains("_total{")).filter_map(label);
+    let series = text.lines().filter(|line| line.contains("_total{")).filter_map(first_label);
     for label in series {
         assert!(page.contains(&format!("`{label}`")), "{label}");
     }
--- a/operator/tests/test_routes.rs
+++ b/operator/tests/test_routes.rs
@@ -1,4 +1,4 @@
-//! What each route answers.
+//! The responses of each route.
 
 use crate::fixtures::{get, start_server};
 use expect_test::expect;
@@ -6,16 +6,16 @@
 use std::sync::atomic::Ordering;
 
 #[test]
-fn health_says_that_the_process_answers() {
+fn health_is_ok_while_the_process_runs() {
     let (operator, ..) = start_server(false);
 
     assert_eq!(get(&operator, "/healthz"), (200, "ok\n".to_owned()));
 }
 
-/// An instance starts while the platform is down and no peer answers. If it
-/// called itself ready, the fabric would send it packets that it must drop.
+/// Guards against an instance that is ready without a bundle, as it starts while neither the
+/// platform nor a peer answers. The fabric would send it packets that it has to drop.
 #[test]
-fn an_instance_without_a_bundle_is_not_ready_and_says_why() {
+fn an_instance_without_a_bundle_is_not_ready_and_reports_the_reason() {
     let (operator, instance, _) = start_server(false);
 
     let (code, body) = get(&operator, "/readyz");
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn explain_takes_the_text_of_a_flow() {
+fn explain_parses_the_flow() {
     let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/explain?flow=tcp:10.9.0.1:4000:10.70.0.1:7001");
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_flow_that_is_none_is_a_bad_request() {
+fn an_invalid_flow_is_a_bad_request() {
     let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/explain?flow=tcp:nowhere");
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn flows_are_limited() {
+fn the_number_of_flows_is_limited() {
     let (operator, ..) = start_server(true);
     let count = |path: &str| {
         let (_, body) = get(&operator, path);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn another_path_is_not_found_and_names_those_that_are() {
+fn an_unknown_path_is_not_found_and_the_response_lists_the_known_ones() {
     let (operator, ..) = start_server(true);
 
     let (code, body) = get(&operator, "/config");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn nothing_can_be_changed() {
+fn methods_that_change_something_are_not_found() {
     let (operator, ..) = start_server(true);
     let url = format!("http://{}/status", operator.address());
 
--- a/operator/tests/test_server.rs
+++ b/operator/tests/test_server.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping.
+//! Start and stop of the server.
 
 use crate::fixtures::{ANY_PORT, Instance, get, start_server};
 use medlarspur_operator::{Meters, OperatorError, OperatorServer};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_stopped_server_leaves_its_port() {
+fn a_stopped_server_releases_its_port() {
     let (operator, ..) = start_server(true);
     let address = operator.address();
 
@@ -28,10 +28,10 @@
     assert!(TcpStream::connect(address).is_err());
 }
 
-/// Another process holds the port of the settings. Without a typed error the
-/// daemon would run on and answer nobody.
+/// Guards against a daemon that runs on without serving operators, because another process
+/// holds the configured port.
 #[test]
-fn a_port_in_use_fails_the_start() {
+fn start_fails_if_the_port_is_in_use() {
     let holder = TcpListener::bind(ANY_PORT).expect("a port");
     let SocketAddr::V4(address) = holder.local_addr().expect("an address") else {
         unreachable!("bound to IPv4")
