--- a/peer/examples/call_cost.rs
+++ b/peer/examples/call_cost.rs
@@ -6,7 +6,7 @@
 #[allow(dead_code, reason = "shared with the tests")]
 mod fixtures;
 
-use fixtures::{Authority, addr, heartbeat, start};
+use fixtures::{Authority, addr, heartbeat, start_peer};
 use medlarspur_peer::{PeerTls, encode};
 use prost::Message;
 use std::{
@@ -30,7 +30,7 @@
 }
 
 fn measure(label: &str, a: Option<PeerTls>, b: Option<PeerTls>) {
-    let (a, b) = (start("gromovestnik", a), start("gromovestnik", b));
+    let (a, b) = (start_peer("gromovestnik", a), start_peer("gromovestnik", b));
     let passed = Arc::new(AtomicU64::new(0));
     let relay = relay(b.addr(), passed.clone());
     let mut marks = Vec::new();
--- a/peer/src/client.rs
+++ b/peer/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     MAX_BATCH_BYTES,
-    counters::{Live, bump},
+    counters::{LiveCounters, increment},
     encode,
     generated::{Batch, peer_client::PeerClient},
 };
@@ -17,67 +17,70 @@
 
 /// How many messages wait for one peer at most; a peer that hangs must not
 /// take the memory of all others.
-const QUEUE: usize = 64;
+const MAX_QUEUED: usize = 64;
 /// How many bytes go in one batch before it is closed.
 const BATCH_BYTES: usize = MAX_BATCH_BYTES / 4;
 /// How long a connection is tried and a batch may take. A frozen peer answers
 /// nothing; what waits for it is old after this long and is said again.
-const CALL_LIMIT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// How long a connection is kept that nobody uses. Neighbours are spoken to
 /// every second; others were asked once.
-const IDLE: Duration = Duration::from_secs(30);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What every connection needs.
 #[derive(Debug)]
-pub(crate) struct Caller {
+pub(crate) struct ClientContext {
     pub(crate) site: SiteName,
     pub(crate) tls: Option<ClientTlsConfig>,
-    pub(crate) counters: Arc<Live>,
+    pub(crate) counters: Arc<LiveCounters>,
 }
 
 /// Passes each message to the connection of its receiver, opening those that
 /// lack, until the control thread is gone.
-pub(crate) async fn dispatch(caller: Arc<Caller>, mut outbox: Receiver<(SocketAddrV4, Message)>) {
+pub(crate) async fn dispatch(
+    context: Arc<ClientContext>,
+    mut outbox: Receiver<(SocketAddrV4, Message)>,
+) {
     let mut queues: Map<SocketAddrV4, Sender<Message>> = Map::default();
     while let Some((to, message)) = outbox.recv().await {
         queues.retain(|addr, queue| *addr == to || !queue.is_closed());
-        let queue = queues.entry(to).or_insert_with(|| open(&caller, to));
+        let queue = queues.entry(to).or_insert_with(|| open_queue(&context, to));
         if queue.is_closed() {
-            *queue = open(&caller, to);
+            *queue = open_queue(&context, to);
         }
         if queue.try_send(message).is_err() {
-            bump(&caller.counters.dropped);
+            increment(&context.counters.dropped);
         }
     }
 }
 
-fn open(caller: &Arc<Caller>, to: SocketAddrV4) -> Sender<Message> {
-    let (sender, receiver) = mpsc::channel(QUEUE);
-    tokio::spawn(serve(caller.clone(), to, receiver));
+fn open_queue(context: &Arc<ClientContext>, to: SocketAddrV4) -> Sender<Message> {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED);
+    tokio::spawn(send_queued(context.clone(), to, receiver));
     sender
 }
 
 /// Serves the queue of one peer until nothing came for a while.
-async fn serve(caller: Arc<Caller>, to: SocketAddrV4, mut queue: Receiver<Message>) {
-    let Some(channel) = connect(&caller, to) else {
-        bump(&caller.counters.failed);
+async fn send_queued(context: Arc<ClientContext>, to: SocketAddrV4, mut queue: Receiver<Message>) {
+    let Some(channel) = connect(&context, to) else {
+        increment(&context.counters.failed);
         return;
     };
     let mut client = PeerClient::new(channel);
-    while let Ok(Some(first)) = timeout(IDLE, queue.recv()).await {
-        let batch = fill(&caller, first, &mut queue);
+    while let Ok(Some(first)) = timeout(IDLE_TIMEOUT, queue.recv()).await {
+        let batch = fill_batch(&context, first, &mut queue);
         if let Err(status) = client.exchange(batch).await {
-            bump(&caller.counters.failed);
+            increment(&context.counters.failed);
             log::debug!("peer {to} didn't take a batch: {}", status.code());
         }
     }
 }
 
-fn connect(caller: &Caller, to: SocketAddrV4) -> Option<Channel> {
-    let scheme = if caller.tls.is_some() { "https" } else { "http" };
+fn connect(context: &ClientContext, to: SocketAddrV4) -> Option<Channel> {
+    let scheme = if context.tls.is_some() { "https" } else { "http" };
     let endpoint = Endpoint::from_shared(format!("{scheme}://{to}")).ok()?;
-    let endpoint = endpoint.connect_timeout(CALL_LIMIT).timeout(CALL_LIMIT).tcp_nodelay(true);
-    let endpoint = match &caller.tls {
+    let endpoint = endpoint.connect_timeout(CALL_TIMEOUT).timeout(CALL_TIMEOUT).tcp_nodelay(true);
+    let endpoint = match &context.tls {
         Some(tls) => endpoint.tls_config(tls.clone()).ok()?,
         None => endpoint,
     };
@@ -85,13 +88,13 @@
 }
 
 /// Takes what waits into one batch, since each call costs some hundred bytes.
-fn fill(caller: &Caller, first: Message, queue: &mut Receiver<Message>) -> Batch {
-    let mut batch = Batch { site: caller.site.to_string(), messages: Vec::new() };
+fn fill_batch(context: &ClientContext, first: Message, queue: &mut Receiver<Message>) -> Batch {
+    let mut batch = Batch { site: context.site.to_string(), messages: Vec::new() };
     let mut bytes = 0;
     let mut next = Some(first);
     while let Some(message) = next {
         let envelope = encode(&message);
-        caller.counters.sent(&envelope);
+        context.counters.sent(&envelope);
         bytes += envelope.encoded_len();
         batch.messages.push(envelope);
         next = if bytes < BATCH_BYTES { queue.try_recv().ok() } else { None };
--- a/peer/src/counters.rs
+++ b/peer/src/counters.rs
@@ -40,7 +40,7 @@
         }
     }
 
-    fn of(envelope: &Envelope) -> Option<MessageKind> {
+    fn of_envelope(envelope: &Envelope) -> Option<MessageKind> {
         Some(match envelope.message.as_ref()? {
             Message::Heartbeat(_)
             | Message::Leave(_)
@@ -89,9 +89,9 @@
 }
 
 #[derive(Debug, Default)]
-pub(crate) struct Live {
-    sent: [Pair; 5],
-    received: [Pair; 5],
+pub(crate) struct LiveCounters {
+    sent: [LiveTraffic; 5],
+    received: [LiveTraffic; 5],
     pub(crate) dropped: AtomicU64,
     pub(crate) unread: AtomicU64,
     pub(crate) failed: AtomicU64,
@@ -101,12 +101,12 @@
 }
 
 #[derive(Debug, Default)]
-struct Pair {
+struct LiveTraffic {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Pair {
+impl LiveTraffic {
     fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Relaxed);
         self.bytes.fetch_add(bytes as u64, Relaxed);
@@ -117,13 +117,13 @@
     }
 }
 
-impl Live {
+impl LiveCounters {
     pub(crate) fn sent(&self, envelope: &Envelope) {
-        count(&self.sent, envelope);
+        add_traffic(&self.sent, envelope);
     }
 
     pub(crate) fn received(&self, envelope: &Envelope) {
-        count(&self.received, envelope);
+        add_traffic(&self.received, envelope);
     }
 
     pub(crate) fn read(&self) -> Counters {
@@ -140,12 +140,12 @@
     }
 }
 
-fn count(pairs: &[Pair; 5], envelope: &Envelope) {
-    if let Some(kind) = MessageKind::of(envelope) {
-        pairs[kind as usize].add(envelope.encoded_len());
+fn add_traffic(traffic: &[LiveTraffic; 5], envelope: &Envelope) {
+    if let Some(kind) = MessageKind::of_envelope(envelope) {
+        traffic[kind as usize].add(envelope.encoded_len());
     }
 }
 
-pub(crate) fn bump(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
--- a/peer/src/decode.rs
+++ b/peer/src/decode.rs
@@ -69,13 +69,13 @@
         }
         WireMessage::History(m) => Message::History(history(&m)?),
         WireMessage::Leave(m) => Message::Leave(message::Leave {
-            sender: InstanceName::new(name("sender", &m.sender)?),
+            sender: InstanceName::new(checked_name("sender", &m.sender)?),
             incarnation: Incarnation(m.incarnation),
         }),
     })
 }
 
-fn name<'a>(field: &'static str, text: &'a str) -> Decoded<&'a str> {
+fn checked_name<'a>(field: &'static str, text: &'a str) -> Decoded<&'a str> {
     ensure!(!text.is_empty(), MissingSnafu { field });
     ensure!(text.len() <= MAX_NAME, TooLongSnafu { field, len: text.len() });
     Ok(text)
@@ -85,13 +85,13 @@
     bytes.try_into().map_err(|_| WireError::DigestLength { len: bytes.len() })
 }
 
-fn small(field: &'static str, number: u32) -> Decoded<u16> {
+fn to_u16(field: &'static str, number: u32) -> Decoded<u16> {
     u16::try_from(number).ok().context(TooLargeSnafu { field, number })
 }
 
 fn addr(addr: Option<wire::Addr>) -> Decoded<SocketAddrV4> {
     let addr = addr.context(MissingSnafu { field: "address" })?;
-    Ok(SocketAddrV4::new(Ipv4Addr::from_bits(addr.ip), small("port", addr.port)?))
+    Ok(SocketAddrV4::new(Ipv4Addr::from_bits(addr.ip), to_u16("port", addr.port)?))
 }
 
 fn member(m: wire::Member) -> Decoded<Member> {
@@ -102,8 +102,8 @@
         wire::State::Dead => MemberState::Dead,
     };
     Ok(Member {
-        name: InstanceName::new(name("name", &m.name)?),
-        domain: DomainName::new(name("domain", &m.domain)?),
+        name: InstanceName::new(checked_name("name", &m.name)?),
+        domain: DomainName::new(checked_name("domain", &m.domain)?),
         incarnation: Incarnation(m.incarnation),
         state,
         addresses: Addresses {
@@ -139,11 +139,11 @@
 }
 
 fn plan(m: &wire::ServicePlan) -> Decoded<message::ServicePlan> {
-    let moved = |m: &wire::Move| Ok((Bucket(small("bucket", m.bucket)?), target(&m.target)?));
+    let moved = |m: &wire::Move| Ok((Bucket(to_u16("bucket", m.bucket)?), target(&m.target)?));
     Ok(message::ServicePlan {
         service: service(&m.service)?,
         sequence: m.sequence,
-        author: InstanceName::new(name("author", &m.author)?),
+        author: InstanceName::new(checked_name("author", &m.author)?),
         moves: m.moves.iter().map(moved).collect::<Decoded<_>>()?,
     })
 }
@@ -156,7 +156,7 @@
         Ok((FlowId(f.flow), target.clone()))
     };
     Ok(message::Advert {
-        sender: InstanceName::new(name("sender", &m.sender)?),
+        sender: InstanceName::new(checked_name("sender", &m.sender)?),
         service: service(&m.service)?,
         flows: m.flows.iter().map(flow).collect::<Decoded<_>>()?,
         advertised: m.told,
@@ -165,7 +165,7 @@
 
 fn history(m: &wire::History) -> Decoded<message::History> {
     let owner = |o: &wire::Owner| {
-        let bucket = Bucket(small("bucket", o.bucket)?);
+        let bucket = Bucket(to_u16("bucket", o.bucket)?);
         Ok(message::HistoryEntry {
             bucket,
             target: target(&o.target)?,
@@ -180,9 +180,9 @@
 }
 
 fn service(text: &str) -> Decoded<ServiceName> {
-    name("service", text).map(ServiceName::new)
+    checked_name("service", text).map(ServiceName::new)
 }
 
 fn target(text: &str) -> Decoded<TargetName> {
-    name("target", text).map(TargetName::new)
+    checked_name("target", text).map(TargetName::new)
 }
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -12,7 +12,7 @@
 
 /// The wire form of `message`.
 pub fn encode(message: &Message) -> wire::Envelope {
-    let kind = match message {
+    let message = match message {
         Message::Heartbeat(m) => WireMessage::Heartbeat(heartbeat(m)),
         Message::MembersRequest(m) => WireMessage::MembersRequest(wire::MembersRequest {
             sender: addr(m.sender),
@@ -49,7 +49,7 @@
             incarnation: m.incarnation.0,
         }),
     };
-    wire::Envelope { message: Some(kind) }
+    wire::Envelope { message: Some(message) }
 }
 
 fn addr(addr: SocketAddrV4) -> Option<wire::Addr> {
@@ -132,15 +132,15 @@
 
 /// A target's name goes once an advert and not once a flow.
 fn advert(m: &message::Advert) -> wire::Advert {
-    let mut places: Map<&TargetName, u32> = Map::default();
+    let mut positions: Map<&TargetName, u32> = Map::default();
     let mut targets = Vec::new();
     let mut flows = Vec::with_capacity(m.flows.len());
     for (flow, target) in &m.flows {
-        let at = *places.entry(target).or_insert_with(|| {
+        let position = *positions.entry(target).or_insert_with(|| {
             targets.push(target.to_string());
             targets.len() as u32 - 1
         });
-        flows.push(wire::KnownFlow { flow: flow.0, target: at });
+        flows.push(wire::KnownFlow { flow: flow.0, target: position });
     }
     wire::Advert {
         sender: m.sender.to_string(),
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     MAX_BATCH_BYTES,
-    counters::{Live, bump},
+    counters::{LiveCounters, increment},
     decode,
     error::{BatchError, MalformedSnafu, OversizeSnafu, SiteSnafu},
     generated::{Batch, peer_server},
@@ -18,22 +18,22 @@
 pub(crate) struct Server {
     pub(crate) site: SiteName,
     pub(crate) inbox: SyncSender<Message>,
-    pub(crate) counters: Arc<Live>,
+    pub(crate) counters: Arc<LiveCounters>,
 }
 
 #[tonic::async_trait]
 impl peer_server::Peer for Server {
     async fn exchange(&self, request: Request<Batch>) -> Result<Response<Batch>, Status> {
-        match self.take(request.into_inner()) {
+        match self.accept(request.into_inner()) {
             Ok(()) => Ok(Response::new(Batch::default())),
-            Err(refused) => Err(self.refuse(&refused)),
+            Err(error) => Err(self.refuse(&error)),
         }
     }
 }
 
 impl Server {
     /// Takes all of a batch or nothing of it.
-    fn take(&self, batch: Batch) -> Result<(), BatchError> {
+    fn accept(&self, batch: Batch) -> Result<(), BatchError> {
         ensure!(batch.site == self.site.as_str(), SiteSnafu);
         let bytes = batch.encoded_len();
         ensure!(bytes <= MAX_BATCH_BYTES, OversizeSnafu { bytes });
@@ -43,26 +43,26 @@
         let messages = batch.messages.into_iter().map(decode).collect::<Result<Vec<_>, _>>();
         for message in messages.context(MalformedSnafu)? {
             if self.inbox.try_send(message).is_err() {
-                bump(&self.counters.unread);
+                increment(&self.counters.unread);
             }
         }
         Ok(())
     }
 
-    fn refuse(&self, refused: &BatchError) -> Status {
+    fn refuse(&self, error: &BatchError) -> Status {
         let counters = &self.counters;
-        match refused {
+        match error {
             BatchError::Site => {
-                bump(&counters.foreign);
-                Status::permission_denied(refused.to_string())
+                increment(&counters.foreign);
+                Status::permission_denied(error.to_string())
             }
             BatchError::Oversize { .. } => {
-                bump(&counters.oversize);
-                Status::out_of_range(refused.to_string())
+                increment(&counters.oversize);
+                Status::out_of_range(error.to_string())
             }
             BatchError::Malformed { .. } => {
-                bump(&counters.malformed);
-                Status::invalid_argument(refused.to_string())
+                increment(&counters.malformed);
+                Status::invalid_argument(error.to_string())
             }
         }
     }
--- a/peer/src/start.rs
+++ b/peer/src/start.rs
@@ -2,8 +2,8 @@
 
 use crate::{
     Counters, MAX_BATCH_BYTES, PeerSettings, PeerTls,
-    client::{self, Caller},
-    counters::{Live, bump},
+    client::{self, ClientContext},
+    counters::{LiveCounters, increment},
     error::{ListenSnafu, PeerError, ThreadSnafu, TlsSnafu},
     generated::peer_server::PeerServer,
     server::Server,
@@ -30,9 +30,9 @@
 /// How many messages wait in each direction between the threads. A fleet of a
 /// thousand sends a node some tens a second; this is room for a long pause of
 /// the control thread.
-const RING: usize = 4_096;
+const CHANNEL_CAPACITY: usize = 4_096;
 /// How long the first answer of a request may take; the handler only queues.
-const SERVE_LIMIT: Duration = Duration::from_secs(2);
+const SERVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts the control connections.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
     addr: SocketAddrV4,
     outbox: Sender<(SocketAddrV4, Message)>,
     inbox: Receiver<Message>,
-    counters: Arc<Live>,
+    counters: Arc<LiveCounters>,
     _stop: oneshot::Sender<()>,
 }
 
@@ -63,23 +63,24 @@
             SocketAddr::V4(bound) => bound,
             SocketAddr::V6(_) => addr,
         };
-        let counters = Arc::new(Live::default());
-        let (inbox_in, inbox) = mpsc::sync_channel(RING);
-        let (outbox, outbox_out) = channel(RING);
+        let counters = Arc::new(LiveCounters::default());
+        let (inbox_sender, inbox) = mpsc::sync_channel(CHANNEL_CAPACITY);
+        let (outbox, outbox_receiver) = channel(CHANNEL_CAPACITY);
         let (stop, stopped) = oneshot::channel::<()>();
         let server =
-            Server { site: settings.site.clone(), inbox: inbox_in, counters: counters.clone() };
-        let builder = builder(settings.tls.as_ref())?;
+            Server { site: settings.site.clone(), inbox: inbox_sender, counters: counters.clone() };
+        let builder = server_builder(settings.tls.as_ref())?;
         // Twice the limit, so that what is somewhat too large is read and counted.
         let service = PeerServer::new(server).max_decoding_message_size(2 * MAX_BATCH_BYTES);
         let tls = settings.tls.as_ref().map(client_tls);
-        let caller = Arc::new(Caller { site: settings.site, tls, counters: counters.clone() });
+        let context =
+            Arc::new(ClientContext { site: settings.site, tls, counters: counters.clone() });
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .context(ThreadSnafu)?;
         let run = move || {
-            runtime.block_on(serve(listener, builder, service, caller, outbox_out, stopped))
+            runtime.block_on(serve(listener, builder, service, context, outbox_receiver, stopped))
         };
         thread::Builder::new().name("peers".into()).spawn(run).context(ThreadSnafu)?;
         Ok(PeerHandle { addr: bound, outbox, inbox, counters, _stop: stop })
@@ -90,11 +91,11 @@
     listener: TcpListener,
     builder: tonic::transport::Server,
     service: PeerServer<Server>,
-    caller: Arc<Caller>,
+    context: Arc<ClientContext>,
     outbox: tokio::sync::mpsc::Receiver<(SocketAddrV4, Message)>,
     stopped: oneshot::Receiver<()>,
 ) {
-    tokio::spawn(client::dispatch(caller, outbox));
+    tokio::spawn(client::dispatch(context, outbox));
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(e) => {
@@ -111,8 +112,8 @@
     }
 }
 
-fn builder(tls: Option<&PeerTls>) -> Result<tonic::transport::Server, PeerError> {
-    let builder = tonic::transport::Server::builder().timeout(SERVE_LIMIT);
+fn server_builder(tls: Option<&PeerTls>) -> Result<tonic::transport::Server, PeerError> {
+    let builder = tonic::transport::Server::builder().timeout(SERVE_TIMEOUT);
     let Some(tls) = tls else { return Ok(builder) };
     let config = ServerTlsConfig::new()
         .identity(Identity::from_pem(&tls.certificate, &tls.key))
@@ -137,7 +138,7 @@
     /// reached; it is not told whether.
     pub fn send(&self, to: SocketAddrV4, message: Message) {
         if self.outbox.try_send((to, message)).is_err() {
-            bump(&self.counters.dropped);
+            increment(&self.counters.dropped);
         }
     }
 
--- a/peer/tests/fixtures.rs
+++ b/peer/tests/fixtures.rs
@@ -67,13 +67,13 @@
     }
 }
 
-pub fn start(site: &str, tls: Option<PeerTls>) -> PeerHandle {
+pub fn start_peer(site: &str, tls: Option<PeerTls>) -> PeerHandle {
     let settings = PeerSettings { site: SiteName::new(site), listen: addr(0), tls };
     Peers::start(settings).expect("it starts")
 }
 
 /// An address that refuses connections for as long as the stream lives, whose own port it is.
-pub fn refusing() -> (TcpStream, SocketAddrV4) {
+pub fn refusing_address() -> (TcpStream, SocketAddrV4) {
     let listener = TcpListener::bind(addr(0)).expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
     match stream.local_addr().expect("connected") {
--- a/peer/tests/test_connections.rs
+++ b/peer/tests/test_connections.rs
@@ -1,6 +1,6 @@
 //! Real connections over the loopback.
 
-use crate::fixtures::{Authority, eventually, heartbeat, refusing, start};
+use crate::fixtures::{Authority, eventually, heartbeat, refusing_address, start_peer};
 use medlarspur_lib::message::{Message, PieceRequest, Pieces};
 use medlarspur_peer::{
     MAX_BATCH_BYTES,
@@ -13,7 +13,7 @@
 
 #[test]
 fn messages_arrive_over_plain_connections() {
-    let (a, b) = (start("gromovestnik", None), start("gromovestnik", None));
+    let (a, b) = (start_peer("gromovestnik", None), start_peer("gromovestnik", None));
 
     a.send(b.addr(), heartbeat(3));
 
@@ -25,8 +25,8 @@
 #[test]
 fn messages_arrive_over_mutual_tls() {
     let authority = Authority::new();
-    let a = start("gromovestnik", Some(authority.issue()));
-    let b = start("gromovestnik", Some(authority.issue()));
+    let a = start_peer("gromovestnik", Some(authority.issue()));
+    let b = start_peer("gromovestnik", Some(authority.issue()));
 
     a.send(b.addr(), heartbeat(3));
     b.send(a.addr(), heartbeat(2));
@@ -39,23 +39,23 @@
 #[test]
 fn strangers_are_not_heard_over_tls() {
     let authority = Authority::new();
-    let b = start("gromovestnik", Some(authority.issue()));
-    let mut forged = Authority::new().issue();
-    forged.authority = authority.issue().authority;
-    let stranger = start("gromovestnik", Some(forged));
-    let bare = start("gromovestnik", None);
+    let b = start_peer("gromovestnik", Some(authority.issue()));
+    let mut untrusted_keys = Authority::new().issue();
+    untrusted_keys.authority = authority.issue().authority;
+    let untrusted = start_peer("gromovestnik", Some(untrusted_keys));
+    let plain = start_peer("gromovestnik", None);
 
-    stranger.send(b.addr(), heartbeat(0));
-    bare.send(b.addr(), heartbeat(0));
+    untrusted.send(b.addr(), heartbeat(0));
+    plain.send(b.addr(), heartbeat(0));
 
-    assert!(eventually(|| stranger.counters().failed == 1 && bare.counters().failed == 1));
+    assert!(eventually(|| untrusted.counters().failed == 1 && plain.counters().failed == 1));
     assert_eq!(b.try_recv(), None);
 }
 
 /// Guards against messages of another site that are taken for those of this one.
 #[test]
 fn another_site_is_refused_and_counted() {
-    let (a, b) = (start("katsastusaikavirasto", None), start("gromovestnik", None));
+    let (a, b) = (start_peer("katsastusaikavirasto", None), start_peer("gromovestnik", None));
 
     a.send(b.addr(), heartbeat(0));
 
@@ -79,7 +79,7 @@
 /// A peer of a broken version sends a heartbeat without a sender.
 #[test]
 fn malformed_batch_is_refused_and_counted() {
-    let b = start("gromovestnik", None);
+    let b = start_peer("gromovestnik", None);
     let broken = Envelope { message: Some(envelope::Message::Heartbeat(Heartbeat::default())) };
     let batch = Batch { site: "gromovestnik".into(), messages: vec![broken] };
 
@@ -93,7 +93,7 @@
 /// Guards against a batch that takes the memory which flows need.
 #[test]
 fn oversize_batch_is_refused_and_counted() {
-    let b = start("gromovestnik", None);
+    let b = start_peer("gromovestnik", None);
     let text = "x".repeat(MAX_BATCH_BYTES + 1);
     let pieces = Pieces { sender: b.addr(), digest: [0; 32], pieces: vec![(0, text.into())] };
     let messages = vec![medlarspur_peer::encode(&Message::Pieces(pieces))];
@@ -108,8 +108,8 @@
 /// Guards against a network thread that waits for one peer while all others seem silent.
 #[test]
 fn unreachable_peer_does_not_delay_others() {
-    let (a, b) = (start("gromovestnik", None), start("gromovestnik", None));
-    let (_held, gone) = refusing();
+    let (a, b) = (start_peer("gromovestnik", None), start_peer("gromovestnik", None));
+    let (_held, gone) = refusing_address();
     let request = Message::PieceRequest(PieceRequest {
         sender: a.addr(),
         digest: [1; 32],
--- a/peer/tests/test_fleet.rs
+++ b/peer/tests/test_fleet.rs
@@ -1,6 +1,6 @@
 //! Control state machines joined by real connections.
 
-use crate::fixtures::{Authority, addr, eventually, start};
+use crate::fixtures::{Authority, addr, eventually, start_peer};
 use medlarspur_lib::{
     control::{Action, ControlSettings, Controller, Event, TICK},
     ids::{DomainName, Incarnation, InstanceName, Version},
@@ -11,9 +11,9 @@
 use medlarspur_peer::PeerHandle;
 use std::{convert::Infallible, net::SocketAddrV4, time::Instant};
 
-struct TakeAll;
+struct AcceptAll;
 
-impl Check for TakeAll {
+impl Check for AcceptAll {
     type Error = Infallible;
 
     fn check(&self, text: &str) -> Result<Version, Infallible> {
@@ -22,15 +22,15 @@
 }
 
 struct Instance {
-    controller: Controller<TakeAll>,
+    controller: Controller<AcceptAll>,
     peers: PeerHandle,
-    ticked: Option<Millis>,
-    born: Instant,
+    last_tick: Option<Millis>,
+    started: Instant,
 }
 
 impl Instance {
     fn new(n: u8, authority: &Authority, seeds: Vec<SocketAddrV4>) -> Instance {
-        let peers = start("gromovestnik", Some(authority.issue()));
+        let peers = start_peer("gromovestnik", Some(authority.issue()));
         let me = Member {
             name: InstanceName::new(&format!("i{n}")),
             domain: DomainName::new(&format!("d{}", n % 2)),
@@ -40,12 +40,12 @@
             version: Version(0),
             advertised: 0,
         };
-        let controller = Controller::new(ControlSettings { me, seeds }, TakeAll);
-        Instance { controller, peers, ticked: None, born: Instant::now() }
+        let controller = Controller::new(ControlSettings { me, seeds }, AcceptAll);
+        Instance { controller, peers, last_tick: None, started: Instant::now() }
     }
 
-    fn event(&mut self, event: Event) {
-        let now = Millis::from(self.born.elapsed());
+    fn handle(&mut self, event: Event) {
+        let now = Millis::from(self.started.elapsed());
         for action in self.controller.handle(now, event) {
             if let Action::Send { to, message } = action {
                 self.peers.send(to, message);
@@ -53,22 +53,22 @@
         }
     }
 
-    fn turn(&mut self) {
+    fn step(&mut self) {
         while let Some(message) = self.peers.try_recv() {
-            self.event(Event::Peer(message));
+            self.handle(Event::Peer(message));
         }
-        let now = Millis::from(self.born.elapsed());
-        if self.ticked.is_none_or(|t| now.since(t) >= TICK) {
-            self.ticked = Some(now);
-            self.event(Event::Tick);
+        let now = Millis::from(self.started.elapsed());
+        if self.last_tick.is_none_or(|t| now.since(t) >= TICK) {
+            self.last_tick = Some(now);
+            self.handle(Event::Tick);
         }
     }
 
-    fn has(&self, text: &str) -> bool {
+    fn has_bundle(&self, text: &str) -> bool {
         self.controller.current().is_some_and(|t| &*t.text == text)
     }
 
-    fn sees(&self, state: MemberState) -> usize {
+    fn count_in_state(&self, state: MemberState) -> usize {
         self.controller.roster().members().filter(|m| m.state == state).count()
     }
 }
@@ -81,8 +81,8 @@
     std::iter::once(first).chain(rest).collect()
 }
 
-fn turn_all(fleet: &mut [Instance]) {
-    fleet.iter_mut().for_each(Instance::turn);
+fn step_all(fleet: &mut [Instance]) {
+    fleet.iter_mut().for_each(Instance::step);
 }
 
 /// Four instances know one address among them. A bundle that one of them reads
@@ -91,15 +91,15 @@
 fn bundle_reaches_all_over_mutual_tls() {
     let mut fleet = fleet();
 
-    fleet[2].event(Event::PlatformBundle("a: 1\n".into()));
+    fleet[2].handle(Event::PlatformBundle("a: 1\n".into()));
     let first = eventually(|| {
-        turn_all(&mut fleet);
-        fleet.iter().all(|i| i.has("a: 1\n") && i.sees(MemberState::Live) == 4)
+        step_all(&mut fleet);
+        fleet.iter().all(|i| i.has_bundle("a: 1\n") && i.count_in_state(MemberState::Live) == 4)
     });
-    fleet[3].event(Event::PlatformBundle("a: 1\nb: 2\n".into()));
+    fleet[3].handle(Event::PlatformBundle("a: 1\nb: 2\n".into()));
     let second = eventually(|| {
-        turn_all(&mut fleet);
-        fleet.iter().all(|i| i.has("a: 1\nb: 2\n"))
+        step_all(&mut fleet);
+        fleet.iter().all(|i| i.has_bundle("a: 1\nb: 2\n"))
     });
 
     assert!(first && second);
@@ -111,14 +111,16 @@
 fn killed_instance_is_found_dead_over_mutual_tls() {
     let mut fleet = fleet();
     assert!(eventually(|| {
-        turn_all(&mut fleet);
-        fleet.iter().all(|i| i.sees(MemberState::Live) == 4)
+        step_all(&mut fleet);
+        fleet.iter().all(|i| i.count_in_state(MemberState::Live) == 4)
     }));
 
     drop(fleet.pop());
 
     assert!(eventually(|| {
-        turn_all(&mut fleet);
-        fleet.iter().all(|i| i.sees(MemberState::Dead) == 1 && i.sees(MemberState::Live) == 3)
+        step_all(&mut fleet);
+        fleet.iter().all(|i| {
+            i.count_in_state(MemberState::Dead) == 1 && i.count_in_state(MemberState::Live) == 3
+        })
     }));
 }
