--- a/peer/src/client.rs
+++ b/peer/src/client.rs
@@ -1,4 +1,4 @@
-//! Hands batches to peers, each over a connection that is kept.
+//! Sends batches to peers, each over a persistent connection.
 
 use crate::{
     MAX_BATCH_BYTES,
@@ -15,19 +15,19 @@
 };
 use tonic::transport::{Channel, ClientTlsConfig, Endpoint};
 
-/// How many messages wait for one peer at most; a peer that hangs must not
-/// take the memory of all others.
+/// Maximum number of messages that wait for one peer. It bounds the memory that a peer
+/// takes which hangs.
 const MAX_QUEUED: usize = 64;
-/// How many bytes go in one batch before it is closed.
+/// Size in bytes from which no more messages are added to a batch.
 const BATCH_BYTES: usize = MAX_BATCH_BYTES / 4;
-/// How long a connection is tried and a batch may take. A frozen peer answers
-/// nothing; what waits for it is old after this long and is said again.
+/// Timeout of connecting and of sending a batch. A frozen peer never answers. After this
+/// time, its queued messages are outdated, and their information is sent again anyway.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a connection is kept that nobody uses. Neighbours are spoken to
-/// every second; others were asked once.
+/// Time after which an unused connection is closed. Neighbours get messages every second,
+/// other peers only single requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What every connection needs.
+/// Settings and counters that all connections share.
 #[derive(Debug)]
 pub(crate) struct ClientContext {
     pub(crate) site: SiteName,
@@ -35,8 +35,8 @@
     pub(crate) counters: Arc<LiveCounters>,
 }
 
-/// Passes each message to the connection of its receiver, opening those that
-/// lack, until the control thread is gone.
+/// Puts each message into the queue of its receiver and opens queues as needed, until the
+/// control thread ends.
 pub(crate) async fn dispatch(
     context: Arc<ClientContext>,
     mut outbox: Receiver<(SocketAddrV4, Message)>,
@@ -60,7 +60,7 @@
     sender
 }
 
-/// Serves the queue of one peer until nothing came for a while.
+/// Sends the queued messages of one peer until none arrives for [`IDLE_TIMEOUT`].
 async fn send_queued(context: Arc<ClientContext>, to: SocketAddrV4, mut queue: Receiver<Message>) {
     let Some(channel) = connect(&context, to) else {
         increment(&context.counters.failed);
@@ -71,7 +71,7 @@
         let batch = fill_batch(&context, first, &mut queue);
         if let Err(status) = client.exchange(batch).await {
             increment(&context.counters.failed);
-            log::debug!("peer {to} didn't take a batch: {}", status.code());
+            log::debug!("sending a batch to peer {to} failed: {}", status.code());
         }
     }
 }
@@ -87,7 +87,7 @@
     Some(endpoint.connect_lazy())
 }
 
-/// Takes what waits into one batch, since each call costs some hundred bytes.
+/// Combines the queued messages into one batch, since each call costs some hundred bytes.
 fn fill_batch(context: &ClientContext, first: Message, queue: &mut Receiver<Message>) -> Batch {
     let mut batch = Batch { site: context.site.to_string(), messages: Vec::new() };
     let mut bytes = 0;
--- a/peer/src/counters.rs
+++ b/peer/src/counters.rs
@@ -1,26 +1,26 @@
-//! What the control connections have done, counted.
+//! Counters of the control connections.
 
 use crate::generated::{Envelope, envelope::Message};
 use prost::Message as _;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// What a control message is for; bytes are counted for each.
+/// Purpose of a control message. Messages and bytes are counted for each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
-    /// Heartbeats and leaving.
+    /// Heartbeats, lists of members and requests for them, and leaving.
     Members,
-    /// Requests and answers about the bundle.
+    /// Parts of the bundle and requests for them.
     Bundle,
     /// Plans and requests for them.
     Plan,
-    /// Flows for keepers.
+    /// Adverts of flows to their keepers.
     Advert,
-    /// Bucket history and requests for it.
+    /// Histories of buckets and requests for them.
     History,
 }
 
 impl MessageKind {
-    /// All kinds, in the order of [`Counters`].
+    /// Every kind, in the order of the arrays in [`Counters`].
     pub const ALL: [MessageKind; 5] = [
         MessageKind::Members,
         MessageKind::Bundle,
@@ -29,7 +29,7 @@
         MessageKind::History,
     ];
 
-    /// The name for metrics.
+    /// Returns the label in the metrics.
     pub fn name(self) -> &'static str {
         match self {
             MessageKind::Members => "members",
@@ -58,36 +58,37 @@
     }
 }
 
-/// Messages and their encoded bytes, without what gRPC and TLS add.
+/// Numbers of messages and of their encoded bytes, without the overhead of gRPC and TLS.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Traffic {
-    /// How many messages.
+    /// Number of messages.
     pub messages: u64,
-    /// How many bytes.
+    /// Number of bytes.
     pub bytes: u64,
 }
 
-/// The counters as they stood when asked for.
+/// Copy of the counters at one moment.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counters {
-    /// What was handed to peers, by [`MessageKind::ALL`].
+    /// Messages sent, in the order of [`MessageKind::ALL`].
     pub sent: [Traffic; 5],
-    /// What peers handed over, by [`MessageKind::ALL`].
+    /// Messages received, in the order of [`MessageKind::ALL`].
     pub received: [Traffic; 5],
-    /// Messages that found the channel to the network full.
+    /// Messages dropped because the channel to the network or the queue of a peer was full.
     pub dropped: u64,
-    /// Messages that found the channel from the network full.
+    /// Messages dropped because the channel from the network was full.
     pub unread: u64,
-    /// Batches that could not be handed over.
+    /// Batches that could not be sent, and connections that could not be set up.
     pub failed: u64,
-    /// Batches refused because they are of another site.
+    /// Batches refused because they are from another site.
     pub foreign: u64,
     /// Batches refused because they are too large.
     pub oversize: u64,
-    /// Batches refused because a message in them has no meaning.
+    /// Batches refused because of an invalid message.
     pub malformed: u64,
 }
 
+/// The counters, shared between threads.
 #[derive(Debug, Default)]
 pub(crate) struct LiveCounters {
     sent: [LiveTraffic; 5],
--- a/peer/src/decode.rs
+++ b/peer/src/decode.rs
@@ -1,4 +1,4 @@
-//! From the wire form to messages, refusing what has no meaning.
+//! Decoding of messages from their wire format, which refuses invalid ones.
 
 use crate::{
     error::{MissingSnafu, TooLargeSnafu, TooLongSnafu, WireError},
@@ -15,14 +15,14 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use wire::envelope::Message as WireMessage;
 
-/// The longest name that is looked at, in bytes.
+/// Maximum length of a name, in bytes.
 const MAX_NAME: usize = 255;
-/// The most rumours that one heartbeat carries; ours carry a few.
+/// Maximum number of rumours in a heartbeat. Instances send only a few.
 const MAX_RUMOURS: usize = 64;
 
 type Decoded<T> = Result<T, WireError>;
 
-/// The message that `envelope` carries.
+/// Decodes the message in `envelope`.
 pub fn decode(envelope: wire::Envelope) -> Decoded<Message> {
     Ok(match envelope.message.context(MissingSnafu { field: "message" })? {
         WireMessage::Heartbeat(m) => Message::Heartbeat(Box::new(heartbeat(m)?)),
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -1,4 +1,4 @@
-//! From messages to their wire form.
+//! Encoding of messages into their wire format.
 
 use crate::generated as wire;
 use medlarspur_lib::{
@@ -10,7 +10,7 @@
 use std::net::SocketAddrV4;
 use wire::envelope::Message as WireMessage;
 
-/// The wire form of `message`.
+/// Encodes `message`.
 pub fn encode(message: &Message) -> wire::Envelope {
     let message = match message {
         Message::Heartbeat(m) => WireMessage::Heartbeat(heartbeat(m)),
@@ -130,7 +130,7 @@
     }
 }
 
-/// A target's name goes once an advert and not once a flow.
+/// Encodes an advert. Each target's name is sent once; flows refer to it by its position.
 fn advert(m: &message::Advert) -> wire::Advert {
     let mut positions: Map<&TargetName, u32> = Map::default();
     let mut targets = Vec::new();
--- a/peer/src/error.rs
+++ b/peer/src/error.rs
@@ -1,84 +1,85 @@
-//! What can fail at the control connections.
+//! Errors of the control connections.
 
+use crate::MAX_BATCH_BYTES;
 use snafu::Snafu;
 
-/// Why the control connections could not be started.
+/// Error of starting the control connections.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum PeerError {
-    /// The address can't be listened at.
+    /// The address can't be bound.
     #[snafu(display("can't listen for peers at {addr}"))]
     Listen {
         /// The address.
         addr: std::net::SocketAddrV4,
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
     /// The thread or its runtime can't be started.
     #[snafu(display("can't start the thread for peers"))]
     Thread {
-        /// What the system says.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The keys are no good.
+    /// The keys are unusable.
     #[snafu(display("the keys for mutual TLS are unusable"))]
     Tls {
-        /// What the TLS library says.
+        /// Error of the TLS library.
         source: tonic::transport::Error,
     },
 }
 
-/// Why a peer's batch was refused.
+/// Why a batch from a peer was refused.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum BatchError {
-    /// It is of another site.
-    #[snafu(display("the batch is of another site"))]
+    /// The batch is from another site.
+    #[snafu(display("the batch is from another site"))]
     Site,
-    /// It is larger than allowed.
-    #[snafu(display("the batch has {bytes} bytes, more than allowed"))]
+    /// The batch is too large.
+    #[snafu(display("the batch has {bytes} bytes; the maximum is {MAX_BATCH_BYTES}"))]
     Oversize {
-        /// How many bytes it has.
+        /// Size of the batch.
         bytes: usize,
     },
-    /// A message in it has no meaning.
-    #[snafu(display("a message is malformed"))]
+    /// A message in the batch is invalid.
+    #[snafu(display("a message of the batch is malformed"))]
     Malformed {
-        /// What is wrong with it.
+        /// Why the message is invalid.
         source: WireError,
     },
 }
 
-/// Why a wire message has no meaning.
+/// Why a received message is invalid.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
-    /// A field that is always needed is absent.
-    #[snafu(display("{field} is absent"))]
+    /// A required field is missing.
+    #[snafu(display("the field {field} is missing"))]
     Missing {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
     },
-    /// A field is longer than allowed.
-    #[snafu(display("{field} has {len} entries or bytes, more than allowed"))]
+    /// A field has too many bytes or entries.
+    #[snafu(display("the field {field} has {len} bytes or entries, which is too many"))]
     TooLong {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// How many it has.
+        /// Its number of bytes or entries.
         len: usize,
     },
-    /// A number is larger than allowed.
-    #[snafu(display("{field} is {number}, more than allowed"))]
+    /// A number is too large.
+    #[snafu(display("the field {field} is {number}, which is too large"))]
     TooLarge {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What it is.
+        /// Its value.
         number: u64,
     },
-    /// A digest hasn't got 32 bytes.
-    #[snafu(display("a digest has {len} bytes"))]
+    /// A digest doesn't have 32 bytes.
+    #[snafu(display("a digest has {len} bytes instead of 32"))]
     DigestLength {
-        /// How many it has.
+        /// Its number of bytes.
         len: usize,
     },
 }
--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control connections to the other instances of a site.
+//! Control connections between the instances of a site, over gRPC.
 //!
-//! One runtime in a thread of its own serves and calls; bounded channels join
-//! it to the control thread, which never waits for the network. A message
-//! that finds a channel full is counted and dropped: whatever a message says
-//! is said again by later heartbeats. See `docs/design/members.md`.
+//! One thread with a runtime of its own runs both the server and the clients. Bounded
+//! channels connect it to the control thread, which never waits for the network. If a
+//! channel is full, the message is counted and dropped, since later heartbeats convey the
+//! same information. See `docs/design/members.md`.
 
 mod client;
 mod counters;
@@ -26,6 +26,6 @@
     start::{PeerHandle, Peers},
 };
 
-/// The largest batch that is looked at: a bundle's megabyte as one difference
-/// that shares nothing with its base, and room for its neighbours.
+/// Maximum size of a received batch, in bytes. A bundle of one megabyte fits, as a delta
+/// that shares nothing with its base, along with the other messages of the batch.
 pub const MAX_BATCH_BYTES: usize = 2 << 20;
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -1,4 +1,4 @@
-//! Takes batches from peers.
+//! Receives batches from peers.
 
 use crate::{
     MAX_BATCH_BYTES,
@@ -13,7 +13,7 @@
 use std::sync::{Arc, mpsc::SyncSender};
 use tonic::{Request, Response, Status};
 
-/// Hands what peers say to the control thread.
+/// Passes the messages of peers to the control thread.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) site: SiteName,
@@ -32,7 +32,7 @@
 }
 
 impl Server {
-    /// Takes all of a batch or nothing of it.
+    /// Accepts a batch as a whole or refuses it as a whole.
     fn accept(&self, batch: Batch) -> Result<(), BatchError> {
         ensure!(batch.site == self.site.as_str(), SiteSnafu);
         let bytes = batch.encoded_len();
@@ -49,6 +49,7 @@
         Ok(())
     }
 
+    /// Counts a refused batch and returns its gRPC status.
     fn refuse(&self, error: &BatchError) -> Status {
         let counters = &self.counters;
         match error {
--- a/peer/src/settings.rs
+++ b/peer/src/settings.rs
@@ -1,35 +1,35 @@
-//! What the control connections need from the settings.
+//! Settings of the control connections.
 
 use medlarspur_lib::ids::SiteName;
 use std::net::SocketAddrV4;
 
-/// Where and as whom to speak.
+/// Site, address and keys of this instance.
 #[derive(Debug, Clone)]
 pub struct PeerSettings {
-    /// The site; batches of another one are refused.
+    /// Name of the site. Batches from other sites are refused.
     pub site: SiteName,
-    /// Where to accept connections; port 0 lets the system choose.
+    /// Address at which connections are accepted. The system chooses a port if it is 0.
     pub listen: SocketAddrV4,
-    /// Keys for mutual TLS. Without them connections are plain.
+    /// Keys for mutual TLS. Without them, connections are unencrypted.
     pub tls: Option<PeerTls>,
 }
 
-/// The keys for mutual TLS, as PEM.
+/// Keys for mutual TLS, in PEM format.
 #[derive(Clone)]
 pub struct PeerTls {
-    /// The authority that signs the certificates of the site's instances and
-    /// nothing else: whoever has one of its certificates is a peer.
+    /// Certificate of the authority that signs the certificates of the site's instances.
+    /// It must sign no others: each holder of a certificate is accepted as a peer.
     pub authority: Vec<u8>,
-    /// The certificate of this instance.
+    /// Certificate of this instance.
     pub certificate: Vec<u8>,
-    /// Its private key.
+    /// Private key of this instance.
     pub key: Vec<u8>,
-    /// The DNS name that the certificates of all instances carry, since
-    /// instances are reached by IP numbers that change.
+    /// DNS name in the certificates of all instances. They share one, since instances are
+    /// reached at IP addresses, which change.
     pub name: String,
 }
 
-/// Leaves out the key, so that it can't come into a log.
+/// Omits the key, so that it can't get into a log.
 impl std::fmt::Debug for PeerTls {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.debug_struct("PeerTls").field("name", &self.name).finish_non_exhaustive()
--- a/peer/src/start.rs
+++ b/peer/src/start.rs
@@ -1,4 +1,4 @@
-//! The thread of the control connections and the handle on it.
+//! Start of the control connections' thread, and the handle to it.
 
 use crate::{
     Counters, MAX_BATCH_BYTES, PeerSettings, PeerTls,
@@ -27,18 +27,18 @@
     Certificate, ClientTlsConfig, Identity, ServerTlsConfig, server::TcpIncoming,
 };
 
-/// How many messages wait in each direction between the threads. A fleet of a
-/// thousand sends a node some tens a second; this is room for a long pause of
+/// Maximum number of messages that wait between the threads, in each direction. In a fleet
+/// of a thousand, an instance receives some tens a second, so this outlasts a long pause of
 /// the control thread.
 const CHANNEL_CAPACITY: usize = 4_096;
-/// How long the first answer of a request may take; the handler only queues.
+/// Timeout of the request handler, which only queues messages.
 const SERVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts the control connections.
 #[derive(Debug)]
 pub struct Peers;
 
-/// The control thread's end. Dropping it ends the connections.
+/// The control thread's handle to the connections. Dropping it closes them.
 #[derive(Debug)]
 pub struct PeerHandle {
     addr: SocketAddrV4,
@@ -49,12 +49,12 @@
 }
 
 impl Peers {
-    /// Listens and starts the thread.
+    /// Binds the address and starts the thread.
     ///
     /// # Errors
     ///
-    /// If the address can't be listened at, the keys are unusable, or the
-    /// thread can't be started.
+    /// Fails if the address can't be bound, the keys are unusable, or the thread can't be
+    /// started.
     pub fn start(settings: PeerSettings) -> Result<PeerHandle, PeerError> {
         let addr = settings.listen;
         let listener = TcpListener::bind(addr).context(ListenSnafu { addr })?;
@@ -70,7 +70,7 @@
         let server =
             Server { site: settings.site.clone(), inbox: inbox_sender, counters: counters.clone() };
         let builder = server_builder(settings.tls.as_ref())?;
-        // Twice the limit, so that what is somewhat too large is read and counted.
+        // Twice the maximum, so that a batch slightly above it is read and counted.
         let service = PeerServer::new(server).max_decoding_message_size(2 * MAX_BATCH_BYTES);
         let tls = settings.tls.as_ref().map(client_tls);
         let context =
@@ -129,30 +129,30 @@
 }
 
 impl PeerHandle {
-    /// Where peers reach this instance.
+    /// Returns the address at which this instance accepts connections.
     pub fn addr(&self) -> SocketAddrV4 {
         self.addr
     }
 
-    /// Sends `message` to the instance at `to`, if there is room and it is
-    /// reached; it is not told whether.
+    /// Sends `message` to the instance at `to`. If the channel is full or the instance can't
+    /// be reached, the message is dropped without an error.
     pub fn send(&self, to: SocketAddrV4, message: Message) {
         if self.outbox.try_send((to, message)).is_err() {
             increment(&self.counters.dropped);
         }
     }
 
-    /// The next message that a peer sent, if there is one.
+    /// Returns the next received message, if any.
     pub fn try_recv(&self) -> Option<Message> {
         self.inbox.try_recv().ok()
     }
 
-    /// The next message that a peer sent, waiting for it up to `limit`.
-    pub fn recv_timeout(&self, limit: Duration) -> Option<Message> {
-        self.inbox.recv_timeout(limit).ok()
+    /// Returns the next received message, and waits for one up to `timeout`.
+    pub fn recv_timeout(&self, timeout: Duration) -> Option<Message> {
+        self.inbox.recv_timeout(timeout).ok()
     }
 
-    /// What was sent, received, dropped and refused until now.
+    /// Returns the current values of the counters.
     pub fn counters(&self) -> Counters {
         self.counters.read()
     }
--- a/peer/tests/fixtures.rs
+++ b/peer/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! Messages and keys for tests.
+//! Messages, keys and addresses for the tests.
 
 use medlarspur_lib::{
     ids::{DomainName, Incarnation, InstanceName, SiteName, Version},
@@ -12,7 +12,7 @@
     time::{Duration, Instant},
 };
 
-/// The DNS name in all certificates.
+/// DNS name in all certificates.
 pub const NAME: &str = "peer.test";
 
 pub fn addr(port: u16) -> SocketAddrV4 {
@@ -31,6 +31,7 @@
     }
 }
 
+/// Returns a heartbeat with this number of rumours.
 pub fn heartbeat(rumours: u64) -> Message {
     Message::Heartbeat(Box::new(Heartbeat {
         sender: member(1),
@@ -43,7 +44,7 @@
     }))
 }
 
-/// An authority of a site.
+/// Authority that signs a site's certificates.
 pub struct Authority(CertifiedIssuer<'static, KeyPair>);
 
 impl Authority {
@@ -54,6 +55,7 @@
         Authority(CertifiedIssuer::self_signed(params, key).expect("a certificate"))
     }
 
+    /// Issues a certificate for an instance.
     pub fn issue(&self) -> PeerTls {
         let params = CertificateParams::new(vec![NAME.to_string()]).expect("valid parameters");
         let key = KeyPair::generate().expect("a key");
@@ -67,12 +69,14 @@
     }
 }
 
+/// Starts the control connections of an instance.
 pub fn start_peer(site: &str, tls: Option<PeerTls>) -> PeerHandle {
     let settings = PeerSettings { site: SiteName::new(site), listen: addr(0), tls };
     Peers::start(settings).expect("it starts")
 }
 
-/// An address that refuses connections for as long as the stream lives, whose own port it is.
+/// Returns an address that refuses connections, and the stream that keeps it in use: it is
+/// the stream's local address.
 pub fn refusing_address() -> (TcpStream, SocketAddrV4) {
     let listener = TcpListener::bind(addr(0)).expect("a port");
     let stream = TcpStream::connect(listener.local_addr().expect("bound")).expect("connected");
@@ -82,7 +86,7 @@
     }
 }
 
-/// Asks until `done` or a generous bound.
+/// Polls `done` until it returns true, for up to 30 seconds. Returns whether it did.
 pub fn eventually(mut done: impl FnMut() -> bool) -> bool {
     let end = Instant::now() + Duration::from_secs(30);
     while Instant::now() < end {
--- a/peer/tests/runner.rs
+++ b/peer/tests/runner.rs
@@ -1,4 +1,4 @@
-//! The control connections, alone and with real TCP and TLS.
+//! Tests of the control connections, with real TCP and TLS where needed.
 
 mod fixtures;
 mod test_connections;
--- a/peer/tests/test_connections.rs
+++ b/peer/tests/test_connections.rs
@@ -1,4 +1,4 @@
-//! Real connections over the loopback.
+//! Connections over the loopback.
 
 use crate::fixtures::{Authority, eventually, heartbeat, refusing_address, start_peer};
 use medlarspur_lib::message::{Message, PieceRequest, Pieces};
@@ -35,9 +35,9 @@
     assert_eq!(a.recv_timeout(WAIT), Some(heartbeat(2)));
 }
 
-/// Guards against a stranger without a certificate of the site who is heard.
+/// Guards against accepting messages from a sender without a certificate of the site.
 #[test]
-fn strangers_are_not_heard_over_tls() {
+fn untrusted_peers_are_refused_over_tls() {
     let authority = Authority::new();
     let b = start_peer("gromovestnik", Some(authority.issue()));
     let mut untrusted_keys = Authority::new().issue();
@@ -52,9 +52,9 @@
     assert_eq!(b.try_recv(), None);
 }
 
-/// Guards against messages of another site that are taken for those of this one.
+/// Guards against accepting messages from another site.
 #[test]
-fn another_site_is_refused_and_counted() {
+fn batch_from_another_site_is_refused_and_counted() {
     let (a, b) = (start_peer("katsastusaikavirasto", None), start_peer("gromovestnik", None));
 
     a.send(b.addr(), heartbeat(0));
@@ -63,6 +63,7 @@
     assert_eq!(b.try_recv(), None);
 }
 
+/// Sends a batch. Returns the status code of the call.
 fn exchange(to: std::net::SocketAddrV4, batch: Batch) -> Code {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -76,7 +77,8 @@
     })
 }
 
-/// A peer of a broken version sends a heartbeat without a sender.
+/// Guards against accepting an invalid message, such as a heartbeat without a sender from a
+/// faulty version.
 #[test]
 fn malformed_batch_is_refused_and_counted() {
     let b = start_peer("gromovestnik", None);
@@ -90,7 +92,7 @@
     assert_eq!(b.try_recv(), None);
 }
 
-/// Guards against a batch that takes the memory which flows need.
+/// Guards against batches so large that they take the memory that flows need.
 #[test]
 fn oversize_batch_is_refused_and_counted() {
     let b = start_peer("gromovestnik", None);
@@ -105,18 +107,19 @@
     assert_eq!(b.try_recv(), None);
 }
 
-/// Guards against a network thread that waits for one peer while all others seem silent.
+/// Guards against a network thread that waits for an unreachable peer, so that messages to
+/// the others are delayed.
 #[test]
 fn unreachable_peer_does_not_delay_others() {
     let (a, b) = (start_peer("gromovestnik", None), start_peer("gromovestnik", None));
-    let (_held, gone) = refusing_address();
+    let (_stream, unreachable) = refusing_address();
     let request = Message::PieceRequest(PieceRequest {
         sender: a.addr(),
         digest: [1; 32],
         runs: vec![(0, 9)],
     });
 
-    a.send(gone, heartbeat(0));
+    a.send(unreachable, heartbeat(0));
     a.send(b.addr(), request.clone());
 
     assert_eq!(b.recv_timeout(WAIT), Some(request));
--- a/peer/tests/test_fleet.rs
+++ b/peer/tests/test_fleet.rs
@@ -1,4 +1,4 @@
-//! Control state machines joined by real connections.
+//! Controllers connected over real connections.
 
 use crate::fixtures::{Authority, addr, eventually, start_peer};
 use medlarspur_lib::{
@@ -11,6 +11,7 @@
 use medlarspur_peer::PeerHandle;
 use std::{convert::Infallible, net::SocketAddrV4, time::Instant};
 
+/// Accepts every text as a bundle. Its number of lines is its version.
 struct AcceptAll;
 
 impl Check for AcceptAll {
@@ -44,6 +45,7 @@
         Instance { controller, peers, last_tick: None, started: Instant::now() }
     }
 
+    /// Handles an event and sends the resulting messages.
     fn handle(&mut self, event: Event) {
         let now = Millis::from(self.started.elapsed());
         for action in self.controller.handle(now, event) {
@@ -53,6 +55,7 @@
         }
     }
 
+    /// Handles the received messages, and a tick if one is due.
     fn step(&mut self) {
         while let Some(message) = self.peers.try_recv() {
             self.handle(Event::Peer(message));
@@ -73,6 +76,7 @@
     }
 }
 
+/// Starts four instances, of which the last three know the address of the first.
 fn fleet() -> Vec<Instance> {
     let authority = Authority::new();
     let first = Instance::new(0, &authority, Vec::new());
@@ -85,8 +89,8 @@
     fleet.iter_mut().for_each(Instance::step);
 }
 
-/// Four instances know one address among them. A bundle that one of them reads
-/// has to be in force at all, and a change of it has to follow.
+/// Guards against a bundle or a change of it that doesn't reach all instances, when one of
+/// them reads it and they know only one address to start from.
 #[test]
 fn bundle_reaches_all_over_mutual_tls() {
     let mut fleet = fleet();
@@ -105,10 +109,10 @@
     assert!(first && second);
 }
 
-/// One instance is killed: its connections end. The others have to find it
-/// dead, or they would ask it about flows and callers would wait.
+/// Guards against a killed instance that isn't detected. The others would ask it about flows
+/// while callers wait.
 #[test]
-fn killed_instance_is_found_dead_over_mutual_tls() {
+fn killed_instance_is_detected_over_mutual_tls() {
     let mut fleet = fleet();
     assert!(eventually(|| {
         step_all(&mut fleet);
--- a/peer/tests/test_wire.rs
+++ b/peer/tests/test_wire.rs
@@ -1,4 +1,4 @@
-//! The wire form of messages.
+//! The wire format of messages.
 
 use crate::fixtures::{addr, heartbeat, member};
 use medlarspur_lib::{
@@ -65,9 +65,9 @@
     let service = || ServiceName::new("alertdesk");
     let author = || InstanceName::new("lozenets-1");
     let flows = proptest::collection::vec((any::<u64>().prop_map(FlowId), target()), 0..99);
-    let loss = (bucket(), target(), 0..100_000u64, any::<bool>())
+    let entry = (bucket(), target(), 0..100_000u64, any::<bool>())
         .prop_map(|(bucket, target, age, owned)| HistoryEntry { bucket, target, age, owned });
-    let owners = proptest::collection::vec(loss, 0..99);
+    let entries = proptest::collection::vec(entry, 0..99);
     prop_oneof![
         proptest::collection::vec(any::<u64>(), 64)
             .prop_map(|groups| Message::PlanRequest(PlanRequest { sender: addr(6082), groups })),
@@ -85,7 +85,7 @@
             let advertised = advertised.map(u64::from);
             Message::Advert(Advert { sender: author(), service: service(), flows, advertised })
         }),
-        owners.prop_map(move |owners| Message::History(History { service: service(), owners })),
+        entries.prop_map(move |owners| Message::History(History { service: service(), owners })),
         Just(Message::HistoryRequest(HistoryRequest { sender: addr(6082) })),
         Just(Message::Leave(Leave { sender: author(), incarnation: member(1).incarnation })),
     ]
@@ -107,14 +107,14 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn message_comes_back_as_it_was(message in any_message()) {
+    fn encoded_message_decodes_to_the_same(message in any_message()) {
         prop_assert_eq!(decode(encode(&message)), Ok(message));
     }
 
-    /// Pacing and the measures of the fleet count by the estimate. If it were
-    /// far off, the budget of 8 KB/s would be kept on paper only.
+    /// Guards against estimates that are far off. Rate limits and measurements of the fleet use
+    /// them, so the budget of 8 KB/s would be exceeded unnoticed.
     #[test]
-    fn estimated_size_is_near_the_encoded_one(message in any_message()) {
+    fn estimated_size_is_close_to_the_encoded_size(message in any_message()) {
         let encoded = encode(&message).encoded_len();
         let estimated = message.size();
 
