--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,18 +1,18 @@
 //! Asks an instance by HTTP.
 
-use crate::error::{AnswerSnafu, CommandError, RejectedSnafu, SilentSnafu};
+use crate::error::{CommandError, InvalidAnswerSnafu, NoAnswerSnafu, RejectedSnafu};
 use serde::{Deserialize, de::DeserializeOwned};
 use snafu::ResultExt;
 use std::{net::SocketAddr, time::Duration};
 use ureq::Agent;
 
 /// How long an instance may take; it answers in milliseconds or not at all.
-const LIMIT: Duration = Duration::from_secs(5);
+const TIMEOUT: Duration = Duration::from_secs(5);
 /// The longest answer, in bytes: ten thousand flows, or the metrics of the
 /// target size.
-const MAX_ANSWER: u64 = 64 << 20;
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
 /// What a refusal is cut to, in characters.
-const MAX_DETAIL: usize = 300;
+const MAX_DETAIL_CHARS: usize = 300;
 
 /// A client for any number of instances.
 pub struct Client {
@@ -24,7 +24,7 @@
     /// asked itself or not at all.
     pub fn new() -> Client {
         let config = Agent::config_builder()
-            .timeout_global(Some(LIMIT))
+            .timeout_global(Some(TIMEOUT))
             .http_status_as_error(false)
             .proxy(None)
             .build();
@@ -32,24 +32,24 @@
     }
 
     /// The JSON value at `path`.
-    pub fn json<T: DeserializeOwned>(
+    pub fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
         path: &str,
     ) -> Result<T, CommandError> {
-        let text = self.text(address, path)?;
-        serde_json::from_str(&text).context(AnswerSnafu { address })
+        let text = self.get_text(address, path)?;
+        serde_json::from_str(&text).context(InvalidAnswerSnafu { address })
     }
 
     /// The text at `path`.
-    pub fn text(&self, address: SocketAddr, path: &str) -> Result<String, CommandError> {
+    pub fn get_text(&self, address: SocketAddr, path: &str) -> Result<String, CommandError> {
         let url = format!("http://{address}{path}");
-        let mut answer = self.agent.get(url).call().context(SilentSnafu { address })?;
-        let body = answer.body_mut().with_config().limit(MAX_ANSWER).read_to_string();
-        let text = body.context(SilentSnafu { address })?;
-        let code = answer.status();
+        let mut response = self.agent.get(url).call().context(NoAnswerSnafu { address })?;
+        let body = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_string();
+        let text = body.context(NoAnswerSnafu { address })?;
+        let code = response.status();
         if !code.is_success() {
-            let detail: String = detail(&text).chars().take(MAX_DETAIL).collect();
+            let detail: String = error_detail(&text).chars().take(MAX_DETAIL_CHARS).collect();
             return RejectedSnafu { address, code: code.as_u16(), detail }.fail();
         }
         Ok(text)
@@ -57,11 +57,11 @@
 }
 
 /// What an instance says is wrong, or all that another program says.
-fn detail(text: &str) -> String {
+fn error_detail(text: &str) -> String {
     #[derive(Deserialize)]
-    struct Wrong {
+    struct ErrorBody {
         error: String,
     }
-    let wrong = serde_json::from_str::<Wrong>(text);
-    wrong.map_or_else(|_| text.trim().to_owned(), |wrong| wrong.error)
+    let body = serde_json::from_str::<ErrorBody>(text);
+    body.map_or_else(|_| text.trim().to_owned(), |body| body.error)
 }
--- a/cli/src/commands/bundle_check.rs
+++ b/cli/src/commands/bundle_check.rs
@@ -36,7 +36,7 @@
     let text = read(&flags.file)?;
     let bundle = match Bundle::parse(content(&text)) {
         Ok(bundle) => bundle,
-        Err(report) => return faulty(flags, &report),
+        Err(report) => return print_faults(flags, &report),
     };
     let keys: Result<Vec<PublicKey>, _> = flags.trust.iter().map(|path| read_key(path)).collect();
     let keys = Keys::new(keys?);
@@ -45,27 +45,30 @@
             .context(RefusedSnafu { path: &flags.file })?;
     }
     if flags.json {
-        output::json(&Vec::<Fault>::new())?;
+        output::print_json(&Vec::<Fault>::new())?;
     } else {
-        output::line(&summary(flags, &bundle));
+        output::print_line(&summary(flags, &bundle));
         for warning in bundle.warnings() {
-            output::line(&format!("{}: warning: {warning}", flags.file.display()));
+            output::print_line(&format!("{}: warning: {warning}", flags.file.display()));
         }
     }
     Ok(Code::Done)
 }
 
-fn faulty(flags: &Check, report: &Report) -> Result<Code, CommandError> {
+fn print_faults(flags: &Check, report: &Report) -> Result<Code, CommandError> {
     if flags.json {
         let faults: Vec<Fault> = report.problems.iter().map(Fault::from).collect();
-        output::json(&faults)?;
+        output::print_json(&faults)?;
         return Ok(Code::No);
     }
     for problem in &report.problems {
         let line = problem.line.unwrap_or(0);
         let fault = Fault::from(problem);
-        let place = format!("{}:{line}", flags.file.display());
-        output::line(&format!("{place}: {}: {}; {}", fault.path, fault.fault, fault.advice));
+        let location = format!("{}:{line}", flags.file.display());
+        output::print_line(&format!(
+            "{location}: {}: {}; {}",
+            fault.path, fault.fault, fault.advice
+        ));
     }
     Ok(Code::No)
 }
--- a/cli/src/commands/bundle_diff.rs
+++ b/cli/src/commands/bundle_diff.rs
@@ -21,14 +21,14 @@
     let code = if changes.is_empty() { Code::Done } else { Code::No };
     let obstacles = if changes.is_empty() { Vec::new() } else { obstacles(&old, &new) };
     if flags.json {
-        output::json(&Differences { changes, obstacles })?;
+        output::print_json(&Differences { changes, obstacles })?;
         return Ok(code);
     }
     for change in &changes {
-        output::line(&change.to_string());
+        output::print_line(&change.to_string());
     }
     for obstacle in obstacles {
-        output::line(&format!("! {obstacle}"));
+        output::print_line(&format!("! {obstacle}"));
     }
     Ok(code)
 }
--- a/cli/src/commands/bundle_show.rs
+++ b/cli/src/commands/bundle_show.rs
@@ -14,7 +14,7 @@
 pub fn run(flags: &Show) -> Result<Code, CommandError> {
     let bundle = read_bundle(&flags.file)?;
     if flags.json {
-        output::json(&bundle)?;
+        output::print_json(&bundle)?;
         return Ok(Code::Done);
     }
     print(&bundle);
@@ -22,10 +22,10 @@
 }
 
 fn print(bundle: &Bundle) {
-    output::line(&format!("version {} for {}", bundle.version, bundle.site));
-    output::line(&format!("seed {}", bundle.seed));
+    output::print_line(&format!("version {} for {}", bundle.version, bundle.site));
+    output::print_line(&format!("seed {}", bundle.seed));
     let limits = &bundle.limits;
-    output::line(&format!(
+    output::print_line(&format!(
         "limits: reserve {}, caller {}, network {}, booking {}, patience {}, retries {}",
         or_dash(limits.reserve),
         or_dash(limits.caller),
@@ -35,8 +35,8 @@
         or_dash(limits.retries),
     ));
     if !bundle.evacuated.is_empty() {
-        let domains: Vec<&str> = bundle.evacuated.iter().map(|it| it.as_str()).collect();
-        output::line(&format!("evacuated: {}", domains.join(", ")));
+        let domains: Vec<&str> = bundle.evacuated.iter().map(|domain| domain.as_str()).collect();
+        output::print_line(&format!("evacuated: {}", domains.join(", ")));
     }
     for service in &bundle.services {
         print_service(service);
@@ -45,9 +45,9 @@
 
 fn print_service(service: &Service) {
     let ports: Vec<String> = service.ports.iter().map(|port| port.to_string()).collect();
-    output::line("");
-    output::line(&format!("{} at {}: {}", service.name, service.address, ports.join(", ")));
-    output::line(&format!(
+    output::print_line("");
+    output::print_line(&format!("{} at {}: {}", service.name, service.address, ports.join(", ")));
+    output::print_line(&format!(
         "  {} buckets, keepalive {}, balance {}, refusal {}",
         service.buckets,
         Span(service.keepalive),
@@ -57,7 +57,7 @@
     let heading = ["  TARGET", "ADDRESS", "DOMAIN", "STATE", "WEIGHT", "SLOTS", "CONNECTIONS"];
     let mut table = Table::new(&[&heading[..], &["PROBE"]].concat());
     for target in &service.targets {
-        table.row(vec![
+        table.add_row(vec![
             format!("  {}", target.name),
             target.address.to_string(),
             target.domain.to_string(),
--- a/cli/src/commands/bundle_sign.rs
+++ b/cli/src/commands/bundle_sign.rs
@@ -21,11 +21,11 @@
     Signed::check(signed.as_bytes(), &keys, &bundle.site)
         .context(RefusedSnafu { path: &flags.file })?;
     let Some(path) = &flags.out else {
-        output::line(signed.trim_end());
+        output::print_line(signed.trim_end());
         return Ok(Code::Done);
     };
     fs::write(path, &signed).context(WriteSnafu { path })?;
     let id = key.public().id();
-    output::line(&format!("{}: version {} signed by {id}", path.display(), bundle.version));
+    output::print_line(&format!("{}: version {} signed by {id}", path.display(), bundle.version));
     Ok(Code::Done)
 }
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -4,7 +4,7 @@
     client::Client,
     error::{Code, CommandError},
     flags::Explain,
-    output::{self, or_dash, short, span},
+    output::{self, format_duration, or_dash, short_digest},
 };
 use medlarspur_lib::status::{Explanation, MarkedExplanation};
 use serde::{Deserialize, Serialize};
@@ -12,53 +12,66 @@
 /// What an instance answers, by how its site agrees on flows.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
-enum Found {
+enum InstanceExplanation {
     Table(Box<Explanation>),
     Marks(Box<MarkedExplanation>),
 }
 
 pub fn run(flags: &Explain) -> Result<Code, CommandError> {
     let path = format!("/explain?flow={}", flags.flow);
-    let found: Found = Client::new().json(flags.instance, &path)?;
-    match &found {
-        _ if flags.json => output::json(&found)?,
-        Found::Table(found) => print(found),
-        Found::Marks(found) => print_marked(found),
+    let explanation: InstanceExplanation = Client::new().get_json(flags.instance, &path)?;
+    match &explanation {
+        _ if flags.json => output::print_json(&explanation)?,
+        InstanceExplanation::Table(explanation) => print(explanation),
+        InstanceExplanation::Marks(explanation) => print_marked(explanation),
     }
     Ok(Code::Done)
 }
 
-fn print(found: &Explanation) {
-    match &found.target {
-        Some(target) => output::line(&format!("{} goes to {target}: {}", found.flow, found.reason)),
-        None => output::line(&format!("{} goes nowhere: {}", found.flow, found.reason)),
+fn print(explanation: &Explanation) {
+    match &explanation.target {
+        Some(target) => output::print_line(&format!(
+            "{} goes to {target}: {}",
+            explanation.flow, explanation.reason
+        )),
+        None => output::print_line(&format!(
+            "{} goes nowhere: {}",
+            explanation.flow, explanation.reason
+        )),
     }
-    output::line(&format!("flow     {}", or_dash(found.id.as_ref())));
-    output::line(&format!("service  {}", or_dash(found.service.as_ref())));
-    output::line(&format!("class    {}", or_dash(found.class)));
-    output::line(&format!("bucket   {}", or_dash(found.bucket)));
-    if let Some(bundle) = &found.bundle {
-        let digest = short(&bundle.digest);
-        output::line(&format!("bundle   version {}, digest {digest}", bundle.version));
+    output::print_line(&format!("flow     {}", or_dash(explanation.id.as_ref())));
+    output::print_line(&format!("service  {}", or_dash(explanation.service.as_ref())));
+    output::print_line(&format!("class    {}", or_dash(explanation.class)));
+    output::print_line(&format!("bucket   {}", or_dash(explanation.bucket)));
+    if let Some(bundle) = &explanation.bundle {
+        let digest = short_digest(&bundle.digest);
+        output::print_line(&format!("bundle   version {}, digest {digest}", bundle.version));
     }
-    if let Some(plan) = &found.plan {
+    if let Some(plan) = &explanation.plan {
         let (sequence, author) = (plan.sequence, &plan.author);
-        output::line(&format!("plan     number {sequence} by {author}, {} moves", plan.moves));
+        output::print_line(&format!(
+            "plan     number {sequence} by {author}, {} moves",
+            plan.moves
+        ));
     }
-    for owner in &found.history {
-        output::line(&format!("earlier  {} until {} ago", owner.target, span(owner.since.0)));
+    for owner in &explanation.history {
+        output::print_line(&format!(
+            "earlier  {} until {} ago",
+            owner.target,
+            format_duration(owner.since.0)
+        ));
     }
-    for keeper in &found.keepers {
-        output::line(&format!("keeper   {keeper}"));
+    for keeper in &explanation.keepers {
+        output::print_line(&format!("keeper   {keeper}"));
     }
 }
 
-fn print_marked(found: &MarkedExplanation) {
-    output::line(&format!("{}: {}", found.flow, found.reason));
-    output::line(&format!("class    {}", or_dash(found.class)));
-    output::picture(&found.picture);
-    if let Some(target) = &found.target {
-        output::line(&format!("target   {} at {}", target.name, target.address));
+fn print_marked(explanation: &MarkedExplanation) {
+    output::print_line(&format!("{}: {}", explanation.flow, explanation.reason));
+    output::print_line(&format!("class    {}", or_dash(explanation.class)));
+    output::print_catalog(&explanation.picture);
+    if let Some(target) = &explanation.target {
+        output::print_line(&format!("target   {} at {}", target.name, target.address));
     }
-    output::targets("CANDIDATE", &found.candidates).print();
+    output::target_table("CANDIDATE", &explanation.candidates).print();
 }
--- a/cli/src/commands/flows.rs
+++ b/cli/src/commands/flows.rs
@@ -4,18 +4,18 @@
     client::Client,
     error::{Code, CommandError},
     flags::Flows,
-    output::{self, Table, span},
+    output::{self, Table, format_duration},
 };
 use medlarspur_lib::status::FlowStatus;
 
 /// How many flows are asked for if the command line names no number.
-const LIMIT: usize = 100;
+const DEFAULT_LIMIT: usize = 100;
 
 pub fn run(flags: &Flows) -> Result<Code, CommandError> {
-    let path = format!("/flows?limit={}", flags.limit.unwrap_or(LIMIT));
-    let flows: Vec<FlowStatus> = Client::new().json(flags.instance, &path)?;
+    let path = format!("/flows?limit={}", flags.limit.unwrap_or(DEFAULT_LIMIT));
+    let flows: Vec<FlowStatus> = Client::new().get_json(flags.instance, &path)?;
     if flags.json {
-        output::json(&flows)?;
+        output::print_json(&flows)?;
         return Ok(Code::Done);
     }
     print(&flows);
@@ -25,13 +25,13 @@
 fn print(flows: &[FlowStatus]) {
     let mut table = Table::new(&["FLOW", "SERVICE", "CLASS", "TARGET", "AGE", "IDLE", "EXCEPTION"]);
     for flow in flows {
-        table.row(vec![
+        table.add_row(vec![
             flow.id.clone(),
             flow.service.to_string(),
             flow.class.to_string(),
             flow.target.to_string(),
-            span(flow.age.0),
-            span(flow.idle.0),
+            format_duration(flow.age.0),
+            format_duration(flow.idle.0),
             if flow.exception { "yes" } else { "no" }.to_owned(),
         ]);
     }
--- a/cli/src/commands/key_new.rs
+++ b/cli/src/commands/key_new.rs
@@ -24,11 +24,15 @@
     let public = public_path(&flags.out);
     // Found out only after the secret was written, this would leave a secret
     // beside the public key of another pair.
-    absent(&public)?;
+    ensure_absent(&public)?;
     write_new(&flags.out, &secret.to_hex(), SECRET_MODE)?;
     write_new(&public, &secret.public().to_string(), PUBLIC_MODE)?;
-    output::line(&format!("key {} (id {})", secret.public(), secret.public().id()));
-    output::line(&format!("secret in {}, public in {}", flags.out.display(), public.display()));
+    output::print_line(&format!("key {} (id {})", secret.public(), secret.public().id()));
+    output::print_line(&format!(
+        "secret in {}, public in {}",
+        flags.out.display(),
+        public.display()
+    ));
     Ok(Code::Done)
 }
 
@@ -38,7 +42,7 @@
     name.into()
 }
 
-fn absent(path: &Path) -> Result<(), CommandError> {
+fn ensure_absent(path: &Path) -> Result<(), CommandError> {
     if !path.try_exists().context(WriteSnafu { path })? {
         return Ok(());
     }
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -11,7 +11,7 @@
 mod top;
 
 use crate::{
-    error::{Code, CommandError, FaultsSnafu, KeySnafu, ReadSnafu},
+    error::{Code, CommandError, FaultsSnafu, InvalidKeySnafu, ReadSnafu},
     flags::{BundleCmd, KeyCmd, MedlarspurCmd},
 };
 use medlarspur_lib::bundle::{Bundle, KeyError, content};
@@ -46,5 +46,5 @@
 }
 
 fn read_key<T: FromStr<Err = KeyError>>(path: &Path) -> Result<T, CommandError> {
-    read(path)?.parse().context(KeySnafu { path })
+    read(path)?.parse().context(InvalidKeySnafu { path })
 }
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -4,7 +4,7 @@
     client::Client,
     error::{Code, CommandError, NoInstanceSnafu},
     flags,
-    output::{self, Table, or_dash, short, span},
+    output::{self, Table, format_duration, or_dash, short_digest},
 };
 use medlarspur_lib::{
     collections::Set,
@@ -19,14 +19,14 @@
 #[derive(Serialize)]
 struct Answer {
     address: SocketAddr,
-    status: Option<Found>,
+    status: Option<InstanceStatus>,
     error: Option<String>,
 }
 
 /// What an instance says, by how its site agrees on flows.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
-enum Found {
+enum InstanceStatus {
     Table(Box<Status>),
     Marks(Box<MarkedStatus>),
 }
@@ -37,90 +37,90 @@
     if let [address] = flags.addresses[..] {
         // A lone instance that does not answer is a failure with its causes;
         // among several it is one row of the table.
-        client.text(address, "/healthz")?;
+        client.get_text(address, "/healthz")?;
     }
-    let ask = |address: &SocketAddr| ask(&client, *address);
-    let answers: Vec<Answer> = flags.addresses.iter().map(ask).collect();
+    let query = |address: &SocketAddr| query(&client, *address);
+    let answers: Vec<Answer> = flags.addresses.iter().map(query).collect();
     if flags.json {
-        output::json(&answers)?;
-        return Ok(code(&answers));
+        output::print_json(&answers)?;
+        return Ok(exit_code(&answers));
     }
     print(&answers);
-    Ok(code(&answers))
+    Ok(exit_code(&answers))
 }
 
-fn ask(client: &Client, address: SocketAddr) -> Answer {
-    match client.json(address, "/status") {
+fn query(client: &Client, address: SocketAddr) -> Answer {
+    match client.get_json(address, "/status") {
         Ok(status) => Answer { address, status: Some(status), error: None },
         Err(error) => Answer { address, status: None, error: Some(error.to_string()) },
     }
 }
 
-fn code(answers: &[Answer]) -> Code {
+fn exit_code(answers: &[Answer]) -> Code {
     if answers.iter().any(|answer| answer.status.is_none()) {
         return Code::Instance;
     }
-    let unready = found(answers).any(|status| status.unready.is_some())
-        || marked(answers).any(|status| !status.ready);
-    let differ = digests(answers) > 1 || versions(answers) > 1;
+    let unready = table_statuses(answers).any(|status| status.unready.is_some())
+        || marked_statuses(answers).any(|status| !status.ready);
+    let differ = count_bundles(answers) > 1 || count_configs(answers) > 1;
     if unready || differ { Code::No } else { Code::Done }
 }
 
-fn found(answers: &[Answer]) -> impl Iterator<Item = &Status> {
+fn table_statuses(answers: &[Answer]) -> impl Iterator<Item = &Status> {
     answers.iter().filter_map(|answer| match &answer.status {
-        Some(Found::Table(status)) => Some(&**status),
+        Some(InstanceStatus::Table(status)) => Some(&**status),
         _ => None,
     })
 }
 
-fn marked(answers: &[Answer]) -> impl Iterator<Item = &MarkedStatus> {
+fn marked_statuses(answers: &[Answer]) -> impl Iterator<Item = &MarkedStatus> {
     answers.iter().filter_map(|answer| match &answer.status {
-        Some(Found::Marks(status)) => Some(&**status),
+        Some(InstanceStatus::Marks(status)) => Some(&**status),
         _ => None,
     })
 }
 
-fn versions(answers: &[Answer]) -> usize {
-    marked(answers).map(|status| status.picture.version).collect::<Set<_>>().len()
+fn count_configs(answers: &[Answer]) -> usize {
+    marked_statuses(answers).map(|status| status.picture.version).collect::<Set<_>>().len()
 }
 
-fn digests(answers: &[Answer]) -> usize {
+fn count_bundles(answers: &[Answer]) -> usize {
     let digest = |status: &Status| status.bundle.as_ref().map(|bundle| bundle.digest.clone());
-    found(answers).map(digest).collect::<Set<_>>().len()
+    table_statuses(answers).map(digest).collect::<Set<_>>().len()
 }
 
 fn print(answers: &[Answer]) {
-    if found(answers).next().is_some() || marked(answers).next().is_none() {
+    if table_statuses(answers).next().is_some() || marked_statuses(answers).next().is_none() {
         print_instances(answers);
     }
     print_marked(answers);
-    if versions(answers) > 1 {
-        output::line("! the instances do not have the same config in force");
+    if count_configs(answers) > 1 {
+        output::print_line("! the instances do not have the same config in force");
     }
-    if digests(answers) > 1 {
-        output::line("! the instances do not have the same bundle in force");
+    if count_bundles(answers) > 1 {
+        output::print_line("! the instances do not have the same bundle in force");
     }
-    for status in found(answers) {
-        print_remarks(status);
+    for status in table_statuses(answers) {
+        print_warnings(status);
     }
     for answer in answers {
         if let Some(error) = &answer.error {
-            output::line(&format!("! {error}"));
+            output::print_line(&format!("! {error}"));
         }
     }
-    if let ([_], Some(status)) = (answers, found(answers).next()) {
+    if let ([_], Some(status)) = (answers, table_statuses(answers).next()) {
         print_members(status);
         print_services(status);
     }
-    if let ([_], Some(status)) = (answers, marked(answers).next()) {
-        output::picture(&status.picture);
+    if let ([_], Some(status)) = (answers, marked_statuses(answers).next()) {
+        output::print_catalog(&status.picture);
         for service in &status.services {
             let (name, pressure, waiting) = (&service.name, service.pressure, service.waiting);
-            output::line("");
-            output::line(&format!(
+            output::print_line("");
+            output::print_line(&format!(
                 "{name}: answers take {pressure} % of their goals, {waiting} flows wait"
             ));
-            output::targets("TARGET", &service.targets).print();
+            output::target_table("TARGET", &service.targets).print();
         }
     }
 }
@@ -131,18 +131,18 @@
         "FLOWS", "MEMBERS",
     ]);
     for answer in answers {
-        let Some(Found::Marks(status)) = &answer.status else { continue };
-        let yes = |is: bool| if is { "yes" } else { "no" }.to_owned();
-        table.row(vec![
+        let Some(InstanceStatus::Marks(status)) = &answer.status else { continue };
+        let yes_no = |is: bool| if is { "yes" } else { "no" }.to_owned();
+        table.add_row(vec![
             status.name.to_string(),
             answer.address.to_string(),
             status.domain.to_string(),
-            yes(status.ready),
-            yes(status.reading),
-            span(status.uptime.0),
+            yes_no(status.ready),
+            yes_no(status.reading),
+            format_duration(status.uptime.0),
             or_dash(status.picture.version),
-            output::revision(&status.picture),
-            or_dash(status.picture.age.map(|age| span(age.0))),
+            output::format_revision(&status.picture),
+            or_dash(status.picture.age.map(|age| format_duration(age.0))),
             status.flows.to_string(),
             status.members.to_string(),
         ]);
@@ -157,23 +157,23 @@
     ]);
     for answer in answers {
         let address = answer.address.to_string();
-        let Some(Found::Table(status)) = &answer.status else {
+        let Some(InstanceStatus::Table(status)) = &answer.status else {
             let mut row = vec!["?".to_owned(), address];
             row.resize(10, "-".to_owned());
-            table.row(row);
+            table.add_row(row);
             continue;
         };
         let bundle = status.bundle.as_ref();
         let live = status.members.iter().filter(|member| member.state == MemberState::Live);
         let moving: u64 = status.services.iter().map(|service| u64::from(service.moving)).sum();
-        table.row(vec![
+        table.add_row(vec![
             status.name.to_string(),
             address,
             status.domain.to_string(),
             status.life.to_string(),
-            span(status.uptime.0),
+            format_duration(status.uptime.0),
             or_dash(bundle.map(|bundle| bundle.version)),
-            or_dash(bundle.map(|bundle| short(&bundle.digest))),
+            or_dash(bundle.map(|bundle| short_digest(&bundle.digest))),
             status.flows.to_string(),
             format!("{}/{}", live.count(), status.members.len()),
             moving.to_string(),
@@ -182,16 +182,16 @@
     table.print();
 }
 
-fn print_remarks(status: &Status) {
+fn print_warnings(status: &Status) {
     let name = &status.name;
     if let Some(unready) = status.unready {
-        output::line(&format!("! {name} is not ready: {unready}"));
+        output::print_line(&format!("! {name} is not ready: {unready}"));
     }
     if status.bundle.as_ref().is_some_and(|bundle| bundle.conflict) {
-        output::line(&format!("! {name} saw two contents under one version"));
+        output::print_line(&format!("! {name} saw two contents under one version"));
     }
     if status.unready == Some(Unready::NoBundle) {
-        output::line(
+        output::print_line(
             "  publish a signed bundle, or check `platform:` and `peers:` of its settings",
         );
     }
@@ -200,7 +200,7 @@
 fn print_members(status: &Status) {
     let mut table = Table::new(&["MEMBER", "DOMAIN", "STATE", "BUNDLE"]);
     for member in &status.members {
-        table.row(vec![
+        table.add_row(vec![
             member.name.to_string(),
             member.domain.to_string(),
             member.state.to_string(),
@@ -208,7 +208,7 @@
         ]);
     }
     if !status.members.is_empty() {
-        output::line("");
+        output::print_line("");
     }
     table.print();
 }
@@ -216,19 +216,19 @@
 fn print_services(status: &Status) {
     for service in &status.services {
         let (buckets, moving) = (service.buckets, service.moving);
-        output::line("");
-        output::line(&format!(
+        output::print_line("");
+        output::print_line(&format!(
             "{}: {} flows, {buckets} buckets, {moving} of them moving",
             service.name, service.flows
         ));
         if let Some(plan) = &service.plan {
             let (sequence, author) = (plan.sequence, &plan.author);
-            output::line(&format!("  plan {sequence} by {author}, {} moves", plan.moves));
+            output::print_line(&format!("  plan {sequence} by {author}, {} moves", plan.moves));
         }
         let mut table =
             Table::new(&["  TARGET", "DOMAIN", "STATE", "NEW FLOWS", "FLOWS", "BUCKETS"]);
         for target in &service.targets {
-            table.row(vec![
+            table.add_row(vec![
                 format!("  {}", target.name),
                 target.domain.to_string(),
                 target.state.to_string(),
--- a/cli/src/commands/top.rs
+++ b/cli/src/commands/top.rs
@@ -18,9 +18,9 @@
 };
 
 /// Seconds between rounds if the command line names none.
-const INTERVAL: u64 = 2;
+const DEFAULT_INTERVAL_SECS: u64 = 2;
 /// Clears a terminal and goes to its first line.
-const CLEAR: &str = "\x1b[2J\x1b[H";
+const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
 /// One instance in one round. Rates are a second, none in the first round.
 #[derive(Serialize)]
@@ -36,7 +36,7 @@
 }
 
 /// What the last round saw of an instance.
-struct Watched {
+struct WatchedInstance {
     address: SocketAddr,
     last: Option<(Instant, Counters)>,
 }
@@ -44,34 +44,34 @@
 pub fn run(flags: &Top) -> Result<Code, CommandError> {
     ensure!(!flags.addresses.is_empty(), NoInstanceSnafu);
     let client = Client::new();
-    let interval = Duration::from_secs(flags.interval.unwrap_or(INTERVAL));
-    let watch = |address: &SocketAddr| Watched { address: *address, last: None };
-    let mut watched: Vec<Watched> = flags.addresses.iter().map(watch).collect();
+    let interval = Duration::from_secs(flags.interval.unwrap_or(DEFAULT_INTERVAL_SECS));
+    let watch = |address: &SocketAddr| WatchedInstance { address: *address, last: None };
+    let mut watched: Vec<WatchedInstance> = flags.addresses.iter().map(watch).collect();
     let mut round = 0;
     loop {
-        let rows: Vec<Row> = watched.iter_mut().map(|watched| watched.row(&client)).collect();
+        let rows: Vec<Row> = watched.iter_mut().map(|watched| watched.next_row(&client)).collect();
         print(flags, &rows)?;
         round += 1;
         if flags.rounds.is_some_and(|rounds| round >= rounds) {
-            return Ok(code(&rows));
+            return Ok(exit_code(&rows));
         }
         thread::sleep(interval);
     }
 }
 
-fn code(rows: &[Row]) -> Code {
+fn exit_code(rows: &[Row]) -> Code {
     if rows.iter().all(|row| row.name.is_some()) { Code::Done } else { Code::Instance }
 }
 
-impl Watched {
-    fn row(&mut self, client: &Client) -> Row {
-        let status: Option<Status> = client.json(self.address, "/status").ok();
-        let metrics = client.text(self.address, "/metrics").ok();
-        let counters = metrics.map(|text| (Instant::now(), Counters::read(&text)));
-        let rate = |part: fn(&Counters) -> u64| {
+impl WatchedInstance {
+    fn next_row(&mut self, client: &Client) -> Row {
+        let status: Option<Status> = client.get_json(self.address, "/status").ok();
+        let metrics = client.get_text(self.address, "/metrics").ok();
+        let counters = metrics.map(|text| (Instant::now(), Counters::parse(&text)));
+        let rate = |counter: fn(&Counters) -> u64| {
             let ((then, old), (now, new)) = (self.last?, counters?);
             let secs = now.duration_since(then).as_secs_f64().max(f64::MIN_POSITIVE);
-            Some((part(&new).saturating_sub(part(&old)) as f64 / secs) as u64)
+            Some((counter(&new).saturating_sub(counter(&old)) as f64 / secs) as u64)
         };
         let status = status.as_ref();
         let row = Row {
@@ -91,10 +91,10 @@
 
 fn print(flags: &Top, rows: &[Row]) -> Result<(), CommandError> {
     if flags.json {
-        return output::json(&rows);
+        return output::print_json(&rows);
     }
     if io::stdout().is_terminal() {
-        output::line(CLEAR);
+        output::print_line(CLEAR_SCREEN);
     }
     let mut table = Table::new(&[
         "INSTANCE",
@@ -107,7 +107,7 @@
         "DROPS/S",
     ]);
     for row in rows {
-        table.row(vec![
+        table.add_row(vec![
             row.name.clone().unwrap_or_else(|| "unreachable".to_owned()),
             row.address.to_string(),
             or_dash(row.life),
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -50,7 +50,7 @@
     },
     /// A file is no key.
     #[snafu(display("{} holds no key", path.display()))]
-    Key {
+    InvalidKey {
         /// The file.
         path: PathBuf,
         /// What is wrong with it.
@@ -77,7 +77,7 @@
     NoInstance,
     /// An instance does not answer.
     #[snafu(display("the instance at {address} does not answer"))]
-    Silent {
+    NoAnswer {
         /// Its address.
         address: SocketAddr,
         /// What the client says.
@@ -95,7 +95,7 @@
     },
     /// An instance answers something else than it was asked.
     #[snafu(display("the answer of the instance at {address} can't be read"))]
-    Answer {
+    InvalidAnswer {
         /// Its address.
         address: SocketAddr,
         /// What is wrong with it.
@@ -118,7 +118,7 @@
                 "choose another name or remove the file first; keys are never overwritten"
             }
             CommandError::Write { .. } => "check the path and whether you may write there",
-            CommandError::Key { .. } => "`medlarspur key new --out FILE` makes a key pair",
+            CommandError::InvalidKey { .. } => "`medlarspur key new --out FILE` makes a key pair",
             CommandError::Faults { .. } => {
                 "mend the faults above; `medlarspur bundle check FILE` lists them again"
             }
@@ -126,10 +126,10 @@
                 "sign the text as it is now, with a key that the instances trust"
             }
             CommandError::NoInstance => "give one or more addresses, such as 10.0.0.1:9000",
-            CommandError::Silent { .. } => {
+            CommandError::NoAnswer { .. } => {
                 "check that the daemon runs and that this is `operator:` of its settings"
             }
-            CommandError::Rejected { .. } | CommandError::Answer { .. } => {
+            CommandError::Rejected { .. } | CommandError::InvalidAnswer { .. } => {
                 "check that a medlarspurd of about this release listens at the address"
             }
             CommandError::Json { .. } => "leave out --json, and report this as a fault",
@@ -139,14 +139,14 @@
     /// The exit code.
     pub fn code(&self) -> Code {
         match self {
-            CommandError::Read { .. } | CommandError::Write { .. } | CommandError::Key { .. } => {
-                Code::File
-            }
+            CommandError::Read { .. }
+            | CommandError::Write { .. }
+            | CommandError::InvalidKey { .. } => Code::File,
             CommandError::Faults { .. } | CommandError::Refused { .. } => Code::No,
             CommandError::NoInstance => Code::Usage,
-            CommandError::Silent { .. }
+            CommandError::NoAnswer { .. }
             | CommandError::Rejected { .. }
-            | CommandError::Answer { .. }
+            | CommandError::InvalidAnswer { .. }
             | CommandError::Json { .. } => Code::Instance,
         }
     }
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -18,24 +18,24 @@
     let flags = match flags::Medlarspur::from_env() {
         Ok(flags) => flags,
         Err(error) if error.is_help() => {
-            output::line(&error.to_string());
+            output::print_line(&error.to_string());
             return Code::Done.into();
         }
-        Err(error) => return usage(&error),
+        Err(error) => return report_usage(&error),
     };
     match commands::run(flags.subcommand) {
         Ok(code) => code.into(),
-        Err(error) => failure(&error),
+        Err(error) => report_failure(&error),
     }
 }
 
-fn usage(error: &xflags::Error) -> ExitCode {
+fn report_usage(error: &xflags::Error) -> ExitCode {
     eprintln!("Error: {error}");
     eprintln!("Hint: `medlarspur --help` lists the commands and their options");
     Code::Usage.into()
 }
 
-fn failure(error: &CommandError) -> ExitCode {
+fn report_failure(error: &CommandError) -> ExitCode {
     let mut chain = error.iter_chain();
     if let Some(first) = chain.next() {
         eprintln!("Error: {first}");
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -11,15 +11,15 @@
 
 /// Prints a line. A reader that went away, as `head` does, ends the program
 /// quietly, where `println!` would end it with a panic.
-pub fn line(text: &str) {
+pub fn print_line(text: &str) {
     if writeln!(io::stdout().lock(), "{text}").is_err() {
         process::exit(0);
     }
 }
 
 /// Prints a value as JSON.
-pub fn json(value: &impl Serialize) -> Result<(), CommandError> {
-    line(&serde_json::to_string(value).context(JsonSnafu)?);
+pub fn print_json(value: &impl Serialize) -> Result<(), CommandError> {
+    print_line(&serde_json::to_string(value).context(JsonSnafu)?);
     Ok(())
 }
 
@@ -35,7 +35,7 @@
     }
 
     /// Adds a row of as many cells as the heading has.
-    pub fn row(&mut self, cells: Vec<String>) {
+    pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
@@ -44,21 +44,21 @@
         if self.rows.len() < 2 {
             return;
         }
-        let widths: Vec<usize> = (0..self.rows[0].len()).map(|ix| self.width(ix)).collect();
+        let widths: Vec<usize> = (0..self.rows[0].len()).map(|ix| self.column_width(ix)).collect();
         for row in &self.rows {
             let cells = row.iter().zip(&widths).map(|(cell, width)| format!("{cell:width$}"));
-            line(cells.collect::<Vec<_>>().join("  ").trim_end());
+            print_line(cells.collect::<Vec<_>>().join("  ").trim_end());
         }
     }
 
-    fn width(&self, column: usize) -> usize {
+    fn column_width(&self, column: usize) -> usize {
         let cells = self.rows.iter().filter_map(|row| row.get(column));
         cells.map(|cell| cell.chars().count()).max().unwrap_or(0)
     }
 }
 
 /// The revision as log lines write it: with its era, if the platform came back from a copy.
-pub fn revision(picture: &Picture) -> String {
+pub fn format_revision(picture: &Picture) -> String {
     match picture.era {
         0 => picture.revision.to_string(),
         era => format!("{era}.{}", picture.revision),
@@ -66,37 +66,40 @@
 }
 
 /// Prints up to where an instance knows config and targets.
-pub fn picture(picture: &Picture) {
-    let age = picture.age.map(|age| span(age.0));
+pub fn print_catalog(picture: &Picture) {
+    let age = picture.age.map(|age| format_duration(age.0));
     let confirmed = age.map_or("never confirmed".to_owned(), |age| format!("confirmed {age} ago"));
-    line(&format!("config   version {}", or_dash(picture.version)));
-    line(&format!("picture  up to revision {}, {confirmed}", revision(picture)));
+    print_line(&format!("config   version {}", or_dash(picture.version)));
+    print_line(&format!("picture  up to revision {}, {confirmed}", format_revision(picture)));
     if picture.omitted > 0 {
-        line(&format!("routes   {} of the config can't be served", picture.omitted));
+        print_line(&format!("routes   {} of the config can't be served", picture.omitted));
     }
-    for it in &picture.evacuated {
-        line(&format!("domain   {} evacuated since revision {}", it.domain, it.revision));
+    for evacuated in &picture.evacuated {
+        print_line(&format!(
+            "domain   {} evacuated since revision {}",
+            evacuated.domain, evacuated.revision
+        ));
     }
 }
 
 /// Targets as an instance sees them, under a heading for their names.
-pub fn targets(heading: &str, targets: &[MarkedTarget]) -> Table {
+pub fn target_table(heading: &str, targets: &[MarkedTarget]) -> Table {
     let mut table = Table::new(&[heading, "ADDRESS", "DOMAIN", "USE", "WORK", "FEEDS"]);
-    for it in targets {
-        table.row(vec![
-            it.name.to_string(),
-            it.address.to_string(),
-            it.domain.to_string(),
-            it.usage.to_string(),
-            it.work.to_string(),
-            it.feeds.to_string(),
+    for target in targets {
+        table.add_row(vec![
+            target.name.to_string(),
+            target.address.to_string(),
+            target.domain.to_string(),
+            target.usage.to_string(),
+            target.work.to_string(),
+            target.feeds.to_string(),
         ]);
     }
     table
 }
 
 /// A span of milliseconds in its largest fitting unit.
-pub fn span(millis: u64) -> String {
+pub fn format_duration(millis: u64) -> String {
     match millis {
         0..1_000 => format!("{millis}ms"),
         1_000..60_000 => format!("{}s", millis / 1_000),
@@ -106,7 +109,7 @@
 }
 
 /// The first digits of a digest, enough to tell two apart by eye.
-pub fn short(digest: &str) -> &str {
+pub fn short_digest(digest: &str) -> &str {
     digest.get(..12).unwrap_or(digest)
 }
 
--- a/cli/src/scrape.rs
+++ b/cli/src/scrape.rs
@@ -13,17 +13,17 @@
 
 impl Counters {
     /// Sums series of counters in the text form of Prometheus.
-    pub fn read(text: &str) -> Counters {
+    pub fn parse(text: &str) -> Counters {
         Counters {
-            packets: sum(text, "medlarspur_packets_total{event=\"received\"}"),
-            opened: sum(text, "medlarspur_flows_total{event=\"opened\"}"),
-            drops: sum(text, "medlarspur_drops_total{"),
+            packets: sum_series(text, "medlarspur_packets_total{event=\"received\"}"),
+            opened: sum_series(text, "medlarspur_flows_total{event=\"opened\"}"),
+            drops: sum_series(text, "medlarspur_drops_total{"),
         }
     }
 }
 
-fn sum(text: &str, start: &str) -> u64 {
-    let series = text.lines().filter(|line| line.starts_with(start));
+fn sum_series(text: &str, prefix: &str) -> u64 {
+    let series = text.lines().filter(|line| line.starts_with(prefix));
     let values = series.filter_map(|line| line.rsplit_once(' ')?.1.parse::<u64>().ok());
     values.sum()
 }
--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -27,7 +27,7 @@
 }
 
 /// Starts an instance with a bundle of this version in force, or none.
-pub fn instance(name: &'static str, version: Option<u64>) -> OperatorServer {
+pub fn start_instance(name: &'static str, version: Option<u64>) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     meters.counter(Family::Packets, "received").add(10);
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
@@ -36,12 +36,12 @@
 }
 
 /// Starts an instance where marks are used, with a config of this version in force.
-pub fn marked(name: &'static str, version: Option<u64>) -> OperatorServer {
-    marked_in_era(name, version, 0)
+pub fn start_marked(name: &'static str, version: Option<u64>) -> OperatorServer {
+    start_marked_in_era(name, version, 0)
 }
 
 /// The same, of a platform that has come back from a copy as often.
-pub fn marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> OperatorServer {
+pub fn start_marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let source = Arc::new(Instance { name, version, era });
--- a/cli/tests/test_errors.rs
+++ b/cli/tests/test_errors.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fixtures::{BUNDLE, folder},
-    instances::instance,
+    instances::start_instance,
 };
 use expect_test::expect;
 use std::{
@@ -68,7 +68,7 @@
 /// that from an instance that answers and is not ready.
 #[test]
 fn an_instance_that_does_not_answer() {
-    let one = instance("entry-1", Some(7));
+    let one = start_instance("entry-1", Some(7));
     let address = one.address().to_string();
     one.stop();
 
@@ -84,7 +84,7 @@
 }
 
 /// Answers one call as another program would, whatever it is asked.
-fn stranger(answer: &'static str) -> (String, JoinHandle<()>) {
+fn serve_once(answer: &'static str) -> (String, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let server = thread::spawn(move || {
@@ -100,7 +100,7 @@
 /// Another program listens at the address, and answers what no instance does.
 #[test]
 fn an_answer_that_is_none() {
-    let (address, server) = stranger("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello");
+    let (address, server) = serve_once("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello");
 
     let printed = folder().run(&format!("flows --instance {address}"));
 
@@ -116,7 +116,7 @@
 
 #[test]
 fn an_answer_that_rejects() {
-    let (address, server) = stranger("HTTP/1.1 403 No\r\ncontent-length: 5\r\n\r\nno...");
+    let (address, server) = serve_once("HTTP/1.1 403 No\r\ncontent-length: 5\r\n\r\nno...");
 
     let printed = folder().run(&format!("flows --instance {address}"));
 
--- a/cli/tests/test_instances.rs
+++ b/cli/tests/test_instances.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     fixtures::folder,
-    instances::{instance, marked, marked_in_era},
+    instances::{start_instance, start_marked, start_marked_in_era},
 };
 use expect_test::expect;
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn status_of_one_instance_goes_into_detail() {
-    let one = instance("entry-1", Some(7));
+    let one = start_instance("entry-1", Some(7));
 
     let printed = folder().run(&format!("status {}", one.address()));
 
@@ -43,8 +43,8 @@
 /// see that the fleet does not agree yet.
 #[test]
 fn status_of_many_shows_that_they_disagree() {
-    let (one, two) = (instance("entry-1", Some(7)), instance("entry-2", Some(8)));
-    let three = instance("entry-3", None);
+    let (one, two) = (start_instance("entry-1", Some(7)), start_instance("entry-2", Some(8)));
+    let three = start_instance("entry-3", None);
     let addresses = format!("{} {} {}", one.address(), two.address(), three.address());
 
     let printed = folder().run(&format!("status {addresses}"));
@@ -64,7 +64,7 @@
 /// One instance of the fleet has died. The others must still be shown.
 #[test]
 fn status_of_many_goes_on_past_a_dead_one() {
-    let (one, two) = (instance("entry-1", Some(7)), instance("entry-2", Some(7)));
+    let (one, two) = (start_instance("entry-1", Some(7)), start_instance("entry-2", Some(7)));
     let addresses = format!("{} {}", two.address(), one.address());
     two.stop();
 
@@ -81,7 +81,7 @@
 
 #[test]
 fn status_prints_json() {
-    let one = instance("entry-1", Some(7));
+    let one = start_instance("entry-1", Some(7));
 
     let json = folder().printed(&format!("status {} --json", one.address()));
 
@@ -92,7 +92,7 @@
 
 #[test]
 fn explain_says_where_and_why() {
-    let one = instance("entry-1", Some(7));
+    let one = start_instance("entry-1", Some(7));
     let flow = "tcp:10.9.0.1:40000:10.70.0.1:7001";
 
     let printed = folder().run(&format!("explain {flow} --instance {}", one.address()));
@@ -117,7 +117,7 @@
 
 #[test]
 fn flows_are_listed_up_to_the_limit() {
-    let one = instance("entry-1", Some(7));
+    let one = start_instance("entry-1", Some(7));
 
     let printed = folder().run(&format!("flows --limit 2 --instance {}", one.address()));
 
@@ -132,7 +132,7 @@
 
 #[test]
 fn top_shows_rates_from_the_second_round_on() {
-    let one = instance("entry-1", Some(7));
+    let one = start_instance("entry-1", Some(7));
 
     let line = format!("top {} --rounds 2 --interval 0", one.address());
     let printed = folder().run(&line);
@@ -153,7 +153,7 @@
 /// Guards against revisions that look as if they had gone back, where the platform did.
 #[test]
 fn status_tells_the_era_of_a_platform_that_came_back_from_a_copy() {
-    let one = marked_in_era("edge-1", Some(9), 2);
+    let one = start_marked_in_era("edge-1", Some(9), 2);
 
     let printed = folder().run(&format!("status {}", one.address()));
 
@@ -163,7 +163,7 @@
 
 #[test]
 fn status_where_marks_are_used_tells_how_old_the_picture_is() {
-    let one = marked("edge-1", Some(9));
+    let one = start_marked("edge-1", Some(9));
 
     let printed = folder().run(&format!("status {}", one.address()));
 
@@ -186,7 +186,7 @@
 /// Two instances have different configs in force: news has not reached one of them.
 #[test]
 fn status_shows_that_configs_differ() {
-    let (one, two) = (marked("edge-1", Some(9)), marked("edge-2", Some(8)));
+    let (one, two) = (start_marked("edge-1", Some(9)), start_marked("edge-2", Some(8)));
 
     let printed = folder().run(&format!("status {} {}", one.address(), two.address()));
 
@@ -201,7 +201,7 @@
 
 #[test]
 fn explain_takes_a_flow_as_lines_write_it() {
-    let one = marked("edge-1", Some(9));
+    let one = start_marked("edge-1", Some(9));
     let flow = "100.64.0.7:2525>198.18.0.1:8443";
 
     let printed = folder().run(&format!("explain {flow} --instance {}", one.address()));
