--- a/cli/src/client.rs
+++ b/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Asks an instance by HTTP.
+//! HTTP client for instances.
 
 use crate::error::{CommandError, InvalidAnswerSnafu, NoAnswerSnafu, RejectedSnafu};
 use serde::{Deserialize, de::DeserializeOwned};
@@ -6,12 +6,12 @@
 use std::{net::SocketAddr, time::Duration};
 use ureq::Agent;
 
-/// How long an instance may take; it answers in milliseconds or not at all.
+/// Timeout of a request. An instance answers within milliseconds or not at all.
 const TIMEOUT: Duration = Duration::from_secs(5);
-/// The longest answer, in bytes: ten thousand flows, or the metrics of the
-/// target size.
+/// Maximum size of a response, in bytes. Ten thousand flows fit, and the metrics of the largest
+/// deployment that is designed for.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
-/// What a refusal is cut to, in characters.
+/// Maximum length of the detail of an error, in characters. Longer ones are truncated.
 const MAX_DETAIL_CHARS: usize = 300;
 
 /// A client for any number of instances.
@@ -20,8 +20,8 @@
 }
 
 impl Client {
-    /// A client that takes no proxy from the environment, since an instance is
-    /// asked itself or not at all.
+    /// Creates a client. It ignores proxies of the environment, since requests must reach the
+    /// instance itself.
     pub fn new() -> Client {
         let config = Agent::config_builder()
             .timeout_global(Some(TIMEOUT))
@@ -31,7 +31,7 @@
         Client { agent: config.into() }
     }
 
-    /// The JSON value at `path`.
+    /// Requests `path` and parses the response as JSON.
     pub fn get_json<T: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -41,7 +41,7 @@
         serde_json::from_str(&text).context(InvalidAnswerSnafu { address })
     }
 
-    /// The text at `path`.
+    /// Requests `path` and returns the body of the response.
     pub fn get_text(&self, address: SocketAddr, path: &str) -> Result<String, CommandError> {
         let url = format!("http://{address}{path}");
         let mut response = self.agent.get(url).call().context(NoAnswerSnafu { address })?;
@@ -56,7 +56,7 @@
     }
 }
 
-/// What an instance says is wrong, or all that another program says.
+/// Returns the error in an instance's response, or all of it if it comes from another program.
 fn error_detail(text: &str) -> String {
     #[derive(Deserialize)]
     struct ErrorBody {
--- a/cli/src/commands/bundle_check.rs
+++ b/cli/src/commands/bundle_check.rs
@@ -1,4 +1,4 @@
-//! `bundle check`: every fault of a bundle.
+//! `bundle check`: lists the faults of a bundle.
 
 use super::{read, read_key};
 use crate::{
@@ -13,6 +13,7 @@
 use serde::Serialize;
 use snafu::ResultExt;
 
+/// A fault of a bundle, as printed in JSON.
 #[derive(Serialize)]
 struct Fault {
     line: Option<usize>,
--- a/cli/src/commands/bundle_diff.rs
+++ b/cli/src/commands/bundle_diff.rs
@@ -1,4 +1,4 @@
-//! `bundle diff`: what differs between two bundles.
+//! `bundle diff`: compares two bundles.
 
 use super::read_bundle;
 use crate::{
@@ -9,6 +9,7 @@
 use medlarspur_lib::bundle::{Change, Obstacle, diff, obstacles};
 use serde::Serialize;
 
+/// Differences between two bundles, as printed in JSON.
 #[derive(Serialize)]
 struct Differences {
     changes: Vec<Change>,
--- a/cli/src/commands/bundle_show.rs
+++ b/cli/src/commands/bundle_show.rs
@@ -1,4 +1,4 @@
-//! `bundle show`: a bundle with its defaults filled in.
+//! `bundle show`: prints a bundle with its defaults filled in.
 
 use super::read_bundle;
 use crate::{
--- a/cli/src/commands/bundle_sign.rs
+++ b/cli/src/commands/bundle_sign.rs
@@ -1,4 +1,4 @@
-//! `bundle sign`: checks a bundle and signs it off.
+//! `bundle sign`: checks and signs a bundle.
 
 use super::{read, read_key};
 use crate::{
@@ -15,8 +15,8 @@
     let text = read(&flags.file)?;
     let bundle = Bundle::parse(content(&text)).context(FaultsSnafu { path: &flags.file })?;
     let signed = sign(&text, &key);
-    // The line of the signature counts as well, so a text just under the
-    // limit passes the checks and would still be refused by every instance.
+    // The signature counts towards the maximum size. Without this check, every instance would
+    // refuse a text that is just below the maximum.
     let keys = Keys::new(vec![key.public()]);
     Signed::check(signed.as_bytes(), &keys, &bundle.site)
         .context(RefusedSnafu { path: &flags.file })?;
--- a/cli/src/commands/explain.rs
+++ b/cli/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `explain`: where a flow goes and why.
+//! `explain`: shows where a flow goes, and why.
 
 use crate::{
     client::Client,
@@ -9,7 +9,8 @@
 use medlarspur_lib::status::{Explanation, MarkedExplanation};
 use serde::{Deserialize, Serialize};
 
-/// What an instance answers, by how its site agrees on flows.
+/// Response of an instance. It differs between sites that map flows by bucket tables and
+/// sites whose fabric returns marks.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum InstanceExplanation {
--- a/cli/src/commands/flows.rs
+++ b/cli/src/commands/flows.rs
@@ -1,4 +1,4 @@
-//! `flows`: flows that an instance knows.
+//! `flows`: lists flows that an instance knows.
 
 use crate::{
     client::Client,
@@ -8,7 +8,7 @@
 };
 use medlarspur_lib::status::FlowStatus;
 
-/// How many flows are asked for if the command line names no number.
+/// Number of flows that are requested without `--limit`.
 const DEFAULT_LIMIT: usize = 100;
 
 pub fn run(flags: &Flows) -> Result<Code, CommandError> {
--- a/cli/src/commands/key_new.rs
+++ b/cli/src/commands/key_new.rs
@@ -1,4 +1,4 @@
-//! `key new`: draws a key pair.
+//! `key new`: generates a key pair.
 
 use crate::{
     error::{Code, CommandError, WriteSnafu},
@@ -14,16 +14,16 @@
     path::{Path, PathBuf},
 };
 
-/// Only the owner reads a secret key.
+/// Mode of the file of a secret key. Only its owner can read it.
 const SECRET_MODE: u32 = 0o600;
-/// Everybody reads a public key.
+/// Mode of the file of a public key. Everyone can read it.
 const PUBLIC_MODE: u32 = 0o644;
 
 pub fn run(flags: &New) -> Result<Code, CommandError> {
     let secret = SecretKey::generate();
     let public = public_path(&flags.out);
-    // Found out only after the secret was written, this would leave a secret
-    // beside the public key of another pair.
+    // This is checked before the secret key is written. Otherwise, a failure would leave the
+    // secret key next to the public key of another pair.
     ensure_absent(&public)?;
     write_new(&flags.out, &secret.to_hex(), SECRET_MODE)?;
     write_new(&public, &secret.public().to_string(), PUBLIC_MODE)?;
@@ -36,12 +36,14 @@
     Ok(Code::Done)
 }
 
+/// Returns the path of the public key that belongs to this secret key.
 fn public_path(secret: &Path) -> PathBuf {
     let mut name = secret.as_os_str().to_owned();
     name.push(".pub");
     name.into()
 }
 
+/// Fails if the file exists.
 fn ensure_absent(path: &Path) -> Result<(), CommandError> {
     if !path.try_exists().context(WriteSnafu { path })? {
         return Ok(());
@@ -49,8 +51,8 @@
     Err(io::Error::from(io::ErrorKind::AlreadyExists)).context(WriteSnafu { path })
 }
 
-/// Writes a file that must not exist yet: an overwritten secret key is gone,
-/// and with it the only way to sign for instances that trust its public key.
+/// Writes a new file. It fails if the file exists: overwriting a secret key would destroy the
+/// only means to sign for instances that trust its public key.
 fn write_new(path: &Path, text: &str, mode: u32) -> Result<(), CommandError> {
     let file = OpenOptions::new().write(true).create_new(true).mode(mode).open(path);
     let mut file = file.context(WriteSnafu { path })?;
--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command.
+//! The commands, one file each.
 
 mod bundle_check;
 mod bundle_diff;
@@ -18,7 +18,7 @@
 use snafu::ResultExt;
 use std::{fs, path::Path, str::FromStr};
 
-/// Runs the command that the command line names.
+/// Runs a command.
 pub fn run(command: MedlarspurCmd) -> Result<Code, CommandError> {
     match command {
         MedlarspurCmd::Key(key) => match key.subcommand {
--- a/cli/src/commands/status.rs
+++ b/cli/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the state of one instance or of many.
+//! `status`: shows the state of one or more instances.
 
 use crate::{
     client::Client,
@@ -15,7 +15,7 @@
 use snafu::ensure;
 use std::net::SocketAddr;
 
-/// What came back from one address.
+/// Result of the request to one address.
 #[derive(Serialize)]
 struct Answer {
     address: SocketAddr,
@@ -23,7 +23,8 @@
     error: Option<String>,
 }
 
-/// What an instance says, by how its site agrees on flows.
+/// Status of an instance. It differs between sites that map flows by bucket tables and sites
+/// whose fabric returns marks.
 #[derive(Serialize, Deserialize)]
 #[serde(untagged)]
 enum InstanceStatus {
@@ -35,8 +36,8 @@
     ensure!(!flags.addresses.is_empty(), NoInstanceSnafu);
     let client = Client::new();
     if let [address] = flags.addresses[..] {
-        // A lone instance that does not answer is a failure with its causes;
-        // among several it is one row of the table.
+        // If the only instance doesn't answer, the command fails and prints the causes. One of
+        // several is a row of the table instead.
         client.get_text(address, "/healthz")?;
     }
     let query = |address: &SocketAddr| query(&client, *address);
@@ -66,6 +67,7 @@
     if unready || differ { Code::No } else { Code::Done }
 }
 
+/// Returns the statuses of instances with bucket tables.
 fn table_statuses(answers: &[Answer]) -> impl Iterator<Item = &Status> {
     answers.iter().filter_map(|answer| match &answer.status {
         Some(InstanceStatus::Table(status)) => Some(&**status),
@@ -73,6 +75,7 @@
     })
 }
 
+/// Returns the statuses of instances at sites whose fabric returns marks.
 fn marked_statuses(answers: &[Answer]) -> impl Iterator<Item = &MarkedStatus> {
     answers.iter().filter_map(|answer| match &answer.status {
         Some(InstanceStatus::Marks(status)) => Some(&**status),
@@ -80,10 +83,12 @@
     })
 }
 
+/// Returns the number of different versions of the config in force.
 fn count_configs(answers: &[Answer]) -> usize {
     marked_statuses(answers).map(|status| status.picture.version).collect::<Set<_>>().len()
 }
 
+/// Returns the number of different bundles in force.
 fn count_bundles(answers: &[Answer]) -> usize {
     let digest = |status: &Status| status.bundle.as_ref().map(|bundle| bundle.digest.clone());
     table_statuses(answers).map(digest).collect::<Set<_>>().len()
--- a/cli/src/commands/top.rs
+++ b/cli/src/commands/top.rs
@@ -1,4 +1,4 @@
-//! `top`: rates of instances, again and again.
+//! `top`: shows rates of instances at intervals.
 
 use crate::{
     client::Client,
@@ -17,12 +17,12 @@
     time::{Duration, Instant},
 };
 
-/// Seconds between rounds if the command line names none.
+/// Seconds between rounds without `--interval`.
 const DEFAULT_INTERVAL_SECS: u64 = 2;
-/// Clears a terminal and goes to its first line.
+/// Escape sequences that clear a terminal and move to its first line.
 const CLEAR_SCREEN: &str = "\x1b[2J\x1b[H";
 
-/// One instance in one round. Rates are a second, none in the first round.
+/// One instance in one round. Rates are per second; the first round has none.
 #[derive(Serialize)]
 struct Row {
     address: SocketAddr,
@@ -35,7 +35,7 @@
     drops: Option<u64>,
 }
 
-/// What the last round saw of an instance.
+/// An instance, and its counters in the last round with the time of reading.
 struct WatchedInstance {
     address: SocketAddr,
     last: Option<(Instant, Counters)>,
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong in a command, with a hint and an exit code.
+//! Errors of commands, each with a hint and an exit code.
 
 use medlarspur_lib::{
     bundle::{KeyError, Refusal},
@@ -7,18 +7,18 @@
 use snafu::Snafu;
 use std::{io, net::SocketAddr, path::PathBuf, process::ExitCode};
 
-/// The exit codes, as `--help` lists them.
+/// Exit codes, as listed by `--help`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Code {
-    /// Done, or the answer is yes.
+    /// The command succeeded, or the answer is yes.
     Done = 0,
     /// The answer is no.
     No = 1,
     /// The command line is wrong.
     Usage = 2,
-    /// A file can't be read or written, or is no key.
+    /// A file can't be read or written, or is not a key.
     File = 3,
-    /// An instance can't be reached or gives no proper answer.
+    /// An instance can't be reached, or its response is invalid.
     Instance = 4,
 }
 
@@ -35,31 +35,31 @@
     /// A file can't be read.
     #[snafu(display("can't read {}", path.display()))]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// A file can't be written.
     #[snafu(display("can't write {}", path.display()))]
     Write {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file is no key.
+    /// A file is not a key.
     #[snafu(display("{} holds no key", path.display()))]
     InvalidKey {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: KeyError,
     },
-    /// A bundle has faults.
+    /// A bundle is invalid.
     #[snafu(display("{} has faults: {}", path.display(), source.problems.len()))]
     Faults {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The faults.
         source: Report,
@@ -67,50 +67,50 @@
     /// Instances that trust the given keys would refuse a bundle.
     #[snafu(display("{} would be refused", path.display()))]
     Refused {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// Why they would refuse it.
         source: Refusal,
     },
-    /// No instance was named.
+    /// The command line names no instance.
     #[snafu(display("no instance is named"))]
     NoInstance,
     /// An instance does not answer.
     #[snafu(display("the instance at {address} does not answer"))]
     NoAnswer {
-        /// Its address.
+        /// Address of the instance.
         address: SocketAddr,
-        /// What the client says.
+        /// Error of the HTTP client.
         source: ureq::Error,
     },
-    /// An instance says that the question is wrong.
+    /// An instance rejected the request.
     #[snafu(display("the instance at {address} answers {code}: {detail}"))]
     Rejected {
-        /// Its address.
+        /// Address of the instance.
         address: SocketAddr,
         /// The HTTP status code.
         code: u16,
-        /// What it says.
+        /// Its explanation.
         detail: String,
     },
-    /// An instance answers something else than it was asked.
+    /// The response is not the expected JSON.
     #[snafu(display("the answer of the instance at {address} can't be read"))]
     InvalidAnswer {
-        /// Its address.
+        /// Address of the instance.
         address: SocketAddr,
-        /// What is wrong with it.
+        /// Why it is invalid.
         source: serde_json::Error,
     },
-    /// A value has no JSON form.
+    /// A value can't be written as JSON.
     #[snafu(display("can't print this as JSON"))]
     Json {
-        /// What the library says.
+        /// Error of the library.
         source: serde_json::Error,
     },
 }
 
 impl CommandError {
-    /// What to do about it.
+    /// Returns what to do about the error.
     pub fn hint(&self) -> &'static str {
         match self {
             CommandError::Read { .. } => "check the path and whether you may read it",
@@ -120,7 +120,7 @@
             CommandError::Write { .. } => "check the path and whether you may write there",
             CommandError::InvalidKey { .. } => "`medlarspur key new --out FILE` makes a key pair",
             CommandError::Faults { .. } => {
-                "mend the faults above; `medlarspur bundle check FILE` lists them again"
+                "fix the faults above; `medlarspur bundle check FILE` lists them again"
             }
             CommandError::Refused { .. } => {
                 "sign the text as it is now, with a key that the instances trust"
@@ -132,11 +132,11 @@
             CommandError::Rejected { .. } | CommandError::InvalidAnswer { .. } => {
                 "check that a medlarspurd of about this release listens at the address"
             }
-            CommandError::Json { .. } => "leave out --json, and report this as a fault",
+            CommandError::Json { .. } => "leave out --json, and report this as a bug",
         }
     }
 
-    /// The exit code.
+    /// Returns the exit code.
     pub fn code(&self) -> Code {
         match self {
             CommandError::Read { .. }
--- a/cli/src/flags.rs
+++ b/cli/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Definition of the command line. Its doc comments are the text of `--help`.
 
 use medlarspur_lib::packet::FlowKey;
 use std::{net::SocketAddr, path::PathBuf};
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,7 +1,7 @@
-//! The command-line tool of operators: authors bundles and reads instances.
+//! The command-line tool for operators, which prepares bundles and shows the state of instances.
 //!
-//! Each command has a file under `commands`, which calls the library and
-//! prints. Nothing here changes an instance.
+//! Each command has a file in `commands`, which calls the library and prints the result. No
+//! command changes an instance.
 
 mod client;
 mod commands;
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing: lines, tables and JSON.
+//! Printing of lines, tables and JSON.
 
 use crate::error::{CommandError, JsonSnafu};
 use medlarspur_lib::status::{MarkedTarget, Picture};
@@ -9,8 +9,8 @@
     process,
 };
 
-/// Prints a line. A reader that went away, as `head` does, ends the program
-/// quietly, where `println!` would end it with a panic.
+/// Prints a line. If the reader has closed the pipe, as `head` does, this exits silently, where
+/// `println!` would panic.
 pub fn print_line(text: &str) {
     if writeln!(io::stdout().lock(), "{text}").is_err() {
         process::exit(0);
@@ -23,23 +23,23 @@
     Ok(())
 }
 
-/// Rows under a heading, in columns as wide as their widest cell.
+/// A heading and rows, in columns as wide as their widest cell.
 pub struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    /// A table with this heading.
+    /// Creates a table with this heading.
     pub fn new(heading: &[&str]) -> Table {
         Table { rows: vec![heading.iter().map(|cell| cell.to_string()).collect()] }
     }
 
-    /// Adds a row of as many cells as the heading has.
+    /// Adds a row, which has as many cells as the heading.
     pub fn add_row(&mut self, cells: Vec<String>) {
         self.rows.push(cells);
     }
 
-    /// Prints the table, or nothing if it has no row.
+    /// Prints the table, or nothing if it has no rows.
     pub fn print(&self) {
         if self.rows.len() < 2 {
             return;
@@ -57,7 +57,7 @@
     }
 }
 
-/// The revision as log lines write it: with its era, if the platform came back from a copy.
+/// Formats the revision as in log lines: with its era, if the platform was restored from a copy.
 pub fn format_revision(picture: &Picture) -> String {
     match picture.era {
         0 => picture.revision.to_string(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Prints up to where an instance knows config and targets.
+/// Prints what an instance knows of config and targets, and how current that is.
 pub fn print_catalog(picture: &Picture) {
     let age = picture.age.map(|age| format_duration(age.0));
     let confirmed = age.map_or("never confirmed".to_owned(), |age| format!("confirmed {age} ago"));
@@ -82,7 +82,7 @@
     }
 }
 
-/// Targets as an instance sees them, under a heading for their names.
+/// Returns a table of targets in the view of an instance. `heading` is that of their names.
 pub fn target_table(heading: &str, targets: &[MarkedTarget]) -> Table {
     let mut table = Table::new(&[heading, "ADDRESS", "DOMAIN", "USE", "WORK", "FEEDS"]);
     for target in targets {
@@ -98,7 +98,7 @@
     table
 }
 
-/// A span of milliseconds in its largest fitting unit.
+/// Formats a number of milliseconds in the one or two largest units that fit.
 pub fn format_duration(millis: u64) -> String {
     match millis {
         0..1_000 => format!("{millis}ms"),
@@ -108,12 +108,12 @@
     }
 }
 
-/// The first digits of a digest, enough to tell two apart by eye.
+/// Returns the first 12 digits of a digest, which suffice to tell digests apart.
 pub fn short_digest(digest: &str) -> &str {
     digest.get(..12).unwrap_or(digest)
 }
 
-/// A value, or a dash for none.
+/// Formats a value, or a dash for none.
 pub fn or_dash<T: ToString>(value: Option<T>) -> String {
     value.map_or_else(|| "-".to_owned(), |value| value.to_string())
 }
--- a/cli/src/scrape.rs
+++ b/cli/src/scrape.rs
@@ -1,18 +1,18 @@
-//! Reads the sums of counters from an instance's metrics.
+//! Parsing of counters from an instance's metrics.
 
-/// What `top` shows of the counters of an instance.
+/// The counters that `top` shows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// Packets from the fabric.
+    /// Number of packets received from the fabric.
     pub packets: u64,
-    /// Flows that were opened.
+    /// Number of opened flows.
     pub opened: u64,
-    /// Dropped packets and datagrams.
+    /// Number of dropped packets and datagrams.
     pub drops: u64,
 }
 
 impl Counters {
-    /// Sums series of counters in the text form of Prometheus.
+    /// Parses the text format of Prometheus and sums the series of each counter.
     pub fn parse(text: &str) -> Counters {
         Counters {
             packets: sum_series(text, "medlarspur_packets_total{event=\"received\"}"),
@@ -22,6 +22,7 @@
     }
 }
 
+/// Returns the sum of the series whose lines begin with `prefix`.
 fn sum_series(text: &str, prefix: &str) -> u64 {
     let series = text.lines().filter(|line| line.starts_with(prefix));
     let values = series.filter_map(|line| line.rsplit_once(' ')?.1.parse::<u64>().ok());
--- a/cli/tests/fixtures.rs
+++ b/cli/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! A folder with files, and the tool run in it.
+//! A temporary folder in which the tool runs.
 
 use std::{
     fs,
@@ -25,10 +25,10 @@
     targets: [{name: in-1, address: 10.1.0.3:6080, domain: obelya}]
 ";
 
-/// A folder in which the tool runs.
+/// A temporary folder in which the tool runs.
 pub struct Folder(TempDir);
 
-/// An empty folder.
+/// Creates an empty folder.
 pub fn folder() -> Folder {
     Folder(tempfile::tempdir().expect("a folder"))
 }
@@ -44,19 +44,19 @@
         fs::read_to_string(self.0.path().join(name)).expect("read")
     }
 
-    /// Whether there is such a file.
+    /// Returns whether the file exists.
     pub fn exists(&self, name: &str) -> bool {
         self.0.path().join(name).exists()
     }
 
-    /// The permission bits of a file.
+    /// Returns the permission bits of a file.
     pub fn mode(&self, name: &str) -> u32 {
         use std::os::unix::fs::PermissionsExt;
         let file = fs::metadata(self.0.path().join(name)).expect("a file");
         file.permissions().mode() & 0o777
     }
 
-    /// Runs the tool; the exit code, then what it printed, errors last.
+    /// Runs the tool. Returns its exit code, its output and its error output, as one text.
     pub fn run(&self, line: &str) -> String {
         let output = self.output(line);
         let code = output.status.code().expect("an exit code");
@@ -64,7 +64,7 @@
         format!("exit code {code}\n{out}{err}")
     }
 
-    /// Runs the tool; what it printed, if its exit code was 0.
+    /// Runs the tool, which must succeed. Returns its output.
     pub fn printed(&self, line: &str) -> String {
         let output = self.output(line);
         assert!(output.status.success(), "{line}: {}", text(&output.stderr));
--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Instances that answer the tool from fixed values.
+//! Instances with a fixed state, which the tool can query.
 
 use medlarspur_lib::{
     bundle::{Class, TargetState},
@@ -26,7 +26,7 @@
     era: u32,
 }
 
-/// Starts an instance with a bundle of this version in force, or none.
+/// Starts an instance with a bundle of this version in force, or without one.
 pub fn start_instance(name: &'static str, version: Option<u64>) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     meters.counter(Family::Packets, "received").add(10);
@@ -35,12 +35,13 @@
         .expect("starts")
 }
 
-/// Starts an instance where marks are used, with a config of this version in force.
+/// Starts an instance at a site whose fabric returns marks, with a config of this version in
+/// force, or without one.
 pub fn start_marked(name: &'static str, version: Option<u64>) -> OperatorServer {
     start_marked_in_era(name, version, 0)
 }
 
-/// The same, of a platform that has come back from a copy as often.
+/// Like [`start_marked`], at a platform that has been restored from a copy `era` times.
 pub fn start_marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
--- a/cli/tests/runner.rs
+++ b/cli/tests/runner.rs
@@ -1,4 +1,4 @@
-//! Tests of the command-line tool, run as a person runs it.
+//! Tests of the command-line tool, which run its program.
 
 mod fixtures;
 mod instances;
--- a/cli/tests/test_bundle.rs
+++ b/cli/tests/test_bundle.rs
@@ -1,14 +1,16 @@
-//! Checking, signing, showing and comparing bundles.
+//! The commands that check, sign, show and compare bundles.
 
 use crate::fixtures::{BUNDLE, Folder, folder};
 use expect_test::expect;
 
+/// Creates a folder with a bundle.
 fn with_bundle() -> Folder {
     let folder = folder();
     folder.write("site.yaml", BUNDLE);
     folder
 }
 
+/// Creates a folder with a bundle and two key pairs.
 fn with_keys() -> Folder {
     let folder = with_bundle();
     folder.printed("key new --out site.key");
@@ -17,7 +19,7 @@
 }
 
 #[test]
-fn check_sums_a_sound_bundle_up() {
+fn check_summarizes_a_valid_bundle() {
     expect![[r#"
         exit code 0
         site.yaml: version 7 for sofia, 2 services, 3 targets, no faults
@@ -45,7 +47,7 @@
 }
 
 #[test]
-fn sign_writes_what_check_trusts() {
+fn check_trusts_what_sign_writes() {
     let folder = with_keys();
 
     let signed = folder.run("bundle sign site.yaml --key site.key --out signed.yaml");
@@ -66,8 +68,8 @@
     folder.printed("bundle check signed.yaml --trust site.key.pub");
 }
 
-/// A bundle was signed by a colleague's key, or changed after it was signed.
-/// Instances would refuse it, so the check must say so before it is published.
+/// Guards against publishing a bundle that instances refuse, because it is unsigned, signed by
+/// an unknown key, or changed after it was signed.
 #[test]
 fn check_refuses_what_instances_would_refuse() {
     let folder = with_keys();
@@ -99,7 +101,7 @@
         exit code 1
         Error: bad.yaml has faults: 1
         Caused by: line 1: version: 0 is out of range; choose a value from 1 to 18446744073709551615
-        Hint: mend the faults above; `medlarspur bundle check FILE` lists them again
+        Hint: fix the faults above; `medlarspur bundle check FILE` lists them again
     "#]]
     .assert_eq(&printed);
 }
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn diff_lists_changes_and_what_instances_would_not_take() {
+fn diff_lists_changes_and_obstacles() {
     let folder = with_bundle();
     folder.write("next.yaml", &BUNDLE.replace("state: leaving", "weight: 50"));
 
--- a/cli/tests/test_errors.rs
+++ b/cli/tests/test_errors.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, with its causes, a hint and an exit code.
+//! Errors, with their causes, hints and exit codes.
 
 use crate::{
     fixtures::{BUNDLE, folder},
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn a_missing_file() {
+fn a_missing_file_is_reported() {
     expect![[r#"
         exit code 3
         Error: can't read nowhere.yaml
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_key() {
+fn a_file_that_is_not_a_key_is_reported() {
     let folder = folder();
     folder.write("site.yaml", BUNDLE);
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_wrong_command_line() {
+fn a_wrong_command_line_is_reported() {
     expect![[r#"
         exit code 2
         Error: unexpected argument: "shew"
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_flow_that_is_none() {
+fn an_invalid_flow_is_reported() {
     let printed = folder().run("explain nothing --instance 127.0.0.1:9");
 
     expect![[r#"
@@ -64,10 +64,10 @@
     "#]].assert_eq(&printed);
 }
 
-/// The instance is down, or the address is wrong. The exit code tells a script
-/// that from an instance that answers and is not ready.
+/// Guards against an unreachable instance that scripts mistake for one that isn't ready. The
+/// instance is down, or the address is wrong; only the exit code differs.
 #[test]
-fn an_instance_that_does_not_answer() {
+fn an_instance_that_does_not_answer_is_reported() {
     let one = start_instance("entry-1", Some(7));
     let address = one.address().to_string();
     one.stop();
@@ -83,8 +83,9 @@
     .assert_eq(&printed.replace(&address, "ADDRESS"));
 }
 
-/// Answers one call as another program would, whatever it is asked.
-fn serve_once(answer: &'static str) -> (String, JoinHandle<()>) {
+/// Starts a server that answers one request with this response. Returns its address and its
+/// thread.
+fn serve_once(response: &'static str) -> (String, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let server = thread::spawn(move || {
@@ -92,14 +93,14 @@
         let mut request = [0; 4096];
         let length = caller.read(&mut request).expect("a request");
         assert!(request[..length].starts_with(b"GET /flows"));
-        caller.write_all(answer.as_bytes()).expect("written");
+        caller.write_all(response.as_bytes()).expect("written");
     });
     (address, server)
 }
 
-/// Another program listens at the address, and answers what no instance does.
+/// Guards against mistaking another program that listens at the address for an instance.
 #[test]
-fn an_answer_that_is_none() {
+fn a_response_that_is_not_json_is_reported() {
     let (address, server) = serve_once("HTTP/1.1 200 OK\r\ncontent-length: 5\r\n\r\nhello");
 
     let printed = folder().run(&format!("flows --instance {address}"));
@@ -115,7 +116,7 @@
 }
 
 #[test]
-fn an_answer_that_rejects() {
+fn an_error_response_is_reported() {
     let (address, server) = serve_once("HTTP/1.1 403 No\r\ncontent-length: 5\r\n\r\nno...");
 
     let printed = folder().run(&format!("flows --instance {address}"));
--- a/cli/tests/test_help.rs
+++ b/cli/tests/test_help.rs
@@ -1,10 +1,10 @@
-//! The help, from which a person can learn the tool.
+//! The help text.
 
 use crate::fixtures::folder;
 use expect_test::expect;
 
 #[test]
-fn help_explains_the_tool() {
+fn help_describes_all_commands() {
     expect![[r#"
         medlarspur
           Authors, checks and signs bundles, and reads what instances do.
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn every_command_shows_the_help() {
+fn every_command_prints_the_same_help() {
     let folder = folder();
     let whole = folder.printed("--help");
 
--- a/cli/tests/test_instances.rs
+++ b/cli/tests/test_instances.rs
@@ -1,4 +1,4 @@
-//! Reading from instances.
+//! The commands that query instances.
 
 use crate::{
     fixtures::folder,
@@ -6,8 +6,8 @@
 };
 use expect_test::expect;
 
-/// Takes the ports out of what was printed; the system chooses them. A table
-/// keeps its columns, since all ports have five digits.
+/// Removes ports from the output, since the system chooses them. The columns of tables stay
+/// aligned, since all ports have five digits.
 fn without_ports(printed: &str) -> String {
     let mut text = String::new();
     for part in printed.split_inclusive("127.0.0.1:") {
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn status_of_one_instance_goes_into_detail() {
+fn status_of_one_instance_is_detailed() {
     let one = start_instance("entry-1", Some(7));
 
     let printed = folder().run(&format!("status {}", one.address()));
@@ -39,10 +39,10 @@
     "#]].assert_eq(&without_ports(&printed));
 }
 
-/// An update reached one instance before the other. Whoever rolled it out must
-/// see that the fleet does not agree yet.
+/// Guards against a rollout that seems complete while instances have different bundles in
+/// force, because an update reached some of them before the others.
 #[test]
-fn status_of_many_shows_that_they_disagree() {
+fn status_of_many_shows_that_bundles_differ() {
     let (one, two) = (start_instance("entry-1", Some(7)), start_instance("entry-2", Some(8)));
     let three = start_instance("entry-3", None);
     let addresses = format!("{} {} {}", one.address(), two.address(), three.address());
@@ -61,9 +61,9 @@
     "#]].assert_eq(&without_ports(&printed));
 }
 
-/// One instance of the fleet has died. The others must still be shown.
+/// Guards against a status that shows nothing because one instance is down.
 #[test]
-fn status_of_many_goes_on_past_a_dead_one() {
+fn status_of_many_includes_one_that_is_down() {
     let (one, two) = (start_instance("entry-1", Some(7)), start_instance("entry-2", Some(7)));
     let addresses = format!("{} {}", two.address(), one.address());
     two.stop();
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn explain_says_where_and_why() {
+fn explain_shows_the_target_and_the_reason() {
     let one = start_instance("entry-1", Some(7));
     let flow = "tcp:10.9.0.1:40000:10.70.0.1:7001";
 
@@ -150,9 +150,10 @@
     assert!(json.contains(r#""flows":1200,"packets":0,"#), "{json}");
 }
 
-/// Guards against revisions that look as if they had gone back, where the platform did.
+/// Guards against revisions that seem to have decreased, after the platform was restored from
+/// a copy.
 #[test]
-fn status_tells_the_era_of_a_platform_that_came_back_from_a_copy() {
+fn status_shows_the_era_of_a_platform_that_was_restored_from_a_copy() {
     let one = start_marked_in_era("edge-1", Some(9), 2);
 
     let printed = folder().run(&format!("status {}", one.address()));
@@ -162,7 +163,7 @@
 }
 
 #[test]
-fn status_where_marks_are_used_tells_how_old_the_picture_is() {
+fn status_where_marks_are_used_shows_the_age_of_the_catalog() {
     let one = start_marked("edge-1", Some(9));
 
     let printed = folder().run(&format!("status {}", one.address()));
@@ -183,7 +184,8 @@
     "#]].assert_eq(&without_ports(&printed));
 }
 
-/// Two instances have different configs in force: news has not reached one of them.
+/// Guards against a rollout that seems complete while instances have different configs in
+/// force, because an update has not reached all of them.
 #[test]
 fn status_shows_that_configs_differ() {
     let (one, two) = (start_marked("edge-1", Some(9)), start_marked("edge-2", Some(8)));
@@ -200,7 +202,7 @@
 }
 
 #[test]
-fn explain_takes_a_flow_as_lines_write_it() {
+fn explain_accepts_a_flow_in_the_format_of_log_lines() {
     let one = start_marked("edge-1", Some(9));
     let flow = "100.64.0.7:2525>198.18.0.1:8443";
 
--- a/cli/tests/test_key.rs
+++ b/cli/tests/test_key.rs
@@ -1,4 +1,4 @@
-//! Drawing keys.
+//! The command that generates keys.
 
 use crate::fixtures::folder;
 use expect_test::expect;
@@ -15,8 +15,8 @@
     assert_eq!((folder.mode("site.key"), folder.mode("site.key.pub")), (0o600, 0o644));
 }
 
-/// Somebody draws a key under the name of the one in use. If it were
-/// overwritten, nobody could sign for the site's instances any more.
+/// Guards against overwriting the key in use by a new one of the same name. Nobody could sign
+/// for the site's instances any more.
 #[test]
 fn a_key_is_never_overwritten() {
     let folder = folder();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn no_secret_is_written_beside_another_public_key() {
+fn no_secret_key_is_written_next_to_another_public_key() {
     let folder = folder();
     folder.write("site.key.pub", "the public key of another pair");
 
