--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,7 +1,7 @@
 //! Errors of commands, each with a hint and an exit code.
 
 use medlarspur_lib::{
-    bundle::{KeyError, Refusal},
+    bundle::{BundleError, KeyError},
     document::Report,
 };
 use snafu::Snafu;
@@ -70,7 +70,7 @@
         /// Path of the file.
         path: PathBuf,
         /// Why they would refuse it.
-        source: Refusal,
+        source: BundleError,
     },
     /// The command line names no instance.
     #[snafu(display("no instance is named"))]
--- a/cli/src/output.rs
+++ b/cli/src/output.rs
@@ -1,7 +1,7 @@
 //! Printing of lines, tables and JSON.
 
 use crate::error::{CommandError, JsonSnafu};
-use medlarspur_lib::status::{MarkedTarget, Picture};
+use medlarspur_lib::status::{CatalogStatus, MarkedTarget};
 use serde::Serialize;
 use snafu::ResultExt;
 use std::{
@@ -58,23 +58,23 @@
 }
 
 /// Formats the revision as in log lines: with its era, if the platform was restored from a copy.
-pub fn format_revision(picture: &Picture) -> String {
-    match picture.era {
-        0 => picture.revision.to_string(),
-        era => format!("{era}.{}", picture.revision),
+pub fn format_revision(catalog: &CatalogStatus) -> String {
+    match catalog.era {
+        0 => catalog.revision.to_string(),
+        era => format!("{era}.{}", catalog.revision),
     }
 }
 
 /// Prints what an instance knows of config and targets, and how current that is.
-pub fn print_catalog(picture: &Picture) {
-    let age = picture.age.map(|age| format_duration(age.0));
+pub fn print_catalog(catalog: &CatalogStatus) {
+    let age = catalog.age.map(|age| format_duration(age.0));
     let confirmed = age.map_or("never confirmed".to_owned(), |age| format!("confirmed {age} ago"));
-    print_line(&format!("config   version {}", or_dash(picture.version)));
-    print_line(&format!("picture  up to revision {}, {confirmed}", format_revision(picture)));
-    if picture.omitted > 0 {
-        print_line(&format!("routes   {} of the config can't be served", picture.omitted));
+    print_line(&format!("config   version {}", or_dash(catalog.version)));
+    print_line(&format!("picture  up to revision {}, {confirmed}", format_revision(catalog)));
+    if catalog.omitted > 0 {
+        print_line(&format!("routes   {} of the config can't be served", catalog.omitted));
     }
-    for evacuated in &picture.evacuated {
+    for evacuated in &catalog.evacuated {
         print_line(&format!(
             "domain   {} evacuated since revision {}",
             evacuated.domain, evacuated.revision
--- a/daemon/src/meters.rs
+++ b/daemon/src/meters.rs
@@ -5,7 +5,7 @@
 
 use crate::shared::{Shared, Stage};
 use medlarspur_fabric::Counts as SocketCounts;
-use medlarspur_lib::{bundle::Refusal, members::MemberState, view::View};
+use medlarspur_lib::{bundle::BundleError, members::MemberState, view::View};
 use medlarspur_operator::{Family, Gauge, Meters};
 use medlarspur_peer::{Counters as PeerCounters, MessageKind};
 use medlarspur_platform::Counts as PlatformCounts;
@@ -27,7 +27,7 @@
     ("send-unreachable", |counts| counts.unreachable),
     ("send-mtu", |counts| counts.mtu),
     ("send-failed", |counts| counts.failed),
-    ("receive-failed", |counts| counts.interrupted),
+    ("receive-failed", |counts| counts.transient_errors),
 ];
 
 const PLATFORM: [Series<PlatformCounts>; 7] = [
@@ -45,7 +45,7 @@
     ("unhealthy", |counts| counts.unhealthy),
     ("unreachable", |counts| counts.unreachable),
     ("refused", |counts| counts.refused),
-    ("mute", |counts| counts.mute),
+    ("mute", |counts| counts.no_report),
 ];
 
 const MESSAGES: [Series<PeerCounters>; 8] = [
@@ -74,7 +74,7 @@
 }
 
 fn register_bundles(meters: &Meters) {
-    for label in Refusal::REASONS.into_iter().chain([ACCEPTED, INCOMPLETE]) {
+    for label in BundleError::REASONS.into_iter().chain([ACCEPTED, INCOMPLETE]) {
         meters.counter(Family::Bundles, label);
     }
 }
--- a/daemon/src/shared.rs
+++ b/daemon/src/shared.rs
@@ -5,7 +5,7 @@
 
 use arc_swap::{ArcSwap, ArcSwapOption};
 use medlarspur_lib::{
-    bundle::Signed,
+    bundle::SignedBundle,
     collections::Map,
     forwarder::Counters,
     ids::{InstanceName, ServiceName},
@@ -102,7 +102,7 @@
     /// The forwarder's counters; written by the packet thread.
     pub counters: ArcSwap<Counters>,
     /// The bundle in force with its signature; written by the control thread.
-    pub signed_bundle: ArcSwapOption<Signed>,
+    pub signed_bundle: ArcSwapOption<SignedBundle>,
     /// Time at which that bundle was accepted, in milliseconds.
     pub accepted_at: AtomicU64,
     /// Whether a second bundle with different content was seen under its version.
--- a/lib/examples/bundle_cost.rs
+++ b/lib/examples/bundle_cost.rs
@@ -1,12 +1,12 @@
-//! Measures what a bundle costs an instance: its size, and the time to check
-//! it and to report faults in it. `docs/MEASURES.md` says how to read it.
+//! Measures what a bundle costs an instance: its size, and the time to check it
+//! and to report its faults. `docs/MEASURES.md` explains the output.
 //!
 //! ```text
 //! cargo run --release -p medlarspur-lib --example bundle_cost
 //! ```
 
 use medlarspur_lib::{
-    bundle::{Bundle, Keys, MAX_TEXT, SecretKey, Signed, sign},
+    bundle::{Bundle, MAX_BUNDLE_SIZE, SecretKey, SignedBundle, TrustedKeys, sign},
     ids::SiteName,
 };
 use std::{
@@ -14,29 +14,30 @@
     time::{Duration, Instant},
 };
 
-/// Services of the bundles; the last is the target size, with 5,600 targets.
+/// Numbers of services. The last one is the target size, with 5,600 targets.
 const SIZES: [usize; 5] = [200, 400, 850, 1700, 3400];
-/// Targets of the target size for each of its services.
+/// Targets per service at the target size.
 const TARGETS: f64 = 5600.0 / 3400.0;
 const REPEATS: usize = 9;
 
 fn main() {
     let key = SecretKey::generate();
-    let keys = Keys::new(vec![key.public()]);
+    let keys = TrustedKeys::new(vec![key.public()]);
     let site = SiteName::new("site");
     println!("services  targets     bytes  of limit  check ms  ns/byte  refuse ms  report ms");
     for services in SIZES {
         let targets = (services as f64 * TARGETS) as usize;
         let text = text(services, targets);
         let signed = sign(&text, &key);
-        let check = median(|| drop(Signed::check(signed.as_bytes(), &keys, &site).expect("sound")));
+        let check =
+            median(|| drop(SignedBundle::check(signed.as_bytes(), &keys, &site).expect("valid")));
         let faulty = text.replace("class: feed", "class: feeds");
-        let refuse = median(|| drop(Bundle::parse_quickly(&faulty).expect_err("faulty")));
+        let refuse = median(|| drop(Bundle::parse_without_lines(&faulty).expect_err("faulty")));
         let report = median(|| drop(Bundle::parse(&faulty).expect_err("faulty")));
         println!(
             "{services:8}  {targets:7}  {:8}  {:7.0}%  {:8.2}  {:7.1}  {:9.2}  {:9.1}",
             signed.len(),
-            signed.len() as f64 * 100.0 / MAX_TEXT as f64,
+            signed.len() as f64 * 100.0 / MAX_BUNDLE_SIZE as f64,
             millis(check),
             check.as_nanos() as f64 / signed.len() as f64,
             millis(refuse),
@@ -45,7 +46,7 @@
     }
 }
 
-/// A bundle in the short form with the defaults left out.
+/// Returns a bundle in the short form, without fields that have their default.
 fn text(services: usize, targets: usize) -> String {
     let mut text =
         "version: 1\nsite: site\nseed: ab0123456789ab0123456789abcdefff\nservices:\n".to_owned();
--- a/targets/src/schedule.rs
+++ b/targets/src/schedule.rs
@@ -1,96 +1,102 @@
-//! When each target is probed, without a clock or a thread.
+//! Schedule of probes, without a clock or threads.
 
-use crate::verdict::{Judge, Outcome, Verdict};
+use crate::verdict::{HealthTracker, Outcome, Verdict};
 use medlarspur_lib::{collections::Map, ids::TargetName, time::Millis};
 use std::net::SocketAddrV4;
 
-/// The time between two probes of one target, unless settings say otherwise:
-/// three bad answers then show within six seconds.
+/// Default time between two probes of a target. Three bad answers then take at most six seconds.
 pub const INTERVAL: Millis = Millis::secs(2);
 
-/// One probe to be made.
+/// A probe to make.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Job {
     /// The target.
     pub target: TargetName,
-    /// Where it is asked.
+    /// Address of the target's endpoints.
     pub address: SocketAddrV4,
 }
 
-/// What a worker does next.
+/// Next action of a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Next {
     /// Make this probe.
     Probe(Job),
-    /// Wait this long, then ask again.
+    /// Wait for this time, then look again.
     Wait(Millis),
 }
 
-/// The targets to probe, when each is due and what is believed of it.
+/// Targets to probe, with their due times and verdicts.
 #[derive(Debug)]
 pub struct Schedule {
     interval: Millis,
-    slots: Map<TargetName, Slot>,
+    entries: Map<TargetName, Entry>,
 }
 
 #[derive(Debug)]
-struct Slot {
+struct Entry {
     address: SocketAddrV4,
     due: Millis,
-    busy: bool,
-    judge: Judge,
+    in_flight: bool,
+    tracker: HealthTracker,
 }
 
 impl Schedule {
-    /// A schedule without targets; each will be probed once an interval.
+    /// Creates a schedule without targets. Each target is probed once per interval.
     pub fn new(interval: Millis) -> Self {
-        Self { interval, slots: Map::default() }
+        Self { interval, entries: Map::default() }
     }
 
-    /// Replaces the targets. Those that stay keep their place and verdict; new
-    /// ones are spread over the interval, so that a large bundle does not start
-    /// all its probes in one moment.
-    pub fn set(&mut self, targets: impl ExactSizeIterator<Item = Job>, now: Millis) {
+    /// Replaces the set of targets. Targets that remain keep their due time and verdict. The first
+    /// probes of new targets are spread over the interval, so that a large bundle doesn't start all
+    /// of them at once.
+    pub fn set_targets(&mut self, targets: impl ExactSizeIterator<Item = Job>, now: Millis) {
         let step = self.interval.0 / (targets.len() as u64).max(1);
-        let mut old = std::mem::take(&mut self.slots);
+        let mut old = std::mem::take(&mut self.entries);
         for (ix, job) in targets.enumerate() {
-            let kept = old.remove(&job.target).filter(|slot| slot.address == job.address);
+            let existing = old.remove(&job.target).filter(|entry| entry.address == job.address);
             let due = now + Millis(step * ix as u64);
-            let fresh = || Slot { address: job.address, due, busy: false, judge: Judge::default() };
-            self.slots.insert(job.target, kept.unwrap_or_else(fresh));
+            let new_entry = || Entry {
+                address: job.address,
+                due,
+                in_flight: false,
+                tracker: HealthTracker::default(),
+            };
+            self.entries.insert(job.target, existing.unwrap_or_else(new_entry));
         }
     }
 
-    /// Takes the target that is due for longest.
-    pub fn take(&mut self, now: Millis) -> Next {
-        let idle = self.slots.iter_mut().filter(|(_, slot)| !slot.busy);
-        match idle.min_by_key(|(_, slot)| slot.due) {
-            Some((target, slot)) if slot.due <= now => {
-                slot.busy = true;
-                slot.due = now + self.interval;
-                Next::Probe(Job { target: target.clone(), address: slot.address })
+    /// Takes the target that has been due longest.
+    pub fn take_next(&mut self, now: Millis) -> Next {
+        let idle = self.entries.iter_mut().filter(|(_, entry)| !entry.in_flight);
+        match idle.min_by_key(|(_, entry)| entry.due) {
+            Some((target, entry)) if entry.due <= now => {
+                entry.in_flight = true;
+                entry.due = now + self.interval;
+                Next::Probe(Job { target: target.clone(), address: entry.address })
             }
-            Some((_, slot)) => Next::Wait(slot.due - now),
+            Some((_, entry)) => Next::Wait(entry.due - now),
             None => Next::Wait(self.interval),
         }
     }
 
-    /// Takes in how a probe ended. An answer for a target that has gone or has
-    /// moved to another address meanwhile is about something else, and dropped.
-    pub fn finish(&mut self, job: &Job, outcome: Outcome) -> Option<Finish> {
-        let slot = self.slots.get_mut(&job.target).filter(|slot| slot.address == job.address)?;
-        slot.busy = false;
-        let before = slot.judge.verdict();
-        let verdict = slot.judge.observe(outcome);
-        Some(Finish { before, verdict })
+    /// Records the outcome of a probe and returns its effect. Returns `None` if the target was
+    /// removed or moved to another address during the probe, since the outcome is then about a
+    /// former address.
+    pub fn record_outcome(&mut self, job: &Job, outcome: Outcome) -> Option<VerdictChange> {
+        let entry =
+            self.entries.get_mut(&job.target).filter(|entry| entry.address == job.address)?;
+        entry.in_flight = false;
+        let before = entry.tracker.verdict();
+        let verdict = entry.tracker.record(outcome);
+        Some(VerdictChange { before, verdict })
     }
 }
 
-/// What an answer made of the verdict on its target.
+/// Effect of an outcome on the verdict of its target.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Finish {
-    /// The verdict before it.
+pub struct VerdictChange {
+    /// Verdict before the outcome.
     pub before: Option<Verdict>,
-    /// The verdict with it.
+    /// Verdict that includes the outcome.
     pub verdict: Option<Verdict>,
 }
--- a/targets/tests/test_http.rs
+++ b/targets/tests/test_http.rs
@@ -1,11 +1,11 @@
-use medlarspur_target::{Http, Outcome, Probe, Told};
+use medlarspur_target::{Http, LoadReport, Outcome, Probe};
 use std::{
     io::{BufRead, BufReader, Write},
     net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream},
     thread,
 };
 
-/// A target that answers `/health` and `/load` as given.
+/// Starts a target that answers `/health` and `/load` as given.
 fn target(health: &'static str, load: &'static str) -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
@@ -28,38 +28,38 @@
 }
 
 #[test]
-fn a_healthy_target_tells_its_load() {
+fn healthy_target_reports_its_load() {
     let address = target("200 OK", r#"{"slots":2,"connections":1999,"more":1}"#);
 
     let answer = Http::new().probe(address);
 
     assert_eq!(answer.outcome, Outcome::Healthy);
-    assert_eq!(answer.told, Some(Told { slots: 2, connections: 1999, draining: false }));
+    assert_eq!(answer.report, Some(LoadReport { slots: 2, connections: 1999, draining: false }));
 }
 
 #[test]
-fn a_draining_target_says_so() {
+fn draining_target_reports_draining() {
     let address = target("503 Draining", r#"{"slots":1,"connections":7,"draining":true}"#);
 
     let answer = Http::new().probe(address);
 
     assert_eq!(answer.outcome, Outcome::Unhealthy);
-    assert!(answer.told.is_some_and(|told| told.draining));
+    assert!(answer.report.is_some_and(|report| report.draining));
 }
 
-/// A target's load endpoint is broken or lies without sense. Its health still
-/// counts; a failed parse must not make a working target look dead.
+/// Guards against a broken or nonsensical load report making a working target look dead: the health
+/// answer still counts.
 #[test]
-fn a_senseless_load_report_is_passed_over() {
+fn invalid_load_report_is_ignored() {
     let address = target("200 OK", r#"{"slots":-1}"#);
 
     let answer = Http::new().probe(address);
 
-    assert_eq!((answer.outcome, answer.told), (Outcome::Healthy, None));
+    assert_eq!((answer.outcome, answer.report), (Outcome::Healthy, None));
 }
 
 #[test]
-fn a_closed_port_is_refused() {
+fn closed_port_is_refused() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
     drop(listener);
@@ -67,10 +67,10 @@
     assert_eq!(Http::new().probe(address).outcome, Outcome::Refused);
 }
 
-/// A target's process hangs while its kernel still takes connections. Without
-/// a time limit the probe would hold its thread for ever.
+/// Guards against a probe that blocks its thread forever because the target's process hangs while
+/// its kernel still accepts connections.
 #[test]
-fn a_target_that_never_answers_is_unreachable() {
+fn target_that_never_answers_is_unreachable() {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!() };
 
