--- a/peer/src/client.rs
+++ b/peer/src/client.rs
@@ -15,8 +15,8 @@
 };
 use tonic::transport::{Channel, ClientTlsConfig, Endpoint};
 
-/// Maximum number of messages that wait for one peer. It bounds the memory that a peer
-/// takes which hangs.
+/// Maximum number of messages that wait for one peer. It keeps a peer that hangs from taking
+/// up the memory of all others.
 const MAX_QUEUED: usize = 64;
 /// Size in bytes from which no more messages are added to a batch.
 const BATCH_BYTES: usize = MAX_BATCH_BYTES / 4;
@@ -54,6 +54,7 @@
     }
 }
 
+/// Opens the queue of a peer and starts the task that sends its messages.
 fn open_queue(context: &Arc<ClientContext>, to: SocketAddrV4) -> Sender<Message> {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED);
     tokio::spawn(send_queued(context.clone(), to, receiver));
@@ -94,7 +95,7 @@
     let mut next = Some(first);
     while let Some(message) = next {
         let envelope = encode(&message);
-        context.counters.sent(&envelope);
+        context.counters.count_sent(&envelope);
         bytes += envelope.encoded_len();
         batch.messages.push(envelope);
         next = if bytes < BATCH_BYTES { queue.try_recv().ok() } else { None };
--- a/peer/src/counters.rs
+++ b/peer/src/counters.rs
@@ -119,11 +119,11 @@
 }
 
 impl LiveCounters {
-    pub(crate) fn sent(&self, envelope: &Envelope) {
+    pub(crate) fn count_sent(&self, envelope: &Envelope) {
         add_traffic(&self.sent, envelope);
     }
 
-    pub(crate) fn received(&self, envelope: &Envelope) {
+    pub(crate) fn count_received(&self, envelope: &Envelope) {
         add_traffic(&self.received, envelope);
     }
 
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -32,13 +32,13 @@
 }
 
 impl Server {
-    /// Accepts a batch as a whole or refuses it as a whole.
+    /// Accepts a batch, or refuses all of it if a message is invalid.
     fn accept(&self, batch: Batch) -> Result<(), BatchError> {
         ensure!(batch.site == self.site.as_str(), SiteSnafu);
         let bytes = batch.encoded_len();
         ensure!(bytes <= MAX_BATCH_BYTES, OversizeSnafu { bytes });
         for envelope in &batch.messages {
-            self.counters.received(envelope);
+            self.counters.count_received(envelope);
         }
         let messages = batch.messages.into_iter().map(decode).collect::<Result<Vec<_>, _>>();
         for message in messages.context(MalformedSnafu)? {
