--- a/daemon/tests/marked.rs
+++ b/daemon/tests/marked.rs
@@ -18,11 +18,11 @@
 /// Starts a site with these numbers of targets and of instances in rotation, without callers.
 pub fn site(targets: usize, instances: usize) -> Site {
     let program = Path::new(env!("CARGO_BIN_EXE_medlarspurd"));
-    let mut site = Site::start(program, targets, Hashing::Steady, 5).expect("a site");
+    let mut site = Site::start(program, targets, Hashing::Rendezvous, 5).expect("a site");
     // The time until an update is in force is checked elsewhere. Here a busy machine may
     // exceed the bounds.
-    site.terms.bound = Millis(u64::MAX);
-    site.terms.evacuated = Millis(u64::MAX);
+    site.conditions.leaving_bound = Millis(u64::MAX);
+    site.conditions.evacuation_bound = Millis(u64::MAX);
     for _ in 0..instances {
         site.add_instance().expect("an instance");
     }
@@ -68,7 +68,7 @@
 pub fn count_unanswered(tally: &Tally) -> usize {
     let others = tally.finished.iter().filter(|it| it.outcome != Outcome::Answered);
     for it in others {
-        eprintln!("{} ms: {:?} of {:?} after {} ms", it.at, it.outcome, it.class, it.span);
+        eprintln!("{} ms: {:?} of {:?} after {} ms", it.at, it.outcome, it.class, it.duration);
     }
     tally.finished.iter().filter(|it| it.outcome != Outcome::Answered).count()
 }
--- a/daemon/tests/test_marked_evacuation.rs
+++ b/daemon/tests/test_marked_evacuation.rs
@@ -8,11 +8,11 @@
 
 /// Returns the number of openings that the targets of a domain have answered.
 fn opened(site: &Site, domain: &str) -> u64 {
-    let hosts = (0..site.hosts()).filter(|it| {
+    let hosts = (0..site.host_count()).filter(|it| {
         let target = site.target(*it);
         target.is_some_and(|target| target.domain == domain)
     });
-    hosts.map(|host| site.opened(host)).sum()
+    hosts.map(|host| site.opened_flows(host)).sum()
 }
 
 /// Guards against new flows in an evacuated domain, against cutting the feeds that are open
@@ -33,7 +33,7 @@
     wait_for_answers(&site, 80);
     assert_eq!(opened(&site, domain), before);
 
-    site.restore(domain);
+    site.end_evacuation(domain);
     wait_until("all instances log its end", || is_logged("domain restored")(&site));
     wait_until("the domain is used again", || opened(&site, domain) > before);
 
--- a/daemon/tests/test_marked_explained.rs
+++ b/daemon/tests/test_marked_explained.rs
@@ -50,7 +50,7 @@
     let dead = site.target(0).expect("a target").incarnation;
     let dead = format!("target=i-{dead:08x}");
 
-    site.end_target(0, false);
+    site.stop_target(0, false);
     let reset = ["flow reset", "reason=target-lost", &dead];
     wait_until("the target's flows are reset", || !lines_with(&site, &reset).is_empty());
 
--- a/daemon/tests/test_marked_instances.rs
+++ b/daemon/tests/test_marked_instances.rs
@@ -27,11 +27,11 @@
 
     site.instances[0].signal(Signal::SIGTERM).expect("the instance runs");
     wait_until("the instance has stopped", || !lines_with(&site, &["::instance stop"]).is_empty());
-    assert_eq!(site.routers.count(), 2, "the instance left rotation before it stopped");
+    assert_eq!(site.routers.rotation_size(), 2, "the instance left rotation before it stopped");
     wait_for_answers(&site, 100);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
-    let ended = site.instances[0].ended().expect("the instance has ended");
+    let ended = site.instances[0].exit_status().expect("the instance has ended");
     assert!(ended.success(), "{ended}");
 }
 
@@ -44,7 +44,7 @@
     wait_for_answers(&site, 60);
 
     site.instances[1].signal(Signal::SIGKILL).expect("the instance runs");
-    wait_until("the instance has left rotation", || site.routers.count() == 2);
+    wait_until("the instance has left rotation", || site.routers.rotation_size() == 2);
     wait_for_answers(&site, 100);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
@@ -58,8 +58,8 @@
     site.add_callers(Class::Feed, 20);
     wait_for_answers(&site, 60);
 
-    site.drop_instance(1);
-    site.drop_instance(0);
+    site.kill_instance(1);
+    site.kill_instance(0);
     site.add_instance().expect("an instance");
     site.add_instance().expect("an instance");
     assert!(site.wait_for_rotation(2, TIMEOUT));
@@ -77,10 +77,10 @@
     wait_for_answers(&site, 60);
 
     site.instances[0].signal(Signal::SIGSTOP).expect("the instance runs");
-    wait_until("the instance has left rotation", || site.routers.count() == 2);
-    site.release(0).expect("a new host");
+    wait_until("the instance has left rotation", || site.routers.rotation_size() == 2);
+    site.replace_target(0).expect("a new host");
     site.instances[0].signal(Signal::SIGCONT).expect("the instance exists");
-    wait_until("the instance is back in rotation", || site.routers.count() == 3);
+    wait_until("the instance is back in rotation", || site.routers.rotation_size() == 3);
     wait_for_answers(&site, 100);
 
     stop_callers(&site);
@@ -91,8 +91,8 @@
 #[test]
 fn an_instance_whose_output_is_not_read_keeps_serving() {
     let mut site = site(8, 0);
-    let mut setup = site.setup();
-    setup.unread = true;
+    let mut setup = site.next_setup();
+    setup.stops_reading = true;
     site.launch(setup).expect("an instance");
     assert!(site.wait_for_rotation(1, TIMEOUT));
     site.add_callers(Class::Request, 30);
--- a/daemon/tests/test_marked_soak.rs
+++ b/daemon/tests/test_marked_soak.rs
@@ -1,10 +1,10 @@
 //! Short soaks: a sample, and seeds that once failed.
 
 use medlarspur_lib::time::Millis;
-use medlarspur_standin::soak::{Size, play};
+use medlarspur_standin::soak::{SoakOptions, run_seed};
 
 fn soak(seed: u64) {
-    let size = Size {
+    let options = SoakOptions {
         program: env!("CARGO_BIN_EXE_medlarspurd").into(),
         instances: 5,
         targets: 10,
@@ -12,7 +12,7 @@
         length: Millis::secs(20),
     };
 
-    let report = play(seed, &size).expect("a site");
+    let report = run_seed(seed, &options).expect("a site");
 
     assert!(report.is_sound(), "{report}");
 }
--- a/daemon/tests/test_marked_store.rs
+++ b/daemon/tests/test_marked_store.rs
@@ -7,8 +7,8 @@
 use medlarspur_lib::bundle::Class;
 use medlarspur_standin::{
     caller::Outcome,
-    site::{DESK, DOMAINS, INGEST, Site, service},
-    store::{Fault, Store},
+    site::{DESK, DOMAINS, INGEST, Site, service_address},
+    store::{Store, StoreFault},
 };
 use nix::sys::signal::Signal;
 
@@ -19,10 +19,10 @@
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 30);
 
-    site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
+    site.store.set_fault(StoreFault { status: Some(503), ..StoreFault::default() });
     wait_until("the store is reported lost", || !lines_with(&site, &["store: lost"]).is_empty());
     wait_for_answers(&site, 150);
-    site.store.set_fault(Fault::default());
+    site.store.set_fault(StoreFault::default());
     site.publish();
     let revision = format!("revision={}", site.store.revision());
     wait_until("the next config is in force", || {
@@ -38,9 +38,9 @@
     for kind in ["download", "a type to come"] {
         let mut site = site(8, 2);
         let routes = [
-            (service(Class::Feed), kind, DESK.to_owned()),
-            (service(Class::Request), "non_idempotent", DESK.to_owned()),
-            (service(Class::Upload), kind, INGEST.to_owned()),
+            (service_address(Class::Feed), kind, DESK.to_owned()),
+            (service_address(Class::Request), "non_idempotent", DESK.to_owned()),
+            (service_address(Class::Upload), kind, INGEST.to_owned()),
         ];
         site.store.put_config(1_000, &routes);
         wait_until("the config is in force", || {
@@ -62,7 +62,7 @@
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_others() {
     let mut site = site(8, 2);
-    site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
+    site.store.set_fault(StoreFault { status: Some(503), ..StoreFault::default() });
 
     site.add_instance().expect("an instance");
 
@@ -75,11 +75,11 @@
     let mut site = site(8, 2);
     add_mixed_callers(&mut site);
 
-    site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
+    site.store.set_fault(StoreFault { status: Some(503), ..StoreFault::default() });
     site.publish();
     site.add_target(medlarspur_standin::site::DESK).expect("a host");
     site.store.compact();
-    site.store.set_fault(Fault::default());
+    site.store.set_fault(StoreFault::default());
     let revision = format!("known={}", site.store.revision());
     wait_until("the last revision is known", || lines_with(&site, &[&revision]).len() >= 2);
 
@@ -96,7 +96,7 @@
 
 /// Takes the store back to a copy that lacks two configs, which were in force everywhere.
 fn lose_two_configs(site: &mut Site) {
-    site.store.copy();
+    site.store.take_copy();
     site.publish();
     site.publish();
     let revision = format!("revision={}", site.store.revision());
@@ -140,7 +140,7 @@
     wait_for_answers(&site, 30);
 
     for leaving in [0, 1] {
-        site.store.copy();
+        site.store.take_copy();
         site.add_target(DESK).expect("a host");
         site.evacuate(DOMAINS[1]);
         site.drain(leaving);
@@ -150,11 +150,11 @@
             lines_with(&site, &["config in force", &known]).len() == site.instances.len()
         });
         site.store.restore();
-        site.drop_instance(0);
+        site.kill_instance(0);
         site.add_instance().expect("an instance");
         wait_for_answers(&site, 30);
-        site.write_again();
-        site.restore(DOMAINS[1]);
+        site.rewrite_entries();
+        site.end_evacuation(DOMAINS[1]);
         let known = format!("to={}.", leaving + 1);
         wait_until("the restored store is logged", || {
             lines_with(&site, &["platform restored", &known]).len() >= 3
@@ -178,7 +178,7 @@
     site.instances[0].signal(Signal::SIGHUP).expect("the instance runs");
 
     wait_until("the moved store is called", || moved.calls() > 0);
-    assert!(site.instances[0].ended().is_none());
+    assert!(site.instances[0].exit_status().is_none());
 }
 
 /// Guards against a moved store that is found only by a signal. The settings are read again when
@@ -191,7 +191,7 @@
     setup.store = moved.address();
 
     site.instances[0].rewrite(setup).expect("a file");
-    site.store.set_fault(Fault { status: Some(503), ..Fault::default() });
+    site.store.set_fault(StoreFault { status: Some(503), ..StoreFault::default() });
 
     wait_until("the moved store is called", || moved.calls() > 0);
 }
@@ -221,7 +221,7 @@
         !lines_with(&site, &["platform restored", "to=3."]).is_empty()
     });
     let moved = Store::start().expect("a store");
-    let routes = [(service(Class::Feed), "idempotent", DESK.to_owned())];
+    let routes = [(service_address(Class::Feed), "idempotent", DESK.to_owned())];
     moved.put_config(1_000, &routes);
     let mut setup = site.instances[0].setup.clone();
     setup.store = moved.address();
--- a/daemon/tests/test_marked_targets.rs
+++ b/daemon/tests/test_marked_targets.rs
@@ -7,7 +7,7 @@
 use medlarspur_lib::bundle::Class;
 use medlarspur_standin::{
     site::{DESK, INGEST},
-    target::Room,
+    target::Capacity,
 };
 
 /// Guards against flows that are cut while a target is drained and replaced.
@@ -17,7 +17,7 @@
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
-    site.release(0).expect("a new host");
+    site.replace_target(0).expect("a new host");
     wait_for_answers(&site, 100);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
@@ -36,10 +36,10 @@
         lines_with(&site, &[&entry, "state=leaving"]).len() == 2
     });
     wait_for_answers(&site, 5);
-    let opened = site.opened(0);
+    let opened = site.opened_flows(0);
     wait_for_answers(&site, 80);
 
-    assert_eq!(site.opened(0), opened);
+    assert_eq!(site.opened_flows(0), opened);
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
 }
 
@@ -51,7 +51,7 @@
     wait_for_answers(&site, 60);
     let dead = site.target(0).expect("a target").incarnation;
 
-    site.end_target(0, false);
+    site.stop_target(0, false);
     let lost = format!("target lost target=i-{dead:08x}");
     wait_until("the target is reported lost", || !lines_with(&site, &[&lost]).is_empty());
     wait_for_answers(&site, 150);
@@ -67,10 +67,10 @@
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
 
-    site.end_target(0, false);
-    site.begin_target(0, INGEST);
-    site.end_target(3, true);
-    site.begin_target(3, DESK);
+    site.stop_target(0, false);
+    site.start_target(0, INGEST);
+    site.stop_target(3, true);
+    site.start_target(3, DESK);
     wait_for_answers(&site, 150);
 
     stop_callers(&site);
@@ -90,7 +90,7 @@
     site.add_callers(Class::Request, 8);
     wait_for_answers(&site, 150);
 
-    assert!(site.opened(0) > 0, "the target accepts flows again");
+    assert!(site.opened_flows(0) > 0, "the target accepts flows again");
     assert_eq!(
         count_unanswered(&stop_callers(&site)),
         0,
@@ -127,9 +127,9 @@
     site.add_callers(Class::Request, 12);
     wait_for_answers(&site, 80);
 
-    site.set_room(0, Room::Held);
+    site.set_capacity(0, Capacity::CurrentFlows);
     wait_for_answers(&site, 400);
-    site.set_room(0, Room::Unbounded);
+    site.set_capacity(0, Capacity::Unlimited);
     wait_for_answers(&site, 100);
 
     assert_eq!(count_unanswered(&stop_callers(&site)), 0);
