--- a/daemon/tests/test_operators.rs
+++ b/daemon/tests/test_operators.rs
@@ -6,7 +6,7 @@
 };
 use medlarspur_testutils::{
     caller::{Callers, Settings, Stream},
-    site::{Site, offers},
+    site::{Site, site_services},
     spread::Mode,
     web,
 };
@@ -24,7 +24,7 @@
 fn site(instances: usize) -> Site {
     web::silence_logs();
     let program = Path::new(env!("CARGO_BIN_EXE_medlarspurd"));
-    let mut site = Site::start(program, Mode::Hash, &offers(2, 1)).expect("the site starts");
+    let mut site = Site::start(program, Mode::Hash, &site_services(2, 1)).expect("the site starts");
     for _ in 0..instances {
         site.join().expect("an instance joins");
     }
--- a/tests/tests/test_processes.rs
+++ b/tests/tests/test_processes.rs
@@ -9,7 +9,7 @@
     platform::Fault,
     profile::Seen,
     report::Row,
-    site::{Site, offers},
+    site::{Site, site_services},
     spread::Mode,
     web,
 };
@@ -57,7 +57,8 @@
 /// Starts the instances and the callers, and waits until all feeds are begun.
 fn trial(instances: usize) -> Trial {
     web::silence_logs();
-    let mut site = Site::start(&program(), Mode::Spray, &offers(4, 3)).expect("the site starts");
+    let mut site =
+        Site::start(&program(), Mode::Spray, &site_services(4, 3)).expect("the site starts");
     for _ in 0..instances {
         site.join().expect("an instance joins");
     }
--- a/testutils/src/bin/site.rs
+++ b/testutils/src/bin/site.rs
@@ -5,7 +5,7 @@
 use medlarspur_testutils::{
     caller::{Callers, Settings, Stream},
     report::Report,
-    site::{Site, SiteError, offers},
+    site::{Site, SiteError, site_services},
     spread::Mode,
     web,
 };
@@ -110,8 +110,8 @@
     for signal in [SIGINT, SIGTERM] {
         signal_hook::flag::register(signal, Arc::clone(&interrupted)).context(StartSnafu)?;
     }
-    let offers = offers(flags.targets, flags.targets.div_ceil(3));
-    let mut site = Site::start(&program(), flags.mode, &offers).context(SiteSnafu)?;
+    let services = site_services(flags.targets, flags.targets.div_ceil(3));
+    let mut site = Site::start(&program(), flags.mode, &services).context(SiteSnafu)?;
     for _ in 0..flags.instances {
         ensure!(!interrupted.load(Ordering::Relaxed), InterruptedSnafu);
         site.join().context(SiteSnafu)?;
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -4,7 +4,7 @@
 use crate::{
     fabric::lock,
     list::Listed,
-    web::{self, Served},
+    web::{self, HttpServers},
 };
 use rocket::{
     State, get,
@@ -64,7 +64,7 @@
     /// Where it is reached.
     pub addr: SocketAddrV4,
     shared: Arc<Shared>,
-    _served: Served,
+    _served: HttpServers,
 }
 
 /// Why the list could not be read.
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -30,7 +30,7 @@
 
 /// A service that the site offers and how many targets serve it.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct SiteService {
     /// Its name.
     pub name: String,
     /// Its address.
@@ -42,16 +42,16 @@
 }
 
 /// The two services of the small site: alerts and uploads.
-pub fn offers(alertdesk: usize, ingest: usize) -> Vec<Offer> {
-    let offer = |name: &str, last, ports: &[_], targets| Offer {
+pub fn site_services(alertdesk: usize, ingest: usize) -> Vec<SiteService> {
+    let service = |name: &str, last, ports: &[_], targets| SiteService {
         name: name.into(),
         address: Ipv4Addr::new(10, 70, 0, last),
         ports: ports.to_vec(),
         targets,
     };
     vec![
-        offer("alertdesk", 1, &[(7001, Class::Feed), (7002, Class::Request)], alertdesk),
-        offer("ingest", 2, &[(7003, Class::Upload)], ingest),
+        service("alertdesk", 1, &[(7001, Class::Feed), (7002, Class::Request)], alertdesk),
+        service("ingest", 2, &[(7003, Class::Upload)], ingest),
     ]
 }
 
@@ -110,16 +110,16 @@
 
 impl Site {
     /// Brings a site up without any instance.
-    pub fn start(program: &Path, mode: Mode, offers: &[Offer]) -> Result<Self, SiteError> {
+    pub fn start(program: &Path, mode: Mode, services: &[SiteService]) -> Result<Self, SiteError> {
         let folder = TempDir::new().context(FolderSnafu)?;
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         let platform = Platform::start(any).context(PlatformSnafu)?;
         let mut settings = fabric::Settings::new(mode);
         settings.platform = Some(platform.addr);
         let fabric = Fabric::start(&settings).context(FabricSnafu)?;
-        let profiles = offers.iter().flat_map(profiles).collect();
+        let profiles = services.iter().flat_map(profiles).collect();
         let targets = Targets::start(profiles, fabric.returns).context(TargetSnafu)?;
-        let layout = layout(offers, &targets);
+        let layout = layout(services, &targets);
         let key = SecretKey::generate();
         platform.publish(&layout.signed(&key));
         let common = Common {
@@ -215,21 +215,26 @@
     }
 }
 
-fn profiles(offer: &Offer) -> impl Iterator<Item = Profile> + '_ {
-    (1..=offer.targets).map(|number| {
-        Profile::new(&format!("{}-{number}", offer.name), &offer.name, offer.address, &offer.ports)
+fn profiles(service: &SiteService) -> impl Iterator<Item = Profile> + '_ {
+    (1..=service.targets).map(|number| {
+        Profile::new(
+            &format!("{}-{number}", service.name),
+            &service.name,
+            service.address,
+            &service.ports,
+        )
     })
 }
 
-fn layout(offers: &[Offer], targets: &Targets) -> Layout {
+fn layout(services: &[SiteService], targets: &Targets) -> Layout {
     let mut running = targets.list.iter();
-    let services = offers.iter().map(|offer| ServiceLayout {
-        name: offer.name.clone(),
-        address: offer.address,
-        ports: offer.ports.clone(),
+    let services = services.iter().map(|service| ServiceLayout {
+        name: service.name.clone(),
+        address: service.address,
+        ports: service.ports.clone(),
         keepalive: KEEPALIVE,
         refusal: None,
-        targets: running.by_ref().take(offer.targets).enumerate().map(target).collect(),
+        targets: running.by_ref().take(service.targets).enumerate().map(target).collect(),
     });
     Layout { site: NAME.into(), version: 1, services: services.collect() }
 }
--- a/testutils/src/target.rs
+++ b/testutils/src/target.rs
@@ -6,7 +6,7 @@
     profile::{Profile, Seen},
     server::Server,
     udp::Inbox,
-    web::{self, Served},
+    web::{self, HttpServers},
 };
 use medlarspur_lib::time::Millis;
 use rocket::{State, get, http::Status, put, routes, serde::json::Json};
@@ -72,7 +72,7 @@
 pub struct Targets {
     /// Each target, in the order of the profiles.
     pub list: Vec<Running>,
-    _served: Served,
+    _served: HttpServers,
 }
 
 /// One target that runs.
--- a/testutils/src/web.rs
+++ b/testutils/src/web.rs
@@ -27,13 +27,13 @@
 }
 
 /// Servers that run until this is dropped.
-pub struct Served {
+pub struct HttpServers {
     /// Where each listens, in the order given.
     pub addrs: Vec<SocketAddrV4>,
     runtime: Option<Runtime>,
 }
 
-impl Drop for Served {
+impl Drop for HttpServers {
     fn drop(&mut self) {
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
@@ -69,7 +69,7 @@
 pub fn serve<S: Send + Sync + 'static>(
     addr: SocketAddrV4,
     sites: Vec<(S, Vec<Route>)>,
-) -> Result<Served, WebError> {
+) -> Result<HttpServers, WebError> {
     let runtime =
         Builder::new_multi_thread().worker_threads(2).enable_all().build().context(ThreadsSnafu)?;
     let mut addrs = Vec::new();
@@ -90,7 +90,7 @@
         addrs.push(SocketAddrV4::new(*addr.ip(), bound));
         port = 0;
     }
-    Ok(Served { addrs, runtime: Some(runtime) })
+    Ok(HttpServers { addrs, runtime: Some(runtime) })
 }
 
 fn config(ip: std::net::Ipv4Addr, port: u16) -> rocket::figment::Figment {
