--- a/tests/examples/moves.rs
+++ b/tests/examples/moves.rs
@@ -9,7 +9,7 @@
 
 use baseline::Baseline;
 use medlarspur_lib::time::Millis;
-use medlarspur_testutils::traffic::Spread;
+use medlarspur_testutils::traffic::Distribution;
 use run::Run;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -83,13 +83,13 @@
 /// The first domain's instances hear no others; the fabric reaches all.
 fn cut(run: &mut Run, event: fn(&mut Run)) {
     let domains = run.domains as usize;
-    run.fleet.separate(|ix| u8::from(ix % domains == 0));
+    run.fleet.partition(|ix| u8::from(ix % domains == 0));
     run.advance(Millis::secs(5));
     event(run);
     run.open(LATER);
     run.keep_alive();
     run.advance(Millis::secs(22));
-    run.fleet.separate(|_| 0);
+    run.fleet.partition(|_| 0);
 }
 
 fn main() {
@@ -99,32 +99,38 @@
     for (instances, domains) in SITES {
         println!("\n{instances} instances in {domains} failure domains:\n\n{HEADER}");
         for (name, event) in EVENTS {
-            for spread in [Spread::Packets, Spread::Flows] {
-                let run = Run::new(instances, domains, spread, seed);
-                measure(run, flows, name, spread, event);
+            for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
+                let run = Run::new(instances, domains, distribution, seed);
+                measure(run, flows, name, distribution, event);
             }
         }
     }
 }
 
 /// Prints one row.
-fn measure(mut run: Run, flows: usize, name: &str, spread: Spread, event: fn(&mut Run)) {
+fn measure(
+    mut run: Run,
+    flows: usize,
+    name: &str,
+    distribution: Distribution,
+    event: fn(&mut Run),
+) {
     run.open(flows);
     run.keep_alive();
     let start = run.mark();
     run.keep_alive();
-    let [before, _] = run.control(start);
+    let [before, _] = run.control_rates(start);
     let start = run.mark();
     event(&mut run);
     run.open(LATER);
     run.keep_alive();
     run.keep_alive();
-    let [mean, peak] = run.control(start);
+    let [mean, peak] = run.control_rates(start);
     let (broken, ratio) = run.outcome();
     let others = [Baseline::Modulo, Baseline::Consistent, Baseline::History];
     let others = others.map(|baseline| run.baseline(baseline));
     let others = others.map(|(broken, ratio)| format!("{broken} ({ratio:.2})")).join(" | ");
-    let fabric = if spread == Spread::Packets { "spray" } else { "hash" };
+    let fabric = if distribution == Distribution::PerPacket { "spray" } else { "hash" };
     let (count, silent) = (run.traffic.flows.len(), run.silent());
     let last = run.left.map_or("–".into(), |at| run.last_new(LEAVER.1, at).0.to_string());
     println!(
--- a/tests/examples/moves/baseline.rs
+++ b/tests/examples/moves/baseline.rs
@@ -11,7 +11,7 @@
     table,
     time::Millis,
 };
-use medlarspur_testutils::traffic::{Flow, Part, Step};
+use medlarspur_testutils::traffic::{Flow, SegmentKind, Step};
 use std::{net::SocketAddrV4, sync::Arc};
 
 /// A simpler way to choose a target.
@@ -68,19 +68,19 @@
         let mut seen = Map::default();
         let mut opened = None;
         for step in &flow.trace {
-            let Step::Sent(at, part, instance) = step else { continue };
+            let Step::Sent(at, kind, instance) = step else { continue };
             if self.gone.iter().any(|(gone, since)| gone == instance && since <= at) {
                 continue;
             }
-            let known = seen.get(instance).copied().filter(|_| *part != Part::Open);
+            let known = seen.get(instance).copied().filter(|_| *kind != SegmentKind::Open);
             let target = match baseline {
                 Baseline::Modulo => self.modulo(*at, &flow.key),
                 Baseline::Consistent => self.owner(*at, &flow.key),
-                Baseline::History if *part == Part::Open => self.owner(*at, &flow.key),
+                Baseline::History if *kind == SegmentKind::Open => self.owner(*at, &flow.key),
                 Baseline::History => known.or_else(|| self.earlier(*at, &flow.key)),
             };
             seen.extend(target.map(|target| (*instance, target)));
-            if *part == Part::Open {
+            if *kind == SegmentKind::Open {
                 opened = target;
             }
             fate.broken |= target != opened;
--- a/tests/examples/moves/run.rs
+++ b/tests/examples/moves/run.rs
@@ -3,9 +3,9 @@
 use crate::baseline::{Baseline, Past, active};
 use medlarspur_lib::{bundle::Bundle, collections::Map, time::Millis};
 use medlarspur_testutils::{
-    bundles::{FEEDS, Site, UPLOADS},
+    bundles::{FEEDS, SiteBuilder, UPLOADS},
     fleet::{Fleet, Network, State},
-    traffic::{Flow, Part, Spread, Step, Traffic},
+    traffic::{Distribution, Flow, SegmentKind, Step, Traffic},
 };
 use std::{net::SocketAddrV4, sync::Arc};
 
@@ -30,7 +30,7 @@
     pub domains: u64,
     /// When a target was told to leave, if it still is.
     pub left: Option<Millis>,
-    site: Site,
+    site: SiteBuilder,
     past: Past,
     listed: Vec<usize>,
     mark: (Millis, u64),
@@ -39,12 +39,12 @@
 
 impl Run {
     /// A fleet that has run for a while.
-    pub fn new(instances: usize, domains: u64, spread: Spread, seed: u64) -> Run {
-        let site = Site::new(14, 4);
+    pub fn new(instances: usize, domains: u64, distribution: Distribution, seed: u64) -> Run {
+        let site = SiteBuilder::new(14, 4);
         let fleet =
             Fleet::new(instances, domains, &site.bundle(), Network { seed, ..Network::default() });
         let listed: Vec<_> = (0..instances).collect();
-        let traffic = Traffic::new(spread, listed.clone());
+        let traffic = Traffic::new(distribution, listed.clone());
         let mut past = Past::default();
         past.publish(Millis(0), site.bundle());
         Run {
@@ -66,8 +66,8 @@
         while self.fleet.now < end {
             self.fleet.advance(end.since(self.fleet.now).min(STEP));
             if self.fleet.now.since(self.mark.0) >= Millis::secs(1) {
-                self.peak = self.peak.max(self.fleet.control - self.mark.1);
-                self.mark = (self.fleet.now, self.fleet.control);
+                self.peak = self.peak.max(self.fleet.control_bytes - self.mark.1);
+                self.mark = (self.fleet.now, self.fleet.control_bytes);
             }
         }
     }
@@ -80,9 +80,9 @@
                 .map(|service| self.traffic.open(&mut self.fleet, service))
                 .collect();
             self.advance(BETWEEN);
-            self.traffic.collect(&mut self.fleet);
+            self.traffic.record_arrivals(&mut self.fleet);
             for flow in flows {
-                self.traffic.send(&mut self.fleet, flow, Part::Middle);
+                self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
             }
         }
         self.settle();
@@ -92,7 +92,7 @@
     pub fn keep_alive(&mut self) {
         let (start, count) = (self.fleet.now, self.traffic.flows.len());
         for flow in 0..count {
-            self.traffic.send(&mut self.fleet, flow, Part::Middle);
+            self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
             let due = Millis(KEEPALIVE.0 * (flow as u64 + 1) / count as u64);
             let pause = Millis(due.0.saturating_sub(self.fleet.now.since(start).0));
             self.advance(pause);
@@ -102,11 +102,11 @@
 
     fn settle(&mut self) {
         self.advance(Millis(100));
-        self.traffic.collect(&mut self.fleet);
+        self.traffic.record_arrivals(&mut self.fleet);
     }
 
     /// Publishes the site as `change` makes it.
-    pub fn publish(&mut self, change: impl FnOnce(Site) -> Site) {
+    pub fn publish(&mut self, change: impl FnOnce(SiteBuilder) -> SiteBuilder) {
         self.site = change(self.site.clone());
         let bundle = self.site.bundle();
         self.fleet.publish(&bundle);
@@ -135,7 +135,7 @@
     pub fn unlist(&mut self, ix: usize) {
         self.open((LIST_LAG.0 / BETWEEN.0) as usize * TOGETHER);
         self.listed.retain(|&other| other != ix);
-        self.traffic.list(self.listed.clone());
+        self.traffic.set_instances(self.listed.clone());
     }
 
     /// An instance leaves by plan.
@@ -149,21 +149,21 @@
     /// An instance joins and gets packets at once.
     pub fn join(&mut self) {
         self.listed.push(self.fleet.join());
-        self.traffic.list(self.listed.clone());
+        self.traffic.set_instances(self.listed.clone());
     }
 
     /// Starts the measure of the control bytes.
     pub fn mark(&mut self) -> (Millis, u64) {
         self.peak = 0;
-        self.mark = (self.fleet.now, self.fleet.control);
+        self.mark = (self.fleet.now, self.fleet.control_bytes);
         self.mark
     }
 
     /// Bytes a second an instance since `start`: the mean and the worst second.
-    pub fn control(&self, start: (Millis, u64)) -> [u64; 2] {
+    pub fn control_rates(&self, start: (Millis, u64)) -> [u64; 2] {
         let up = self.fleet.nodes.iter().filter(|node| node.state != State::Gone).count() as u64;
         let millis = self.fleet.now.since(start.0).0.max(1);
-        [(self.fleet.control - start.1) * 1000 / millis / up, self.peak / up]
+        [(self.fleet.control_bytes - start.1) * 1000 / millis / up, self.peak / up]
     }
 
     /// Flows whose last packet came to no target.
--- a/tests/tests/test_changes.rs
+++ b/tests/tests/test_changes.rs
@@ -2,9 +2,9 @@
 
 use medlarspur_lib::time::Millis;
 use medlarspur_testutils::{
-    bundles::{FEEDS, Site, UPLOADS},
+    bundles::{FEEDS, SiteBuilder, UPLOADS},
     fleet::{Fleet, Network, State},
-    traffic::{Part, Spread, Traffic},
+    traffic::{Distribution, SegmentKind, Traffic},
 };
 use proptest::prelude::*;
 
@@ -35,17 +35,17 @@
 
 /// The site under change.
 struct World {
-    site: Site,
+    site: SiteBuilder,
     left: Vec<String>,
     fleet: Fleet,
     traffic: Traffic,
 }
 
 impl World {
-    fn new(spread: Spread, network: Network) -> World {
-        let site = Site::new(8, 3);
+    fn new(distribution: Distribution, network: Network) -> World {
+        let site = SiteBuilder::new(8, 3);
         let fleet = Fleet::new(6, 3, &site.bundle(), network);
-        let traffic = Traffic::new(spread, (0..6).collect());
+        let traffic = Traffic::new(distribution, (0..6).collect());
         World { site, left: Vec::new(), fleet, traffic }
     }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    fn publish(&mut self, site: Site) {
+    fn publish(&mut self, site: SiteBuilder) {
         self.site = site;
         self.fleet.publish(&self.site.bundle());
     }
@@ -98,7 +98,7 @@
     fn list(&mut self) {
         let nodes = self.fleet.nodes.iter().enumerate();
         let up = nodes.filter(|(_, node)| node.state == State::Up).map(|(ix, _)| ix);
-        self.traffic.list(up.collect());
+        self.traffic.set_instances(up.collect());
     }
 
     fn open(&mut self, count: usize) {
@@ -107,27 +107,27 @@
             let flow = self.traffic.open(&mut self.fleet, service);
             if number.is_multiple_of(5) {
                 self.fleet.advance(Millis(5));
-                self.traffic.collect(&mut self.fleet);
+                self.traffic.record_arrivals(&mut self.fleet);
             }
-            self.traffic.send(&mut self.fleet, flow, Part::Middle);
+            self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
         }
     }
 
     fn keep_alive(&mut self) {
         let pause = 25_000 / self.traffic.flows.len().max(1) as u64;
         for flow in 0..self.traffic.flows.len() {
-            self.traffic.send(&mut self.fleet, flow, Part::Middle);
+            self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
             self.fleet.advance(Millis(pause.max(1)));
         }
-        self.traffic.collect(&mut self.fleet);
+        self.traffic.record_arrivals(&mut self.fleet);
     }
 }
 
 /// Plays changes one after another under new flows, then two keep-alives of
 /// all flows, and counts the broken ones.
 fn play(changes: &[(Change, u64)], packets: bool, seed: u64) -> usize {
-    let spread = if packets { Spread::Packets } else { Spread::Flows };
-    let mut world = World::new(spread, Network { seed, ..Network::default() });
+    let distribution = if packets { Distribution::PerPacket } else { Distribution::PerFlow };
+    let mut world = World::new(distribution, Network { seed, ..Network::default() });
     world.open(300);
     for (change, pause) in changes {
         world.apply(change);
@@ -135,12 +135,12 @@
         while world.fleet.now < end {
             world.open(10);
             world.fleet.advance(Millis(50));
-            world.traffic.collect(&mut world.fleet);
+            world.traffic.record_arrivals(&mut world.fleet);
         }
     }
     world.keep_alive();
     world.keep_alive();
-    world.traffic.broken()
+    world.traffic.count_broken()
 }
 
 /// Changes with the pause after each, whether the fabric sprays, and a seed.
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -10,15 +10,15 @@
     time::Millis,
 };
 use medlarspur_testutils::{
-    bundles::{FEEDS, REQUESTS, Site, UPLOADS},
+    bundles::{FEEDS, REQUESTS, SiteBuilder, UPLOADS},
     fleet::{Fleet, Network},
-    traffic::{Part, Spread, Traffic, segment},
+    traffic::{Distribution, SegmentKind, Traffic, segment},
 };
 
 const KEEPALIVE: Millis = Millis::secs(30);
 
 /// Eight instances in four failure domains before the first site's targets.
-fn fleet(site: &Site) -> Fleet {
+fn fleet(site: &SiteBuilder) -> Fleet {
     Fleet::new(8, 4, &site.bundle(), Network::default())
 }
 
@@ -33,9 +33,9 @@
         let service = |number: usize| if number.is_multiple_of(5) { UPLOADS } else { FEEDS };
         let flows: Vec<_> = numbers.map(|n| traffic.open(fleet, service(n))).collect();
         fleet.advance(Millis(5));
-        traffic.collect(fleet);
+        traffic.record_arrivals(fleet);
         for flow in flows {
-            traffic.send(fleet, flow, Part::Middle);
+            traffic.send(fleet, flow, SegmentKind::Continue);
         }
     }
     settle(fleet, traffic);
@@ -53,7 +53,7 @@
     let pause = Millis(KEEPALIVE.0 / most.max(1) as u64);
     for flow in 0..most {
         for traffic in traffics.iter_mut().filter(|traffic| flow < traffic.flows.len()) {
-            traffic.send(fleet, flow, Part::Middle);
+            traffic.send(fleet, flow, SegmentKind::Continue);
         }
         fleet.advance(pause);
     }
@@ -61,7 +61,7 @@
 
 fn settle(fleet: &mut Fleet, traffic: &mut Traffic) {
     fleet.advance(Millis(100));
-    traffic.collect(fleet);
+    traffic.record_arrivals(fleet);
 }
 
 /// A target is drained for maintenance by a new bundle. Its feeds go on, their
@@ -70,10 +70,10 @@
 /// connected again.
 #[test]
 fn a_leaving_target_keeps_its_flows() {
-    for spread in [Spread::Packets, Spread::Flows] {
-        let site = Site::new(14, 4);
+    for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
+        let site = SiteBuilder::new(14, 4);
         let mut fleet = fleet(&site);
-        let mut traffic = Traffic::new(spread, (0..8).collect());
+        let mut traffic = Traffic::new(distribution, (0..8).collect());
         open_flows(&mut fleet, &mut traffic, 4000);
 
         fleet.publish(&site.leaving("alertdesk-3").bundle());
@@ -81,9 +81,9 @@
         keep_alive(&mut fleet, &mut traffic);
         keep_alive(&mut fleet, &mut traffic);
 
-        assert_eq!(traffic.broken(), 0, "{spread:?}");
+        assert_eq!(traffic.count_broken(), 0, "{distribution:?}");
         let guessed: u64 = fleet.nodes.iter().map(|node| node.forwarder.counters().guessed).sum();
-        assert_eq!(guessed, 0, "{spread:?}");
+        assert_eq!(guessed, 0, "{distribution:?}");
     }
 }
 
@@ -91,10 +91,10 @@
 /// Work that it takes on so late is cut when its host goes down.
 #[test]
 fn a_leaving_target_gets_nothing_new_after_two_seconds() {
-    let site = Site::new(14, 4);
+    let site = SiteBuilder::new(14, 4);
     let leaving = site.bundle().services[0].targets[3].address;
     let mut fleet = fleet(&site);
-    let mut traffic = Traffic::new(Spread::Packets, (0..8).collect());
+    let mut traffic = Traffic::new(Distribution::PerPacket, (0..8).collect());
 
     fleet.publish(&site.leaving("alertdesk-3").bundle());
     fleet.advance(Millis::secs(2));
@@ -109,15 +109,15 @@
 /// right after it was opened.
 #[test]
 fn a_planned_move_breaks_no_flow_while_its_news_spreads() {
-    let site = Site::new(14, 4);
+    let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
-    let mut traffic = Traffic::new(Spread::Packets, (0..8).collect());
+    let mut traffic = Traffic::new(Distribution::PerPacket, (0..8).collect());
     open_flows(&mut fleet, &mut traffic, 4000);
 
     let service = site.bundle().services[0].clone();
     let bad = [TargetName::new("alertdesk-5")].into_iter().collect();
     let moves = planner::avoid_targets(&service, &bad).expect("one target is not most");
-    fleet.plan(&ServicePlan {
+    fleet.publish_plan(&ServicePlan {
         service: service.name.clone(),
         sequence: 1,
         author: InstanceName::new("i2"),
@@ -126,7 +126,7 @@
     open_flows(&mut fleet, &mut traffic, 4000);
     keep_alive(&mut fleet, &mut traffic);
 
-    assert_eq!(traffic.broken(), 0);
+    assert_eq!(traffic.count_broken(), 0);
 }
 
 /// An instance is replaced while a target drains: another joins with an empty
@@ -134,10 +134,10 @@
 /// fabric's list late. Users notice feeds that break when nothing failed.
 #[test]
 fn an_instance_is_replaced_while_a_target_drains() {
-    for spread in [Spread::Packets, Spread::Flows] {
-        let site = Site::new(14, 4);
+    for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
+        let site = SiteBuilder::new(14, 4);
         let mut fleet = fleet(&site);
-        let mut traffic = Traffic::new(spread, (0..8).collect());
+        let mut traffic = Traffic::new(distribution, (0..8).collect());
         open_flows(&mut fleet, &mut traffic, 4000);
 
         fleet.publish(&site.leaving("alertdesk-3").bundle());
@@ -145,13 +145,13 @@
         fleet.join();
         fleet.leave(2);
         open_flows(&mut fleet, &mut traffic, 3000);
-        traffic.list(vec![0, 1, 3, 4, 5, 6, 7, 8]);
+        traffic.set_instances(vec![0, 1, 3, 4, 5, 6, 7, 8]);
         open_flows(&mut fleet, &mut traffic, 3000);
         fleet.retire(2);
         keep_alive(&mut fleet, &mut traffic);
         keep_alive(&mut fleet, &mut traffic);
 
-        assert_eq!(traffic.broken(), 0, "{spread:?}");
+        assert_eq!(traffic.count_broken(), 0, "{distribution:?}");
     }
 }
 
@@ -161,25 +161,25 @@
 /// the flow.
 #[test]
 fn an_instance_that_slept_asks_before_it_acts() {
-    let site = Site::new(14, 4);
+    let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
-    let mut traffic = Traffic::new(Spread::Packets, (0..8).collect());
+    let mut traffic = Traffic::new(Distribution::PerPacket, (0..8).collect());
     open_flows(&mut fleet, &mut traffic, 4000);
 
     fleet.freeze(4, true);
     fleet.publish(&site.leaving("alertdesk-3").bundle());
-    traffic.list(vec![0, 1, 2, 3, 5, 6, 7]);
+    traffic.set_instances(vec![0, 1, 2, 3, 5, 6, 7]);
     fleet.advance(Millis::secs(8));
     open_flows(&mut fleet, &mut traffic, 4000);
     fleet.freeze(4, false);
     fleet.advance(Millis(5));
-    traffic.list((0..8).collect());
+    traffic.set_instances((0..8).collect());
     for flow in 0..traffic.flows.len() {
-        traffic.send(&mut fleet, flow, Part::Middle);
+        traffic.send(&mut fleet, flow, SegmentKind::Continue);
     }
     keep_alive(&mut fleet, &mut traffic);
 
-    assert_eq!(traffic.broken(), 0);
+    assert_eq!(traffic.count_broken(), 0);
 }
 
 /// Operators call a target's leaving off two seconds after they published it.
@@ -187,9 +187,9 @@
 #[test]
 fn a_move_that_is_called_off_breaks_nothing() {
     for pause in [100, 700, 1500, 5000] {
-        let site = Site::new(14, 4);
+        let site = SiteBuilder::new(14, 4);
         let mut fleet = fleet(&site);
-        let mut traffic = Traffic::new(Spread::Packets, (0..8).collect());
+        let mut traffic = Traffic::new(Distribution::PerPacket, (0..8).collect());
         open_flows(&mut fleet, &mut traffic, 3000);
 
         let leaving = site.leaving("alertdesk-3");
@@ -199,7 +199,7 @@
         open_flows(&mut fleet, &mut traffic, 4000);
         keep_alive(&mut fleet, &mut traffic);
 
-        assert_eq!(traffic.broken(), 0, "after {pause} ms");
+        assert_eq!(traffic.count_broken(), 0, "after {pause} ms");
     }
 }
 
@@ -208,18 +208,18 @@
 /// bucket's owner as long as it has not moved.
 #[test]
 fn a_killed_instance_breaks_no_flow_while_no_bucket_moves() {
-    for spread in [Spread::Packets, Spread::Flows] {
-        let site = Site::new(14, 4);
+    for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
+        let site = SiteBuilder::new(14, 4);
         let mut fleet = fleet(&site);
-        let mut traffic = Traffic::new(spread, (0..8).collect());
+        let mut traffic = Traffic::new(distribution, (0..8).collect());
         open_flows(&mut fleet, &mut traffic, 4000);
 
         fleet.kill(6);
-        traffic.list(vec![0, 1, 2, 3, 4, 5, 7]);
+        traffic.set_instances(vec![0, 1, 2, 3, 4, 5, 7]);
         open_flows(&mut fleet, &mut traffic, 2000);
         keep_alive(&mut fleet, &mut traffic);
 
-        assert_eq!(traffic.broken(), 0, "{spread:?}");
+        assert_eq!(traffic.count_broken(), 0, "{distribution:?}");
     }
 }
 
@@ -231,18 +231,18 @@
 #[test]
 fn a_cut_that_heals_breaks_no_flow() {
     let sides = [vec![0, 1, 4, 5], vec![2, 3, 6, 7]];
-    let site = Site::new(14, 4);
+    let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
     let mut number = 0;
     let mut traffic = sides.clone().map(|list| {
         number += 1;
-        Traffic::new(Spread::Packets, list).numbered(number)
+        Traffic::new(Distribution::PerPacket, list).with_subnet(number)
     });
     for traffic in &mut traffic {
         open_flows(&mut fleet, traffic, 1000);
     }
 
-    fleet.separate(|ix| u8::from(sides[1].contains(&ix)));
+    fleet.partition(|ix| u8::from(sides[1].contains(&ix)));
     fleet.advance(Millis::secs(15));
     let leaving = site.leaving("alertdesk-3");
     fleet.publish_on(0, &leaving.bundle());
@@ -256,16 +256,16 @@
     fleet.publish(&returned);
     fleet.advance(Millis(450));
     for traffic in &mut traffic {
-        traffic.list((0..8).collect());
+        traffic.set_instances((0..8).collect());
     }
     for traffic in &mut traffic {
         for flow in 0..traffic.flows.len() {
-            traffic.send(&mut fleet, flow, Part::Middle);
+            traffic.send(&mut fleet, flow, SegmentKind::Continue);
         }
     }
     keep_all_alive(&mut fleet, &mut traffic);
 
-    assert_eq!(traffic.map(|traffic| traffic.broken()), [0, 0]);
+    assert_eq!(traffic.map(|traffic| traffic.count_broken()), [0, 0]);
 }
 
 /// A caller's system uses TCP Fast Open and sends its request along with the
@@ -273,11 +273,11 @@
 /// moves, and another target gets it: a booking would be committed twice.
 #[test]
 fn an_opening_with_data_reaches_no_target() {
-    let site = Site::new(14, 4);
+    let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
     let caller = "10.0.0.1:40000".parse().expect("an address");
     let key = FlowKey { protocol: Protocol::Tcp, caller, service: REQUESTS };
-    let mut packet = segment(&key, Part::Open);
+    let mut packet = segment(&key, SegmentKind::Open);
     packet.extend(b"REQ 1");
     packet[3] = packet.len() as u8;
 
@@ -294,9 +294,9 @@
 /// sent to the present owner: long feeds break that everybody took for safe.
 #[test]
 fn keepers_remember_flows_through_a_quiet_time() {
-    let site = Site::new(14, 4);
+    let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
-    let mut traffic = Traffic::new(Spread::Flows, (0..8).collect());
+    let mut traffic = Traffic::new(Distribution::PerFlow, (0..8).collect());
     open_flows(&mut fleet, &mut traffic, 2000);
 
     fleet.publish(&site.leaving("alertdesk-3").bundle());
@@ -304,9 +304,9 @@
         keep_alive(&mut fleet, &mut traffic);
     }
     fleet.kill(6);
-    traffic.list(vec![0, 1, 2, 3, 4, 5, 7]);
+    traffic.set_instances(vec![0, 1, 2, 3, 4, 5, 7]);
     keep_alive(&mut fleet, &mut traffic);
     keep_alive(&mut fleet, &mut traffic);
 
-    assert_eq!(traffic.broken(), 0);
+    assert_eq!(traffic.count_broken(), 0);
 }
--- a/tests/tests/test_processes.rs
+++ b/tests/tests/test_processes.rs
@@ -7,7 +7,7 @@
 use medlarspur_testutils::{
     caller::{Callers, Settings, Stream},
     platform::Fault,
-    profile::Seen,
+    profile::TargetCounts,
     report::Row,
     site::{Site, site_services},
     spread::Mode,
@@ -85,17 +85,18 @@
             assert!(row.completed > 0, "{service} {class}: {row:?}");
         }
         assert_eq!(report.rows["alertdesk"]["feed"].completed, FEEDS, "{report:?}");
-        let seen: Vec<Seen> = self.site.targets.list.iter().map(|target| target.seen()).collect();
+        let counts: Vec<TargetCounts> =
+            self.site.targets.list.iter().map(|target| target.counts()).collect();
         let mut runs = BTreeMap::<&str, u32>::new();
-        for (id, count) in seen.iter().flat_map(|seen| &seen.runs) {
+        for (id, count) in counts.iter().flat_map(|counts| &counts.runs) {
             *runs.entry(id).or_default() += count;
         }
         assert!(runs.values().all(|&count| count == 1), "{runs:?}");
         let turned = report.iter().flat_map(|(_, _, row)| &row.turned);
         assert_eq!(turned.filter(|id| runs.contains_key(id.as_str())).count(), 0);
-        assert_eq!(seen.iter().map(|seen| seen.strays).sum::<u64>(), 0);
-        assert_eq!(seen.iter().map(|seen| seen.late).sum::<u64>(), 0);
-        let stored = seen.iter().map(|seen| seen.stored).sum::<u64>();
+        assert_eq!(counts.iter().map(|counts| counts.strays).sum::<u64>(), 0);
+        assert_eq!(counts.iter().map(|counts| counts.late).sum::<u64>(), 0);
+        let stored = counts.iter().map(|counts| counts.stored).sum::<u64>();
         assert_eq!(stored, report.rows["ingest"]["upload"].completed);
     }
 
@@ -148,7 +149,7 @@
     trial.site.kill().expect("it is killed");
     thread::sleep(LAG);
     await_that("it is gone", || {
-        trial.site.sweep();
+        trial.site.remove_ended();
         trial.site.instances.len() == 2
     });
     thread::sleep(LINES);
@@ -240,7 +241,7 @@
 
     trial.site.leave().expect("it is asked to leave");
     await_that("it ends", || {
-        trial.site.sweep();
+        trial.site.remove_ended();
         trial.site.instances.len() == 2
     });
     thread::sleep(LINES);
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -11,7 +11,7 @@
     view::{Draft, PUBLISH_DELAY, TargetId, View},
 };
 use medlarspur_testutils::{
-    bundles::{REQUESTS, Site},
+    bundles::{REQUESTS, SiteBuilder},
     host::{Conn, Host, Stage},
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -72,7 +72,7 @@
 }
 
 impl Scene {
-    fn new(site: &Site) -> Scene {
+    fn new(site: &SiteBuilder) -> Scene {
         let instances = ["one", "two"].map(|name| instance(name, site));
         let caller = Host::new(Ipv4Addr::new(10, 0, 0, 1));
         Scene { instances, caller, sent: Sent::default(), turn: 0 }
@@ -99,7 +99,7 @@
     }
 }
 
-fn instance(name: &str, site: &Site) -> Forwarder<Closed> {
+fn instance(name: &str, site: &SiteBuilder) -> Forwarder<Closed> {
     let mut draft = Draft::first(InstanceName::new(name), &site.bundle(), Millis(0));
     draft.advance(PUBLISH_DELAY);
     let mut forwarder = Forwarder::new(Closed, 16);
@@ -113,7 +113,7 @@
 /// target, and the caller would get a reset in place of when to come back.
 #[test]
 fn a_caller_is_told_in_words_when_to_come_back() {
-    let mut scene = Scene::new(&Site::new(4, 2).refusal(WORDS));
+    let mut scene = Scene::new(&SiteBuilder::new(4, 2).refusal(WORDS));
 
     let conn = scene.call();
     scene.caller.send(conn, b"REQ 1\n");
@@ -131,7 +131,7 @@
 /// heard silence would wait for its own time limit.
 #[test]
 fn a_caller_without_words_gets_a_reset_at_once() {
-    let mut scene = Scene::new(&Site::new(4, 2));
+    let mut scene = Scene::new(&SiteBuilder::new(4, 2));
 
     let conn = scene.call();
 
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -9,9 +9,9 @@
     question::{Answer, Datagram, LookupResult, Question},
 };
 use medlarspur_testutils::{
-    bundles::{FEEDS, Site},
+    bundles::{FEEDS, SiteBuilder},
     fleet::{Fleet, Network},
-    traffic::{Part, segment},
+    traffic::{SegmentKind, segment},
 };
 use std::net::SocketAddrV4;
 
@@ -48,7 +48,7 @@
 /// reach a host that takes it for a part of an upload.
 #[test]
 fn a_wrong_answer_leads_to_no_other_service() {
-    let mut fleet = Fleet::new(4, 2, &Site::new(4, 4).bundle(), Network::default());
+    let mut fleet = Fleet::new(4, 2, &SiteBuilder::new(4, 4).bundle(), Network::default());
     let now = fleet.now;
     let forwarder = &mut fleet.nodes[0].forwarder;
     let registry = forwarder.view().expect("a view").registry.clone();
@@ -56,13 +56,13 @@
     let wrong = registry.get(ingest.expect("a target")).key;
     let mut sent = Sent::default();
     forwarder.distrust(now);
-    forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
+    forwarder.handle_packet(now, &segment(&feed(), SegmentKind::Continue), &mut sent);
 
     let question = sent.questions[0].clone();
     let answer =
         Answer { flow: question.flow, nonce: question.nonce, result: LookupResult::Known(wrong) };
     forwarder.handle_datagram(now, FEEDS, Datagram::Answer(answer), &mut sent);
-    forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
+    forwarder.handle_packet(now, &segment(&feed(), SegmentKind::Continue), &mut sent);
     let before = std::mem::take(&mut sent.packets);
     forwarder.tick(now + ASK_TIMEOUT, &mut sent);
 
--- a/tests/tests/test_udp.rs
+++ b/tests/tests/test_udp.rs
@@ -7,7 +7,7 @@
     time::Millis,
 };
 use medlarspur_testutils::{
-    bundles::{FEEDS, Site},
+    bundles::{FEEDS, SiteBuilder},
     fleet::{Fleet, Network},
 };
 use std::{
@@ -18,7 +18,7 @@
 const FLOWS: u16 = 400;
 
 /// The bundle of a site whose services all use UDP.
-fn bundle(site: &Site) -> Arc<Bundle> {
+fn bundle(site: &SiteBuilder) -> Arc<Bundle> {
     let mut bundle = Arc::unwrap_or_clone(site.bundle());
     for service in &mut bundle.services {
         for port in &mut Arc::make_mut(service).ports {
@@ -45,7 +45,7 @@
 fn send(fleet: &mut Fleet, flows: std::ops::Range<u16>) -> Map<FlowKey, SocketAddrV4> {
     let mut targets = Map::default();
     for number in flows {
-        let awake: Vec<_> = (0..fleet.nodes.len()).filter(|ix| fleet.awake(*ix)).collect();
+        let awake: Vec<_> = (0..fleet.nodes.len()).filter(|ix| fleet.is_awake(*ix)).collect();
         let ix = awake[fleet.random(awake.len() as u64) as usize];
         fleet.receive(ix, &datagram(number));
         fleet.advance(Millis(10));
@@ -61,7 +61,7 @@
 /// Whether an instance that works knows the flow. One that only a dead instance
 /// knew can't be told from a new one.
 fn is_known(fleet: &Fleet, key: &FlowKey) -> bool {
-    let nodes = fleet.nodes.iter().enumerate().filter(|(ix, _)| fleet.awake(*ix));
+    let nodes = fleet.nodes.iter().enumerate().filter(|(ix, _)| fleet.is_awake(*ix));
     nodes.map(|(_, node)| &node.forwarder).any(|forwarder| {
         let id = forwarder.view().map(|view| view.hasher.id(key));
         id.is_some_and(|id| forwarder.flows().get(id).is_some())
@@ -75,7 +75,7 @@
 #[test]
 fn datagrams_stay_at_their_target_and_new_ones_avoid_a_leaving_one() {
     for dies in [false, true] {
-        let site = Site::new(14, 4);
+        let site = SiteBuilder::new(14, 4);
         let mut fleet = Fleet::new(8, 4, &bundle(&site), Network::default());
         let leaving = site.bundle().services[0].targets[3].address;
         let before = send(&mut fleet, 0..FLOWS);
--- a/testutils/src/bin/site.rs
+++ b/testutils/src/bin/site.rs
@@ -178,7 +178,7 @@
 ) -> Result<(), Error> {
     while start.elapsed() < until {
         ensure!(!interrupted.load(Ordering::Relaxed), InterruptedSnafu);
-        site.sweep();
+        site.remove_ended();
         thread::sleep(TICK);
     }
     Ok(())
@@ -191,16 +191,16 @@
     } else {
         print_table(report);
     }
-    let seen = site.targets.list.iter().map(|running| running.seen()).collect::<Vec<_>>();
+    let counts = site.targets.list.iter().map(|running| running.counts()).collect::<Vec<_>>();
     let mut runs = std::collections::BTreeMap::<&str, u32>::new();
-    for (id, count) in seen.iter().flat_map(|seen| &seen.runs) {
+    for (id, count) in counts.iter().flat_map(|counts| &counts.runs) {
         *runs.entry(id).or_default() += count;
     }
     let double = runs.values().filter(|&&count| count > 1).count();
     let turned = report.iter().flat_map(|(_, _, row)| &row.turned);
     let false_turned = turned.filter(|id| runs.contains_key(id.as_str())).count();
-    let strays = seen.iter().map(|seen| seen.strays).sum::<u64>();
-    let late = seen.iter().map(|seen| seen.late).sum::<u64>();
+    let strays = counts.iter().map(|counts| counts.strays).sum::<u64>();
+    let late = counts.iter().map(|counts| counts.late).sum::<u64>();
     let calls = site.platform.calls();
     eprintln!("requests run twice {double}, turned away and yet run {false_turned}");
     eprintln!("packets at a target of another service {strays}, openings at a leaving one {late}");
--- a/testutils/src/bin/standin.rs
+++ b/testutils/src/bin/standin.rs
@@ -132,7 +132,7 @@
         let name = format!("{}-{number}", flags.service);
         let mut profile = Profile::new(&name, &flags.service, flags.address, &ports);
         profile.slots = flags.slots.unwrap_or(profile.slots);
-        profile.work = flags.work.map_or(profile.work, Millis);
+        profile.work_time = flags.work.map_or(profile.work_time, Millis);
         profile
     });
     let targets = Targets::start(profiles.collect(), flags.fabric)?;
--- a/testutils/src/bundles.rs
+++ b/testutils/src/bundles.rs
@@ -19,7 +19,7 @@
 
 /// A site with two services, like the two first sites.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub struct SiteBuilder {
     version: u64,
     targets: [usize; 2],
     leaving: Vec<String>,
@@ -28,10 +28,10 @@
     keepalive: Millis,
 }
 
-impl Site {
+impl SiteBuilder {
     /// A site with this many targets for the first and the second service.
-    pub fn new(first: usize, second: usize) -> Site {
-        Site {
+    pub fn new(first: usize, second: usize) -> SiteBuilder {
+        SiteBuilder {
             version: 1,
             targets: [first, second],
             leaving: Vec::new(),
@@ -42,35 +42,35 @@
     }
 
     /// The next version, in which a target leaves.
-    pub fn leaving(mut self, name: &str) -> Site {
+    pub fn leaving(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.leaving.push(name.to_owned());
         self
     }
 
     /// The next version, in which a target is not named any more.
-    pub fn removed(mut self, name: &str) -> Site {
+    pub fn removed(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.removed.push(name.to_owned());
         self
     }
 
     /// The next version, in which a target that left takes work again.
-    pub fn returning(mut self, name: &str) -> Site {
+    pub fn returning(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.leaving.retain(|other| other != name);
         self
     }
 
     /// The next version, in which each service has one target more.
-    pub fn grown(mut self) -> Site {
+    pub fn grown(mut self) -> SiteBuilder {
         self.version += 1;
         self.targets = self.targets.map(|count| count + 1);
         self
     }
 
     /// Turns callers away with this text.
-    pub fn refusal(mut self, text: &str) -> Site {
+    pub fn refusal(mut self, text: &str) -> SiteBuilder {
         self.refusal = Some(text.into());
         self
     }
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -1,12 +1,12 @@
 //! Many callers over one UDP socket, with steady streams of work.
 
 use crate::{
-    client::{Client, Patience},
+    client::{Client, Timeouts},
     clock::Clock,
     fabric::lock,
     report::Report,
     task::Work,
-    udp::Inbox,
+    udp::BatchReceiver,
 };
 use medlarspur_lib::{bundle::Class, collections::Map, time::Millis};
 use std::{
@@ -49,20 +49,20 @@
     /// How many addresses call.
     pub count: u32,
     /// How long they wait.
-    pub patience: Patience,
+    pub timeouts: Timeouts,
 }
 
 impl Settings {
     /// A few callers with ordinary patience.
     pub fn new(fabric: SocketAddrV4) -> Self {
         let first = Ipv4Addr::new(10, 64, 0, 1);
-        Self { fabric, first, count: 32, patience: Patience::default() }
+        Self { fabric, first, count: 32, timeouts: Timeouts::default() }
     }
 }
 
 /// The step from one caller's address to the next: ordinary callers come from
 /// networks of their own, and what one network may take is limited.
-const STRIDE: u32 = 257;
+const ADDRESS_STRIDE: u32 = 257;
 
 /// Work goes on being opened.
 const OPENING: u8 = 0;
@@ -75,7 +75,7 @@
 const TICK: Duration = Duration::from_millis(1);
 /// How many feeds of a caller end in one millisecond. Thousands that end at
 /// once overflow the sockets on their way, and their repeats do so again.
-const HANG_UPS: usize = 2;
+const MAX_CLOSED_FEEDS: usize = 2;
 
 /// Callers that run in a thread of their own.
 pub struct Callers {
@@ -97,14 +97,14 @@
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.connect(settings.fabric)?;
         let shared = Arc::new(Shared::default());
-        let mut crowd = Crowd::new(&settings, streams, Arc::clone(&shared));
-        let thread = thread::spawn(move || crowd.run(Inbox::new(socket)));
+        let mut caller_loop = CallerLoop::new(&settings, streams, Arc::clone(&shared));
+        let thread = thread::spawn(move || caller_loop.run(BatchReceiver::new(socket)));
         Ok(Self { shared, thread })
     }
 
     /// What the callers have seen so far.
     pub fn report(&self) -> Report {
-        lock(&self.shared.report).summed()
+        lock(&self.shared.report).with_totals()
     }
 
     /// How much work is under way.
@@ -129,41 +129,49 @@
         self.shared.stopped.store(true, Ordering::Relaxed);
         // A thread that panicked has nothing left to say.
         let _ = self.thread.join();
-        lock(&self.shared.report).summed()
+        lock(&self.shared.report).with_totals()
     }
 }
 
 /// The callers as their thread has them.
-struct Crowd {
+struct CallerLoop {
     clients: Vec<Client>,
-    homes: Map<Ipv4Addr, usize>,
+    by_addr: Map<Ipv4Addr, usize>,
     streams: Vec<(Stream, u64)>,
     shared: Arc<Shared>,
     clock: Clock,
-    turn: usize,
-    ended: Millis,
+    current: usize,
+    last_closing: Millis,
 }
 
-impl Crowd {
+impl CallerLoop {
     fn new(settings: &Settings, streams: Vec<Stream>, shared: Arc<Shared>) -> Self {
         let addrs = (0..settings.count)
-            .map(|ix| Ipv4Addr::from_bits(settings.first.to_bits() + ix * STRIDE));
-        let homes = addrs.clone().enumerate().map(|(ix, addr)| (addr, ix)).collect();
-        let clients = addrs.map(|addr| Client::new(addr, settings.patience)).collect();
+            .map(|ix| Ipv4Addr::from_bits(settings.first.to_bits() + ix * ADDRESS_STRIDE));
+        let by_addr = addrs.clone().enumerate().map(|(ix, addr)| (addr, ix)).collect();
+        let clients = addrs.map(|addr| Client::new(addr, settings.timeouts)).collect();
         let streams = streams.into_iter().map(|stream| (stream, 0)).collect();
-        Self { clients, homes, streams, shared, clock: Clock::start(), turn: 0, ended: Millis(0) }
+        Self {
+            clients,
+            by_addr,
+            streams,
+            shared,
+            clock: Clock::start(),
+            current: 0,
+            last_closing: Millis(0),
+        }
     }
 
-    fn run(&mut self, mut inbox: Inbox) {
+    fn run(&mut self, mut receiver: BatchReceiver) {
         while !self.shared.stopped.load(Ordering::Relaxed) {
             let now = self.clock.now();
             match self.shared.phase.load(Ordering::Relaxed) {
                 OPENING => self.open(now),
-                ENDING if now > self.ended => self.end(now),
+                ENDING if now > self.last_closing => self.close_some_feeds(now),
                 _ => {}
             }
-            self.poll(now, &inbox.socket);
-            if inbox.take(TICK, |packet| self.receive(packet)).is_err() {
+            self.poll(now, &receiver.socket);
+            if receiver.receive(TICK, |packet| self.receive(packet)).is_err() {
                 return;
             }
         }
@@ -192,29 +200,29 @@
             size: stream.size,
             hold: Millis(stream.hold),
         };
-        lock(&self.shared.report).open(&work.service, work.class);
-        self.turn = (self.turn + 1) % self.clients.len();
-        self.clients[self.turn].open(now, work);
+        lock(&self.shared.report).record_start(&work.service, work.class);
+        self.current = (self.current + 1) % self.clients.len();
+        self.clients[self.current].open(now, work);
     }
 
     /// Ends a few feeds of the next caller.
-    fn end(&mut self, now: Millis) {
-        self.turn = (self.turn + 1) % self.clients.len();
-        self.clients[self.turn].hang_up(HANG_UPS);
-        self.ended = now;
+    fn close_some_feeds(&mut self, now: Millis) {
+        self.current = (self.current + 1) % self.clients.len();
+        self.clients[self.current].close_feeds(MAX_CLOSED_FEEDS);
+        self.last_closing = now;
     }
 
     fn poll(&mut self, now: Millis, socket: &UdpSocket) {
         for client in &mut self.clients {
-            if client.next().is_none_or(|due| due > now) {
+            if client.next_poll().is_none_or(|due| due > now) {
                 continue;
             }
             for packet in client.poll(now) {
                 // A packet that can't be sent is lost, as in a real network.
                 let _ = socket.send(&packet);
             }
-            for outcome in client.outcomes() {
-                lock(&self.shared.report).close(outcome);
+            for outcome in client.take_outcomes() {
+                lock(&self.shared.report).record_end(outcome);
             }
         }
         let pending = self.clients.iter().map(Client::pending).sum();
@@ -222,9 +230,9 @@
     }
 
     fn receive(&mut self, packet: &[u8]) {
-        let home =
-            crate::packet::Ends::parse(packet).and_then(|ends| self.homes.get(ends.dst.ip()));
-        if let Some(&ix) = home {
+        let position = crate::packet::PacketHeader::parse(packet)
+            .and_then(|header| self.by_addr.get(header.dst.ip()));
+        if let Some(&ix) = position {
             self.clients[ix].receive(packet);
         }
     }
--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     host::{Conn, Host, Stage},
-    task::{Breach, End, Task, Work},
+    task::{BreakCause, End, Task, Work},
 };
 use medlarspur_lib::{bundle::Class, collections::Map, time::Millis};
 use std::{collections::BTreeSet, net::Ipv4Addr};
@@ -27,16 +27,16 @@
 
 /// How long a caller waits.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct Timeouts {
     /// For the handshake.
-    pub opening: Millis,
+    pub handshake: Millis,
     /// For the next byte once established.
-    pub silence: Millis,
+    pub idle: Millis,
 }
 
-impl Default for Patience {
+impl Default for Timeouts {
     fn default() -> Self {
-        Self { opening: Millis::secs(8), silence: Millis::secs(8) }
+        Self { handshake: Millis::secs(8), idle: Millis::secs(8) }
     }
 }
 
@@ -46,9 +46,9 @@
 /// A caller with any number of connections.
 pub struct Client {
     host: Host,
-    patience: Patience,
+    timeouts: Timeouts,
     tasks: Map<Conn, Task>,
-    alarms: BTreeSet<(Millis, Conn)>,
+    timers: BTreeSet<(Millis, Conn)>,
     outcomes: Vec<Outcome>,
     port: u16,
     now: Millis,
@@ -56,12 +56,12 @@
 
 impl Client {
     /// Makes a caller with the address `addr`.
-    pub fn new(addr: Ipv4Addr, patience: Patience) -> Self {
+    pub fn new(addr: Ipv4Addr, timeouts: Timeouts) -> Self {
         Self {
             host: Host::new(addr),
-            patience,
+            timeouts,
             tasks: Map::default(),
-            alarms: BTreeSet::new(),
+            timers: BTreeSet::new(),
             outcomes: Vec::new(),
             port: FIRST_PORT,
             now: Millis(0),
@@ -74,7 +74,7 @@
         let port = self.port;
         self.port = self.port.checked_add(1).unwrap_or(FIRST_PORT);
         let conn = self.host.connect(port, work.remote);
-        self.alarms.insert((self.now + self.patience.opening, conn));
+        self.timers.insert((self.now + self.timeouts.handshake, conn));
         self.tasks.insert(conn, Task::new(work, self.now));
         conn
     }
@@ -88,27 +88,27 @@
     pub fn poll(&mut self, now: Millis) -> Vec<Vec<u8>> {
         self.now = self.now.max(now);
         let mut packets = self.host.poll(self.now);
-        for conn in self.host.ready() {
+        for conn in self.host.take_ready() {
             self.advance(conn);
         }
-        while let Some(&(due, conn)) = self.alarms.first()
+        while let Some(&(due, conn)) = self.timers.first()
             && due <= self.now
         {
-            self.alarms.remove(&(due, conn));
-            self.ring(conn);
+            self.timers.remove(&(due, conn));
+            self.handle_timer(conn);
         }
         packets.extend(self.host.poll(self.now));
         packets
     }
 
     /// When the next poll has work, if nothing is received before.
-    pub fn next(&self) -> Option<Millis> {
-        let alarm = self.alarms.first().map(|&(due, _)| due);
-        [alarm, self.host.next()].into_iter().flatten().min()
+    pub fn next_poll(&self) -> Option<Millis> {
+        let timer = self.timers.first().map(|&(due, _)| due);
+        [timer, self.host.next_poll()].into_iter().flatten().min()
     }
 
     /// Takes what has ended since the last call.
-    pub fn outcomes(&mut self) -> Vec<Outcome> {
+    pub fn take_outcomes(&mut self) -> Vec<Outcome> {
         std::mem::take(&mut self.outcomes)
     }
 
@@ -119,7 +119,7 @@
 
     /// Ends up to `count` feeds in an orderly way, as a caller does that goes
     /// home.
-    pub fn hang_up(&mut self, count: usize) {
+    pub fn close_feeds(&mut self, count: usize) {
         let held = |task: &Task| task.work.class == Class::Feed && task.work.hold > Millis(0);
         let feeds = self.tasks.iter().filter(|(_, task)| held(task)).take(count);
         let conns = feeds.map(|(&conn, _)| conn).collect::<Vec<_>>();
@@ -142,51 +142,51 @@
         }
         if !task.established {
             task.established = true;
-            task.heard = self.now;
-            self.alarms.insert((self.now + self.patience.silence, conn));
+            task.last_activity = self.now;
+            self.timers.insert((self.now + self.timeouts.idle, conn));
             if task.work.class == Class::Feed {
-                self.alarms.insert((self.now + task.work.hold, conn));
+                self.timers.insert((self.now + task.work.hold, conn));
             }
         }
         let bytes = self.host.recv(conn);
-        let heard = bytes.len();
+        let received = bytes.len();
         task.input.extend(bytes);
         let verdict = task.read(self.now);
         let sent = self.host.send(conn, &task.output);
         task.output.drain(..sent);
         // Room for more bytes of an upload is a sign of life, as an answer is.
-        if heard + sent > 0 {
-            task.heard = self.now;
+        if received + sent > 0 {
+            task.last_activity = self.now;
         }
         let end = verdict.or(match stage {
             Stage::Finished if task.closing => Some(End::Completed),
-            Stage::Finished => Some(End::Broken(Breach::Short)),
-            Stage::Broken => Some(End::Broken(Breach::Reset)),
+            Stage::Finished => Some(End::Broken(BreakCause::Short)),
+            Stage::Broken => Some(End::Broken(BreakCause::Reset)),
             _ => None,
         });
-        let over = task.over(self.now);
+        let hold_over = task.is_hold_over(self.now);
         match end {
             Some(end) => self.finish(conn, end),
-            None if over => self.end_feed(conn),
+            None if hold_over => self.end_feed(conn),
             None => {}
         }
     }
 
-    fn ring(&mut self, conn: Conn) {
+    fn handle_timer(&mut self, conn: Conn) {
         let Some(task) = self.tasks.get(&conn) else {
             return;
         };
-        let silent = self.now.since(task.heard) >= self.patience.silence;
+        let silent = self.now.since(task.last_activity) >= self.timeouts.idle;
         if !task.established {
-            if self.now.since(task.opened) >= self.patience.opening {
+            if self.now.since(task.opened) >= self.timeouts.handshake {
                 self.finish(conn, End::Unanswered);
             }
         } else if silent {
-            self.finish(conn, End::Broken(Breach::Silent));
-        } else if task.over(self.now) {
+            self.finish(conn, End::Broken(BreakCause::Silent));
+        } else if task.is_hold_over(self.now) {
             self.end_feed(conn);
         } else {
-            self.alarms.insert((task.heard + self.patience.silence, conn));
+            self.timers.insert((task.last_activity + self.timeouts.idle, conn));
         }
     }
 
@@ -196,7 +196,7 @@
         let Some(task) = self.tasks.get_mut(&conn) else {
             return;
         };
-        self.alarms.insert((task.heard + self.patience.silence, conn));
+        self.timers.insert((task.last_activity + self.timeouts.idle, conn));
         if task.target.is_some() && !task.closing {
             task.closing = true;
             self.host.close(conn);
--- a/testutils/src/fabric.rs
+++ b/testutils/src/fabric.rs
@@ -6,9 +6,9 @@
 use crate::{
     clock::Clock,
     list::{Listed, ListedState},
-    packet::Ends,
+    packet::PacketHeader,
     platform,
-    spread::{Mode, Spread},
+    spread::{Mode, Picker},
 };
 use medlarspur_lib::{
     collections::{Map, Set},
@@ -62,11 +62,11 @@
 }
 
 /// How often the list is read; real lists lag by about as much.
-const LIST_EVERY: Duration = Duration::from_millis(200);
+const LIST_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a socket waits before it looks for delayed packets.
 const TICK: Duration = Duration::from_millis(1);
 /// The largest datagram.
-const LARGEST: usize = 65_536;
+const MAX_DATAGRAM: usize = 65_536;
 
 /// A running fabric. Its threads end with the process.
 pub struct Fabric {
@@ -80,7 +80,7 @@
 struct Shared {
     clock: Clock,
     routes: Mutex<Routes>,
-    homes: Mutex<Map<Ipv4Addr, SocketAddr>>,
+    caller_sockets: Mutex<Map<Ipv4Addr, SocketAddr>>,
     lost: AtomicU64,
 }
 
@@ -102,19 +102,19 @@
             shared: Arc::new(Shared {
                 clock: Clock::start(),
                 routes: Mutex::default(),
-                homes: Mutex::default(),
+                caller_sockets: Mutex::default(),
                 lost: AtomicU64::new(0),
             }),
         };
         let (inward, outward) = (Arc::clone(&fabric.shared), Arc::clone(&fabric.shared));
         let (answers, delay, lag) = (callers.try_clone()?, settings.delay, settings.lag);
-        let spread = Spread::new(settings.mode, settings.seed);
+        let picker = Picker::new(settings.mode, settings.seed);
         let out = returns.try_clone()?;
-        thread::spawn(move || inward.carry_in(&callers, &out, spread, delay, lag));
-        thread::spawn(move || outward.carry_out(&returns, &answers, delay));
+        thread::spawn(move || inward.forward_to_instances(&callers, &out, picker, delay, lag));
+        thread::spawn(move || outward.return_to_callers(&returns, &answers, delay));
         if let Some(platform) = settings.platform {
             let shared = Arc::clone(&fabric.shared);
-            thread::spawn(move || shared.follow(platform));
+            thread::spawn(move || shared.poll_list(platform));
         }
         Ok(fabric)
     }
@@ -148,67 +148,69 @@
     }
 
     /// Reads the list again and again; the last one holds while it can't.
-    fn follow(&self, platform: SocketAddrV4) {
+    fn poll_list(&self, platform: SocketAddrV4) {
         loop {
             if let Ok(entries) = platform::read_list(platform) {
                 self.set_list(entries);
             }
-            thread::sleep(LIST_EVERY);
+            thread::sleep(LIST_INTERVAL);
         }
     }
 
-    fn carry_in(
+    fn forward_to_instances(
         &self,
         callers: &UdpSocket,
         out: &UdpSocket,
-        mut spread: Spread,
+        mut picker: Picker,
         delay: Millis,
         lag: Millis,
     ) {
-        let mut line = Line::new(delay);
+        let mut line = DelayLine::new(delay);
         line.run(callers, out, &self.clock, |packet, from| {
-            let ends = Ends::parse(packet)?;
-            lock(&self.homes).insert(*ends.src.ip(), from);
+            let header = PacketHeader::parse(packet)?;
+            lock(&self.caller_sockets).insert(*header.src.ip(), from);
             let routes = lock(&self.routes);
-            let open = routes.open(self.clock.now(), lag);
-            let names = open.iter().map(|entry| &entry.name).collect::<Vec<_>>();
-            let Some(ix) = spread.pick(&names, &ends) else {
+            let receivers = routes.receivers(self.clock.now(), lag);
+            let names = receivers.iter().map(|entry| &entry.name).collect::<Vec<_>>();
+            let Some(ix) = picker.pick(&names, &header) else {
                 self.lost.fetch_add(1, Ordering::Relaxed);
                 return None;
             };
-            Some(SocketAddr::V4(open[ix].packets))
+            Some(SocketAddr::V4(receivers[ix].packets))
         });
     }
 
-    fn carry_out(&self, returns: &UdpSocket, out: &UdpSocket, delay: Millis) {
-        let mut line = Line::new(delay);
+    fn return_to_callers(&self, returns: &UdpSocket, out: &UdpSocket, delay: Millis) {
+        let mut line = DelayLine::new(delay);
         line.run(returns, out, &self.clock, |packet, _| {
-            let ends = Ends::parse(packet)?;
-            let home = lock(&self.homes).get(ends.dst.ip()).copied();
-            if home.is_none() {
+            let header = PacketHeader::parse(packet)?;
+            let destination = lock(&self.caller_sockets).get(header.dst.ip()).copied();
+            if destination.is_none() {
                 self.lost.fetch_add(1, Ordering::Relaxed);
             }
-            home
+            destination
         });
     }
 }
 
 impl Routes {
     /// The instances that get packets now, in the order of the list.
-    fn open(&self, now: Millis, lag: Millis) -> Vec<&Listed> {
-        let lags = |name| self.leaving.get(name).is_none_or(|&since| now.since(since) < lag);
+    fn receivers(&self, now: Millis, lag: Millis) -> Vec<&Listed> {
+        let within_lag = |name| self.leaving.get(name).is_none_or(|&since| now.since(since) < lag);
         let entries = self.entries.iter();
-        entries.filter(|entry| !self.blocked.contains(&entry.name) && lags(&entry.name)).collect()
+        entries
+            .filter(|entry| !self.blocked.contains(&entry.name) && within_lag(&entry.name))
+            .collect()
     }
 }
 
 /// Packets on their way in one direction, which all take the same time.
-struct Line {
+struct DelayLine {
     delay: Millis,
     queue: VecDeque<(Millis, SocketAddr, Vec<u8>)>,
 }
 
-impl Line {
+impl DelayLine {
     fn new(delay: Millis) -> Self {
         Self { delay, queue: VecDeque::new() }
     }
@@ -221,7 +223,7 @@
         clock: &Clock,
         mut route: impl FnMut(&[u8], SocketAddr) -> Option<SocketAddr>,
     ) {
-        let mut buffer = vec![0; LARGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
             // With nothing delayed there is no reason to wake up.
             let wait = (!self.queue.is_empty()).then_some(TICK);
@@ -229,16 +231,20 @@
                 return;
             }
             if let Ok((len, peer)) = from.recv_from(&mut buffer)
-                && let Some(home) = route(&buffer[..len], peer)
+                && let Some(destination) = route(&buffer[..len], peer)
             {
-                self.queue.push_back((clock.now() + self.delay, home, buffer[..len].to_vec()));
+                self.queue.push_back((
+                    clock.now() + self.delay,
+                    destination,
+                    buffer[..len].to_vec(),
+                ));
             }
-            while let Some((_, home, packet)) =
+            while let Some((_, destination, packet)) =
                 self.queue.pop_front_if(|(due, _, _)| *due <= clock.now())
             {
                 // A closed port reports itself on the socket; the packet is lost
                 // as it would be in a real network.
-                let _ = to.send_to(&packet, home);
+                let _ = to.send_to(&packet, destination);
             }
         }
     }
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -39,20 +39,26 @@
     /// How long it takes until the others know that an instance has gone.
     pub detection: Millis,
     /// How long news of a bundle takes to an instance, at most.
-    pub news: Millis,
+    pub update_delay: Millis,
     /// Seeds what is random.
     pub seed: u64,
 }
 
 impl Default for Network {
     fn default() -> Network {
-        Network { delay: Millis(2), loss: 0, detection: Millis(3_000), news: Millis(400), seed: 1 }
+        Network {
+            delay: Millis(2),
+            loss: 0,
+            detection: Millis(3_000),
+            update_delay: Millis(400),
+            seed: 1,
+        }
     }
 }
 
 /// What travels between instances.
 #[derive(Debug)]
-enum Mail {
+enum Message {
     Datagram(SocketAddrV4, Datagram),
     Advert(Advert),
     History(History),
@@ -62,29 +68,29 @@
 }
 
 #[derive(Debug)]
-struct Letter {
+struct Delivery {
     at: Millis,
     order: u64,
     to: usize,
-    mail: Mail,
+    message: Message,
 }
 
-impl PartialEq for Letter {
-    fn eq(&self, other: &Letter) -> bool {
+impl PartialEq for Delivery {
+    fn eq(&self, other: &Delivery) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Letter {}
+impl Eq for Delivery {}
 
-impl PartialOrd for Letter {
-    fn partial_cmp(&self, other: &Letter) -> Option<std::cmp::Ordering> {
+impl PartialOrd for Delivery {
+    fn partial_cmp(&self, other: &Delivery) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Letter {
-    fn cmp(&self, other: &Letter) -> std::cmp::Ordering {
+impl Ord for Delivery {
+    fn cmp(&self, other: &Delivery) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
@@ -113,7 +119,7 @@
     /// In which side of a partition it is.
     pub side: u8,
     member: Member,
-    woken: bool,
+    just_woken: bool,
 }
 
 /// What one round of an instance sends.
@@ -121,7 +127,7 @@
 struct Sent {
     packets: Vec<(SocketAddrV4, Vec<u8>)>,
     answers: Vec<Vec<u8>>,
-    asks: Vec<(SocketAddrV4, Datagram)>,
+    datagrams: Vec<(SocketAddrV4, Datagram)>,
     adverts: Vec<(InstanceName, Advert)>,
 }
 
@@ -135,7 +141,7 @@
     }
 
     fn send_to_peer(&mut self, peer: SocketAddrV4, datagram: Datagram) {
-        self.asks.push((peer, datagram));
+        self.datagrams.push((peer, datagram));
     }
 
     fn send_advert(&mut self, keeper: &InstanceName, advert: Advert) {
@@ -154,10 +160,10 @@
     /// Packets made by instances for callers since they were last taken.
     pub answers: Vec<Vec<u8>>,
     /// Bytes of questions, answers and adverts, with 28 for each UDP datagram.
-    pub control: u64,
+    pub control_bytes: u64,
     network: Network,
     domains: u64,
-    letters: BinaryHeap<Reverse<Letter>>,
+    deliveries: BinaryHeap<Reverse<Delivery>>,
     order: u64,
     random: u64,
     bundle: Arc<Bundle>,
@@ -171,11 +177,11 @@
             now: Millis(0),
             packets: Vec::new(),
             answers: Vec::new(),
-            control: 0,
+            control_bytes: 0,
             random: network.seed.wrapping_mul(2) | 1,
             network,
             domains,
-            letters: BinaryHeap::new(),
+            deliveries: BinaryHeap::new(),
             order: 0,
             bundle: bundle.clone(),
         };
@@ -184,7 +190,7 @@
             fleet.install(ix, bundle.clone());
         }
         for ix in 0..count {
-            fleet.refresh(ix);
+            fleet.update_members(ix);
         }
         fleet.advance(WARM_UP);
         fleet
@@ -194,8 +200,8 @@
     pub fn join(&mut self) -> usize {
         let ix = self.add();
         self.install(ix, self.bundle.clone());
-        self.refresh(ix);
-        self.tell_members(self.network.news);
+        self.update_members(ix);
+        self.announce_members(self.network.update_delay);
         ix
     }
 
@@ -217,7 +223,7 @@
             state: State::Up,
             side: 0,
             member,
-            woken: false,
+            just_woken: false,
         });
         ix
     }
@@ -226,8 +232,8 @@
     pub fn publish(&mut self, bundle: &Arc<Bundle>) {
         self.bundle = bundle.clone();
         for ix in 0..self.nodes.len() {
-            let delay = Millis(self.random(self.network.news.0 + 1));
-            self.post(delay, ix, Mail::Bundle(bundle.clone()));
+            let delay = Millis(self.random(self.network.update_delay.0 + 1));
+            self.schedule(delay, ix, Message::Bundle(bundle.clone()));
         }
     }
 
@@ -236,20 +242,20 @@
         for ix in
             (0..self.nodes.len()).filter(|&ix| self.nodes[ix].side == side).collect::<Vec<_>>()
         {
-            let delay = Millis(self.random(self.network.news.0 + 1));
-            self.post(delay, ix, Mail::Bundle(bundle.clone()));
+            let delay = Millis(self.random(self.network.update_delay.0 + 1));
+            self.schedule(delay, ix, Message::Bundle(bundle.clone()));
         }
     }
 
     /// Publishes a plan; each instance on the side of its author hears of it
     /// at a moment of its own.
-    pub fn plan(&mut self, plan: &ServicePlan) {
+    pub fn publish_plan(&mut self, plan: &ServicePlan) {
         let author = self.nodes.iter().find(|node| node.member.name == plan.author);
         let side = author.map_or(0, |node| node.side);
         for ix in 0..self.nodes.len() {
             if self.nodes[ix].side == side {
-                let delay = Millis(self.random(self.network.news.0 + 1));
-                self.post(delay, ix, Mail::Plan(plan.clone()));
+                let delay = Millis(self.random(self.network.update_delay.0 + 1));
+                self.schedule(delay, ix, Message::Plan(plan.clone()));
             }
         }
     }
@@ -257,13 +263,13 @@
     /// Kills an instance without a word.
     pub fn kill(&mut self, ix: usize) {
         self.nodes[ix].state = State::Gone;
-        self.tell_members(self.network.detection);
+        self.announce_members(self.network.detection);
     }
 
     /// Tells an instance to leave; it works on until it is killed.
     pub fn leave(&mut self, ix: usize) {
         self.nodes[ix].state = State::Leaving;
-        self.tell_members(self.network.news);
+        self.announce_members(self.network.update_delay);
     }
 
     /// Ends an instance that leaves, as soon as it has told its keepers all.
@@ -278,8 +284,8 @@
     /// Freezes an instance, or wakes it up.
     pub fn freeze(&mut self, ix: usize, frozen: bool) {
         self.nodes[ix].state = if frozen { State::Frozen } else { State::Up };
-        self.nodes[ix].woken = !frozen;
-        self.tell_members(self.network.detection);
+        self.nodes[ix].just_woken = !frozen;
+        self.announce_members(self.network.detection);
     }
 
     /// Anti-entropy: instances whose history differs from another's on their
@@ -298,36 +304,36 @@
             let (side, digest) = (self.nodes[ix].side, draft.view().history_digest());
             let other = known.iter().find(|known| known.0 == side && known.1 != digest);
             for history in other.map(|known| known.2.clone()).unwrap_or_default() {
-                self.post(self.network.news, ix, Mail::History(history));
+                self.schedule(self.network.update_delay, ix, Message::History(history));
             }
         }
     }
 
     /// Puts the instances on the sides that `side` names.
-    pub fn separate(&mut self, side: impl Fn(usize) -> u8) {
+    pub fn partition(&mut self, side: impl Fn(usize) -> u8) {
         for (ix, node) in self.nodes.iter_mut().enumerate() {
             node.side = side(ix);
         }
-        self.tell_members(self.network.detection);
+        self.announce_members(self.network.detection);
     }
 
     /// Ends all cuts; the sides find each other as fast as other news spreads.
     pub fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.side = 0);
-        self.tell_members(self.network.news);
+        self.announce_members(self.network.update_delay);
     }
 
     /// Lets one instance have a packet from the fabric.
     pub fn receive(&mut self, ix: usize, packet: &[u8]) {
         let now = self.now;
-        if !self.awake(ix) {
+        if !self.is_awake(ix) {
             return;
         }
         self.run(ix, |node, sent| node.forwarder.handle_packet(now, packet, sent));
     }
 
     /// Whether the instance takes packets.
-    pub fn awake(&self, ix: usize) -> bool {
+    pub fn is_awake(&self, ix: usize) -> bool {
         matches!(self.nodes[ix].state, State::Up | State::Leaving)
     }
 
@@ -336,10 +342,10 @@
         let end = self.now + span;
         while self.now < end {
             let tick = Millis((self.now.0 / TICK.0 + 1) * TICK.0).min(end);
-            while self.letters.peek().is_some_and(|Reverse(letter)| letter.at <= tick) {
-                let Some(Reverse(letter)) = self.letters.pop() else { break };
-                self.now = self.now.max(letter.at);
-                self.deliver(letter);
+            while self.deliveries.peek().is_some_and(|Reverse(delivery)| delivery.at <= tick) {
+                let Some(Reverse(delivery)) = self.deliveries.pop() else { break };
+                self.now = self.now.max(delivery.at);
+                self.deliver(delivery);
             }
             self.now = tick;
             if tick.0.is_multiple_of(ANTI_ENTROPY.0) {
@@ -352,11 +358,11 @@
     }
 
     fn tick(&mut self, ix: usize) {
-        if !self.awake(ix) {
+        if !self.is_awake(ix) {
             return;
         }
         let now = self.now;
-        if std::mem::take(&mut self.nodes[ix].woken) {
+        if std::mem::take(&mut self.nodes[ix].just_woken) {
             self.nodes[ix].forwarder.wake(now);
         }
         if let Some(draft) = &mut self.nodes[ix].draft {
@@ -366,40 +372,40 @@
         self.run(ix, |node, sent| node.forwarder.tick(now, sent));
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let (ix, now) = (letter.to, self.now);
+    fn deliver(&mut self, delivery: Delivery) {
+        let (ix, now) = (delivery.to, self.now);
         if self.nodes[ix].state == State::Gone {
             return;
         }
         if self.nodes[ix].state == State::Frozen {
             // News is told again by anti-entropy; the rest is lost.
             if matches!(
-                letter.mail,
-                Mail::Bundle(_) | Mail::Plan(_) | Mail::Members | Mail::History(_)
+                delivery.message,
+                Message::Bundle(_) | Message::Plan(_) | Message::Members | Message::History(_)
             ) {
-                self.post(Millis(500), ix, letter.mail);
+                self.schedule(Millis(500), ix, delivery.message);
             }
             return;
         }
-        match letter.mail {
-            Mail::Datagram(from, datagram) => {
+        match delivery.message {
+            Message::Datagram(from, datagram) => {
                 self.run(ix, |node, sent| {
                     node.forwarder.handle_datagram(now, from, datagram, sent)
                 });
             }
-            Mail::Advert(advert) => self.nodes[ix].forwarder.handle_advert(now, &advert),
-            Mail::History(history) => {
+            Message::Advert(advert) => self.nodes[ix].forwarder.handle_advert(now, &advert),
+            Message::History(history) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
                     draft.merge_history(&history, now);
                 }
             }
-            Mail::Bundle(bundle) => self.install(ix, bundle),
-            Mail::Plan(plan) => {
+            Message::Bundle(bundle) => self.install(ix, bundle),
+            Message::Plan(plan) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
                     draft.apply_plan(plan, now);
                 }
             }
-            Mail::Members => self.refresh(ix),
+            Message::Members => self.update_members(ix),
         }
         self.commit(ix);
     }
@@ -416,12 +422,12 @@
                 node.forwarder.distrust(now);
             }
         }
-        self.tell_members(self.network.news);
+        self.announce_members(self.network.update_delay);
         self.commit(ix);
     }
 
     /// The members as an instance sees them now.
-    fn refresh(&mut self, ix: usize) {
+    fn update_members(&mut self, ix: usize) {
         let side = self.nodes[ix].side;
         let members = self
             .nodes
@@ -440,9 +446,9 @@
         self.commit(ix);
     }
 
-    fn tell_members(&mut self, delay: Millis) {
+    fn announce_members(&mut self, delay: Millis) {
         for ix in 0..self.nodes.len() {
-            self.post(delay, ix, Mail::Members);
+            self.schedule(delay, ix, Message::Members);
         }
     }
 
@@ -460,32 +466,33 @@
         self.packets.extend(sent.packets);
         self.answers.extend(sent.answers);
         let from = self.nodes[ix].member.addresses.questions;
-        for (to, datagram) in sent.asks {
-            self.control += if matches!(datagram, Datagram::Question(_)) { 53 } else { 57 };
+        for (to, datagram) in sent.datagrams {
+            self.control_bytes += if matches!(datagram, Datagram::Question(_)) { 53 } else { 57 };
             let to = self.nodes.iter().position(|node| node.member.addresses.questions == to);
-            self.send(ix, to, Mail::Datagram(from, datagram));
+            self.send(ix, to, Message::Datagram(from, datagram));
         }
         for (keeper, advert) in sent.adverts {
-            self.control += 60 + 16 * advert.flows.len() as u64;
+            self.control_bytes += 60 + 16 * advert.flows.len() as u64;
             let to = self.nodes.iter().position(|node| node.member.name == keeper);
-            self.send(ix, to, Mail::Advert(advert));
+            self.send(ix, to, Message::Advert(advert));
         }
     }
 
-    fn send(&mut self, from: usize, to: Option<usize>, mail: Mail) {
+    fn send(&mut self, from: usize, to: Option<usize>, message: Message) {
         let Some(to) = to.filter(|&to| self.nodes[to].side == self.nodes[from].side) else {
             return;
         };
-        let lost = matches!(mail, Mail::Datagram(..)) && self.random(1000) < self.network.loss;
+        let lost =
+            matches!(message, Message::Datagram(..)) && self.random(1000) < self.network.loss;
         if !lost {
-            self.post(self.network.delay, to, mail);
+            self.schedule(self.network.delay, to, message);
         }
     }
 
-    fn post(&mut self, delay: Millis, to: usize, mail: Mail) {
+    fn schedule(&mut self, delay: Millis, to: usize, message: Message) {
         self.order += 1;
-        let letter = Letter { at: self.now + delay, order: self.order, to, mail };
-        self.letters.push(Reverse(letter));
+        let delivery = Delivery { at: self.now + delay, order: self.order, to, message };
+        self.deliveries.push(Reverse(delivery));
     }
 
     /// A number below `bound`, the same in every run with the same seed.
--- a/testutils/src/host.rs
+++ b/testutils/src/host.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     link::Link,
-    packet::{Ends, Kind},
+    packet::{Kind, PacketHeader},
 };
 use medlarspur_lib::{collections::Map, time::Millis};
 use smoltcp::{
@@ -22,7 +22,7 @@
 };
 
 /// Room for each direction of a connection, small so that many fit in memory.
-const BUFFER: usize = 4096;
+const BUFFER_SIZE: usize = 4096;
 
 /// One connection of a host: its own port and the other end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -89,7 +89,7 @@
             due: BTreeSet::new(),
             ready: BTreeSet::new(),
             now: Millis(0),
-            buffer: BUFFER,
+            buffer: BUFFER_SIZE,
         }
     }
 
@@ -127,12 +127,12 @@
 
     /// Takes a packet in; answers come from the next poll.
     pub fn receive(&mut self, packet: &[u8]) {
-        let Some(ends) = Ends::parse(packet) else {
+        let Some(header) = PacketHeader::parse(packet) else {
             return;
         };
-        let conn = Conn { port: ends.dst.port(), peer: ends.src };
-        let opens = ends.kind == Kind::Opening && self.ports.contains(&conn.port);
-        if opens && self.conns.get(&conn).is_none_or(|entry| entry.over()) {
+        let conn = Conn { port: header.dst.port(), peer: header.src };
+        let opens = header.kind == Kind::Opening && self.ports.contains(&conn.port);
+        if opens && self.conns.get(&conn).is_none_or(|entry| entry.is_over()) {
             self.remove(conn);
             let mut socket = self.socket();
             if socket.listen(conn.port).is_ok() {
@@ -141,7 +141,7 @@
         }
         self.link.incoming.push_back(packet.to_vec());
         match self.conns.contains_key(&conn) {
-            true => self.step(conn),
+            true => self.poll_conn(conn),
             false => self.answer_stray(),
         }
     }
@@ -152,13 +152,13 @@
         while let Some(&(due, conn)) = self.due.first()
             && due <= self.now
         {
-            self.step(conn);
+            self.poll_conn(conn);
         }
         self.link.outgoing.drain(..).collect()
     }
 
     /// When the next poll has work, if nothing is received before.
-    pub fn next(&self) -> Option<Millis> {
+    pub fn next_poll(&self) -> Option<Millis> {
         // Whoever drives the host may have bytes for the room that an
         // acknowledgement made, though the stack itself has nothing to do.
         if !self.link.outgoing.is_empty() || !self.ready.is_empty() {
@@ -169,7 +169,7 @@
 
     /// Takes the connections that were polled since the last call: those whose
     /// stage, bytes or room may have changed. New inbound ones are among them.
-    pub fn ready(&mut self) -> BTreeSet<Conn> {
+    pub fn take_ready(&mut self) -> BTreeSet<Conn> {
         std::mem::take(&mut self.ready)
     }
 
@@ -180,7 +180,7 @@
 
     /// Whether both directions are closed and nothing is left to send.
     pub fn is_over(&self, conn: Conn) -> bool {
-        self.conns.get(&conn).is_none_or(Entry::over)
+        self.conns.get(&conn).is_none_or(Entry::is_over)
     }
 
     /// How many connections the host holds.
@@ -268,13 +268,13 @@
         self.schedule(conn, Some(self.now));
     }
 
-    fn step(&mut self, conn: Conn) {
+    fn poll_conn(&mut self, conn: Conn) {
         let Some(entry) = self.conns.get_mut(&conn) else {
             return;
         };
         let now = instant(self.now);
         self.iface.poll(now, &mut self.link, &mut entry.sockets);
-        entry.stage = entry.advance();
+        entry.stage = entry.next_stage();
         self.ready.insert(conn);
         let next = self.iface.poll_at(now, &entry.sockets).map(millis);
         // A poll that leaves work for this very moment would never end.
@@ -311,13 +311,13 @@
         self.sockets.get::<tcp::Socket<'_>>(self.handle).state()
     }
 
-    fn over(&self) -> bool {
+    fn is_over(&self) -> bool {
         matches!(self.state(), tcp::State::Closed | tcp::State::TimeWait | tcp::State::Listen)
     }
 
     /// The stage after a poll. A reset and an orderly end both leave the stack
     /// closed; only what came before tells them apart.
-    fn advance(&self) -> Stage {
+    fn next_stage(&self) -> Stage {
         use tcp::State;
         match (self.stage, self.state()) {
             (Stage::Opening, State::Closed) => Stage::Refused,
--- a/testutils/src/packet.rs
+++ b/testutils/src/packet.rs
@@ -21,7 +21,7 @@
 
 /// The two ends of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Ends {
+pub struct PacketHeader {
     /// Who sent it.
     pub src: SocketAddrV4,
     /// Whom it is for.
@@ -30,7 +30,7 @@
     pub kind: Kind,
 }
 
-impl Ends {
+impl PacketHeader {
     /// Reads the ends of a whole TCP or UDP packet.
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let packet = Ipv4Packet::new_checked(bytes).ok()?;
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -20,7 +20,7 @@
 
 /// What the settings of every instance of a test site have in common.
 #[derive(Debug, Clone)]
-pub struct Common {
+pub struct CommonSettings {
     /// The daemon's program.
     pub program: PathBuf,
     /// Where settings and logs go.
@@ -59,8 +59,10 @@
         source: serde_json::Error,
     },
     /// It did not get ready in time.
-    #[snafu(display("the instance {name} was not ready in {READY:?}; see its log {log:?}"))]
-    Unready {
+    #[snafu(display(
+        "the instance {name} was not ready in {READY_TIMEOUT:?}; see its log {log:?}"
+    ))]
+    NotReady {
         /// The instance.
         name: String,
         /// Where its log is.
@@ -87,7 +89,7 @@
     },
     /// It can't be told whether it has ended.
     #[snafu(display("it can't be looked at"))]
-    Look {
+    Status {
         /// What the system said.
         source: io::Error,
     },
@@ -111,16 +113,16 @@
 ///
 /// Fails if the child has ended, or if the system says so.
 pub fn signal(child: &mut Child, signal: Signal) -> Result<(), SignalError> {
-    if let Some(status) = child.try_wait().context(LookSnafu)? {
+    if let Some(status) = child.try_wait().context(StatusSnafu)? {
         return EndedSnafu { status }.fail();
     }
     signal::kill(Pid::from_raw(child.id().cast_signed()), signal).context(SendSnafu)
 }
 
 /// How long an instance may take to get ready.
-const READY: Duration = Duration::from_secs(20);
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
 /// How often it is asked.
-const ASK: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// The secret of all test sites.
 const SECRET: [u8; 32] = [7; 32];
 
@@ -135,7 +137,7 @@
 }
 
 #[derive(serde::Deserialize)]
-struct Printed {
+struct PrintedAddresses {
     packets: SocketAddrV4,
     questions: SocketAddrV4,
     control: SocketAddrV4,
@@ -145,7 +147,7 @@
 impl Instance {
     /// Starts an instance and reads its addresses.
     pub fn start(
-        common: &Common,
+        common: &CommonSettings,
         name: &str,
         domain: &str,
         peers: &[SocketAddrV4],
@@ -154,7 +156,7 @@
         let mut child = spawn(common, name, domain, peers, &log)
             .context(StartSnafu { name: name.to_owned() })?;
         let line = child.stdout.take().map(first_line).unwrap_or_default();
-        let printed = match serde_json::from_str::<Printed>(&line) {
+        let printed = match serde_json::from_str::<PrintedAddresses>(&line) {
             Ok(printed) => printed,
             Err(source) => {
                 // The process may have ended already.
@@ -163,7 +165,7 @@
                 return Err(source).context(AddressesSnafu { name, line, log });
             }
         };
-        let Printed { packets, questions, control, operator } = printed;
+        let PrintedAddresses { packets, questions, control, operator } = printed;
         let (name, domain, state) = (name.to_owned(), domain.to_owned(), ListedState::Live);
         let listed = Listed { name, domain, state, packets, questions, control };
         Ok(Self { listed, operator, log, child })
@@ -175,8 +177,8 @@
         let start = Instant::now();
         while ureq::get(&url).call().is_err() {
             let (name, log) = (&self.listed.name, &self.log);
-            ensure!(start.elapsed() < READY, UnreadySnafu { name, log });
-            thread::sleep(ASK);
+            ensure!(start.elapsed() < READY_TIMEOUT, NotReadySnafu { name, log });
+            thread::sleep(POLL_INTERVAL);
         }
         Ok(())
     }
@@ -205,7 +207,7 @@
     reason = "the stand-ins start the daemon, the product does not"
 )]
 fn spawn(
-    common: &Common,
+    common: &CommonSettings,
     name: &str,
     domain: &str,
     peers: &[SocketAddrV4],
@@ -222,8 +224,8 @@
         .spawn()
 }
 
-fn settings(common: &Common, name: &str, domain: &str, peers: &[SocketAddrV4]) -> String {
-    let Common { site, fabric, platform, key, .. } = common;
+fn settings(common: &CommonSettings, name: &str, domain: &str, peers: &[SocketAddrV4]) -> String {
+    let CommonSettings { site, fabric, platform, key, .. } = common;
     let peers = peers.iter().map(|peer| format!("\"{peer}\"")).collect::<Vec<_>>().join(", ");
     let any = "127.0.0.1:0";
     format!(
--- a/testutils/src/profile.rs
+++ b/testutils/src/profile.rs
@@ -21,13 +21,13 @@
     /// The time between two lines of a feed.
     pub interval: Millis,
     /// How long a request takes once it has a slot.
-    pub work: Millis,
+    pub work_time: Millis,
     /// How long after its start a request takes ten times as long.
-    pub cold: Millis,
+    pub cold_time: Millis,
     /// How many wait for a slot before it sheds the next one.
-    pub waiting: usize,
+    pub queue_limit: usize,
     /// The bytes of the answer to a request after its first line.
-    pub answer: usize,
+    pub answer_size: usize,
 }
 
 impl Profile {
@@ -41,17 +41,17 @@
             slots: 2,
             connections: 2000,
             interval: Millis(500),
-            work: Millis(5),
-            cold: Millis(0),
-            waiting: 64,
-            answer: 2000,
+            work_time: Millis(5),
+            cold_time: Millis(0),
+            queue_limit: 64,
+            answer_size: 2000,
         }
     }
 }
 
 /// What a target has seen.
 #[derive(Debug, Default, Clone, serde::Serialize)]
-pub struct Seen {
+pub struct TargetCounts {
     /// How often each request id was started.
     pub runs: Map<String, u32>,
     /// How many uploads were stored whole.
--- a/testutils/src/report.rs
+++ b/testutils/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     client::Outcome,
-    task::{Breach, End},
+    task::{BreakCause, End},
 };
 use medlarspur_lib::{bundle::Class, time::Millis};
 use std::collections::BTreeMap;
@@ -48,7 +48,7 @@
     /// The target that answered, if one did.
     pub target: Option<String>,
     /// How it broke.
-    pub cause: Breach,
+    pub cause: BreakCause,
     /// When, in milliseconds since the callers started.
     pub at: Millis,
 }
@@ -62,12 +62,12 @@
 
 impl Report {
     /// Counts a start.
-    pub fn open(&mut self, service: &str, class: Class) {
+    pub fn record_start(&mut self, service: &str, class: Class) {
         self.row(service, class).opened += 1;
     }
 
     /// Counts an end.
-    pub fn close(&mut self, outcome: Outcome) {
+    pub fn record_end(&mut self, outcome: Outcome) {
         let row = self.row(&outcome.work.service, outcome.work.class);
         match outcome.end {
             End::Completed => row.completed += 1,
@@ -91,9 +91,9 @@
     }
 
     /// The report with its percentiles and imbalance worked out.
-    pub fn summed(&self) -> Self {
+    pub fn with_totals(&self) -> Self {
         let mut report = self.clone();
-        report.rows.values_mut().flat_map(BTreeMap::values_mut).for_each(Row::sum);
+        report.rows.values_mut().flat_map(BTreeMap::values_mut).for_each(Row::compute_totals);
         report
     }
 
@@ -111,7 +111,7 @@
 }
 
 impl Row {
-    fn sum(&mut self) {
+    fn compute_totals(&mut self) {
         let ended = self.completed + self.broken + self.refused + self.unanswered + self.wrong;
         self.pending = self.opened - ended;
         self.latencies.sort_unstable();
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -6,8 +6,8 @@
 use crate::{
     content::{body, take_line},
     host::{Conn, Host, Stage},
-    packet::{Ends, Kind},
-    profile::{Profile, Seen},
+    packet::{Kind, PacketHeader},
+    profile::{Profile, TargetCounts},
     session::Session,
 };
 use medlarspur_lib::{
@@ -25,12 +25,12 @@
     /// What it is; may be changed while it runs.
     pub profile: Profile,
     /// What it has seen so far.
-    pub seen: Seen,
+    pub counts: TargetCounts,
     /// While set, it turns away every opening.
     pub draining: bool,
     host: Host,
     sessions: Map<Conn, Session>,
-    alarms: BTreeSet<(Millis, Conn)>,
+    timers: BTreeSet<(Millis, Conn)>,
     queue: VecDeque<Conn>,
     busy: Set<Conn>,
     now: Millis,
@@ -44,10 +44,10 @@
         Self {
             profile,
             host,
-            seen: Seen::default(),
+            counts: TargetCounts::default(),
             draining: false,
             sessions: Map::default(),
-            alarms: BTreeSet::new(),
+            timers: BTreeSet::new(),
             queue: VecDeque::new(),
             busy: Set::default(),
             now: Millis(0),
@@ -74,17 +74,17 @@
 
     /// Takes in a packet that an instance sent here.
     pub fn receive(&mut self, packet: &[u8]) {
-        let Some(ends) = Ends::parse(packet) else {
-            self.seen.strays += 1;
+        let Some(header) = PacketHeader::parse(packet) else {
+            self.counts.strays += 1;
             return;
         };
-        let own = self.profile.ports.iter().any(|&(port, _)| port == ends.dst.port());
-        if !own || *ends.dst.ip() != self.profile.address {
-            self.seen.strays += 1;
+        let own = self.profile.ports.iter().any(|&(port, _)| port == header.dst.port());
+        if !own || *header.dst.ip() != self.profile.address {
+            self.counts.strays += 1;
             return;
         }
-        if self.draining && ends.kind == Kind::Opening {
-            self.seen.late += 1;
+        if self.draining && header.kind == Kind::Opening {
+            self.counts.late += 1;
         }
         self.open_ports();
         self.host.receive(packet);
@@ -101,9 +101,9 @@
     }
 
     /// When the next poll has work, if nothing is received before.
-    pub fn next(&self) -> Option<Millis> {
-        let alarm = self.alarms.first().map(|&(due, _)| due);
-        [alarm, self.host.next()].into_iter().flatten().min()
+    pub fn next_poll(&self) -> Option<Millis> {
+        let timer = self.timers.first().map(|&(due, _)| due);
+        [timer, self.host.next_poll()].into_iter().flatten().min()
     }
 
     fn open_ports(&mut self) {
@@ -117,28 +117,28 @@
     }
 
     fn do_work(&mut self) {
-        for conn in self.host.ready() {
+        for conn in self.host.take_ready() {
             self.serve(conn);
         }
-        while let Some(&(due, conn)) = self.alarms.first()
+        while let Some(&(due, conn)) = self.timers.first()
             && due <= self.now
         {
-            self.alarms.remove(&(due, conn));
-            self.ring(conn);
+            self.timers.remove(&(due, conn));
+            self.handle_timer(conn);
         }
     }
 
     fn serve(&mut self, conn: Conn) {
         match self.host.stage(conn) {
             Stage::Opening => return,
-            Stage::Refused | Stage::Broken => return self.forget(conn),
+            Stage::Refused | Stage::Broken => return self.drop_session(conn),
             Stage::Open | Stage::Finished => {}
         }
         if !self.sessions.contains_key(&conn) {
             let Some(class) = self.class(conn.port) else {
                 return;
             };
-            self.seen.opened += 1;
+            self.counts.opened += 1;
             self.sessions.insert(conn, Session::new(class));
         }
         let bytes = self.host.recv(conn);
@@ -148,7 +148,7 @@
         session.input.extend(bytes);
         match session.class {
             Class::Feed => self.serve_feed(conn),
-            Class::Request | Class::Upload => self.serve_once(conn),
+            Class::Request | Class::Upload => self.serve_work(conn),
         }
         self.flush(conn);
     }
@@ -163,12 +163,12 @@
         };
         while let Some(line) = take_line(&mut session.input) {
             match &session.id {
-                Some(_) => session.say(&format!("ECHO {line}\n")),
+                Some(_) => session.queue_line(&format!("ECHO {line}\n")),
                 None => {
                     let Profile { name, service, .. } = &self.profile;
-                    session.say(&format!("HELLO {line} {name} {service}\n"));
+                    session.queue_line(&format!("HELLO {line} {name} {service}\n"));
                     session.id = Some(line);
-                    self.alarms.insert((self.now + self.profile.interval, conn));
+                    self.timers.insert((self.now + self.profile.interval, conn));
                 }
             }
         }
@@ -177,11 +177,11 @@
         }
     }
 
-    fn serve_once(&mut self, conn: Conn) {
+    fn serve_work(&mut self, conn: Conn) {
         let Some(session) = self.sessions.get_mut(&conn) else {
             return;
         };
-        if session.id.is_none() && !session.read_head() {
+        if session.id.is_none() && !session.read_header() {
             return;
         }
         let whole = session.expected.is_some_and(|expected| session.input.len() >= expected);
@@ -189,10 +189,10 @@
         if !whole || known {
             return;
         }
-        if self.queue.len() >= self.profile.waiting {
-            self.seen.shed += 1;
+        if self.queue.len() >= self.profile.queue_limit {
+            self.counts.shed += 1;
             self.host.abort(conn);
-            return self.forget(conn);
+            return self.drop_session(conn);
         }
         self.queue.push_back(conn);
         self.fill_slots();
@@ -202,11 +202,11 @@
         while self.busy.len() < self.profile.slots
             && let Some(conn) = self.queue.pop_front()
         {
-            let cold = self.now.since(self.started.unwrap_or_default()) < self.profile.cold;
+            let cold = self.now.since(self.started.unwrap_or_default()) < self.profile.cold_time;
             let factor = if cold { COLD_FACTOR } else { 1 };
             self.busy.insert(conn);
             self.count_run(conn);
-            self.alarms.insert((self.now + Millis(self.profile.work.0 * factor), conn));
+            self.timers.insert((self.now + Millis(self.profile.work_time.0 * factor), conn));
         }
     }
 
@@ -214,11 +214,11 @@
     fn count_run(&mut self, conn: Conn) {
         let session = self.sessions.get(&conn).filter(|session| session.class == Class::Request);
         if let Some(id) = session.and_then(|session| session.id.clone()) {
-            *self.seen.runs.entry(id).or_default() += 1;
+            *self.counts.runs.entry(id).or_default() += 1;
         }
     }
 
-    fn ring(&mut self, conn: Conn) {
+    fn handle_timer(&mut self, conn: Conn) {
         let Some(session) = self.sessions.get_mut(&conn) else {
             return self.free_slot(conn);
         };
@@ -226,8 +226,8 @@
             Class::Feed => {
                 let line = format!("STRIKE {}\n", session.lines);
                 session.lines += 1;
-                session.say(&line);
-                self.alarms.insert((self.now + self.profile.interval, conn));
+                session.queue_line(&line);
+                self.timers.insert((self.now + self.profile.interval, conn));
             }
             Class::Request | Class::Upload => self.answer(conn),
         }
@@ -239,15 +239,15 @@
             return;
         };
         let id = session.id.clone().unwrap_or_default();
-        let Profile { name, service, answer, .. } = &self.profile;
+        let Profile { name, service, answer_size, .. } = &self.profile;
         if session.class == Class::Request {
-            session.say(&format!("DONE {id} {name} {service} {answer}\n"));
-            session.output.extend(body(&id, *answer));
+            session.queue_line(&format!("DONE {id} {name} {service} {answer_size}\n"));
+            session.output.extend(body(&id, *answer_size));
         } else {
             let hash = blake3::hash(&session.input).to_hex();
             let count = session.input.len();
-            session.say(&format!("STORED {id} {name} {service} {count} {hash}\n"));
-            self.seen.stored += 1;
+            session.queue_line(&format!("STORED {id} {name} {service} {count} {hash}\n"));
+            self.counts.stored += 1;
         }
         session.answered = true;
         self.free_slot(conn);
@@ -269,13 +269,13 @@
             self.host.close(conn);
         }
         if self.host.is_over(conn) {
-            self.forget(conn);
+            self.drop_session(conn);
         }
     }
 
     /// Drops a connection that has ended. What has a slot keeps it to its end,
     /// since a target can't know that its caller has gone.
-    fn forget(&mut self, conn: Conn) {
+    fn drop_session(&mut self, conn: Conn) {
         self.sessions.remove(&conn);
         self.queue.retain(|&other| other != conn);
         self.host.remove_over(conn);
--- a/testutils/src/session.rs
+++ b/testutils/src/session.rs
@@ -37,12 +37,12 @@
     }
 
     /// Queues a line.
-    pub fn say(&mut self, line: &str) {
+    pub fn queue_line(&mut self, line: &str) {
         self.output.extend(line.bytes());
     }
 
     /// Reads `REQ id` or `UP id length`; whether it was there.
-    pub fn read_head(&mut self) -> bool {
+    pub fn read_header(&mut self) -> bool {
         let Some(line) = take_line(&mut self.input) else {
             return false;
         };
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -5,10 +5,10 @@
     layout::{Layout, ServiceLayout, TargetLayout},
     list::ListedState,
     platform::Platform,
-    process::{Common, Instance, ProcessError},
+    process::{CommonSettings, Instance, ProcessError},
     profile::Profile,
     spread::Mode,
-    target::{Behaviour, Running, TargetError, Targets},
+    target::{Behaviour, RunningTarget, TargetError, Targets},
     web::WebError,
 };
 use medlarspur_lib::bundle::{Class, SecretKey, TargetState};
@@ -102,7 +102,7 @@
     pub instances: Vec<Instance>,
     /// The bundle in force.
     pub layout: Layout,
-    common: Common,
+    common: CommonSettings,
     key: SecretKey,
     started: usize,
     _folder: TempDir,
@@ -122,7 +122,7 @@
         let layout = layout(services, &targets);
         let key = SecretKey::generate();
         platform.publish(&layout.signed(&key));
-        let common = Common {
+        let common = CommonSettings {
             program: program.to_owned(),
             folder: folder.path().to_owned(),
             site: NAME.into(),
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Kills the first live instance. The list shows it until [`Self::sweep`].
+    /// Kills the first live instance. The list shows it until [`Self::remove_ended`].
     pub fn kill(&mut self) -> Result<(), SiteError> {
         match self.first_live() {
             Some(instance) => instance.signal(Signal::SIGKILL).context(InstanceSnafu),
@@ -177,7 +177,7 @@
     }
 
     /// Takes instances that have ended out of the list.
-    pub fn sweep(&mut self) {
+    pub fn remove_ended(&mut self) {
         let before = self.instances.len();
         self.instances.retain_mut(|instance| !instance.has_ended());
         if self.instances.len() != before {
@@ -200,7 +200,7 @@
     pub fn drain(&self, target: &str) {
         let running = self.targets.list.iter().find(|running| running.name == target);
         if let Some(running) = running {
-            running.behave(Behaviour { draining: true, ..Behaviour::default() });
+            running.set_behaviour(Behaviour { draining: true, ..Behaviour::default() });
         }
     }
 
@@ -239,7 +239,7 @@
     Layout { site: NAME.into(), version: 1, services: services.collect() }
 }
 
-fn target((ix, running): (usize, &Running)) -> TargetLayout {
+fn target((ix, running): (usize, &RunningTarget)) -> TargetLayout {
     TargetLayout {
         name: running.name.clone(),
         domain: DOMAINS[ix % DOMAINS.len()].into(),
--- a/testutils/src/spread.rs
+++ b/testutils/src/spread.rs
@@ -1,6 +1,6 @@
 //! How a fabric picks the instance for a packet.
 
-use crate::packet::Ends;
+use crate::packet::PacketHeader;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
     hash::{BuildHasher, Hash},
@@ -39,29 +39,29 @@
 }
 
 /// Picks instances in one of the [`Mode`]s.
-pub struct Spread {
+pub struct Picker {
     mode: Mode,
     rng: StdRng,
 }
 
-impl Spread {
+impl Picker {
     /// Makes a choice that repeats itself for the same `seed`.
     pub fn new(mode: Mode, seed: u64) -> Self {
         Self { mode, rng: StdRng::seed_from_u64(seed) }
     }
 
     /// The position in `names` of the instance that gets the packet.
-    pub fn pick<T: Hash>(&mut self, names: &[T], ends: &Ends) -> Option<usize> {
+    pub fn pick<T: Hash>(&mut self, names: &[T], header: &PacketHeader) -> Option<usize> {
         if names.is_empty() {
             return None;
         }
         Some(match self.mode {
             Mode::Spray => self.rng.random_range(0..names.len()),
             Mode::Hash => {
-                let rank = |&ix: &usize| hash(&(ends.src, ends.dst, &names[ix]));
+                let rank = |&ix: &usize| hash(&(header.src, header.dst, &names[ix]));
                 (0..names.len()).max_by_key(rank).unwrap_or(0)
             }
-            Mode::Reshuffle => hash(&(ends.src, ends.dst)) as usize % names.len(),
+            Mode::Reshuffle => hash(&(header.src, header.dst)) as usize % names.len(),
         })
     }
 }
--- a/testutils/src/target.rs
+++ b/testutils/src/target.rs
@@ -3,9 +3,9 @@
 use crate::{
     clock::Clock,
     fabric::{lock, v4},
-    profile::{Profile, Seen},
+    profile::{Profile, TargetCounts},
     server::Server,
-    udp::Inbox,
+    udp::BatchReceiver,
     web::{self, HttpServers},
 };
 use medlarspur_lib::time::Millis;
@@ -66,17 +66,17 @@
 }
 
 /// How long a quiet target sleeps at most, so that it sees changes in time.
-const NAP: Millis = Millis(50);
+const MAX_WAIT: Millis = Millis(50);
 
 /// Targets in this process. Their threads end with it.
 pub struct Targets {
     /// Each target, in the order of the profiles.
-    pub list: Vec<Running>,
+    pub list: Vec<RunningTarget>,
     _served: HttpServers,
 }
 
 /// One target that runs.
-pub struct Running {
+pub struct RunningTarget {
     /// Its name.
     pub name: String,
     /// Where instances send packets.
@@ -105,9 +105,9 @@
             let name = profile.name.clone();
             let shared = Arc::new(Shared::new(profile));
             let worker = Arc::clone(&shared);
-            thread::spawn(move || worker.run(Inbox::new(socket), returns));
-            sites.push((Arc::clone(&shared), routes![health, load, seen, behave]));
-            list.push(Running { name, addr, probe: any, shared });
+            thread::spawn(move || worker.run(BatchReceiver::new(socket), returns));
+            sites.push((Arc::clone(&shared), routes![health, load, counts, set_behaviour]));
+            list.push(RunningTarget { name, addr, probe: any, shared });
         }
         let served = web::serve(any, sites).context(ProbeSnafu)?;
         for (running, &probe) in list.iter_mut().zip(&served.addrs) {
@@ -117,15 +117,15 @@
     }
 }
 
-impl Running {
+impl RunningTarget {
     /// Changes how the target behaves.
-    pub fn behave(&self, behaviour: Behaviour) {
-        self.shared.behave(behaviour);
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour);
     }
 
     /// What the target has seen so far.
-    pub fn seen(&self) -> Seen {
-        lock(&self.shared.server).seen.clone()
+    pub fn counts(&self) -> TargetCounts {
+        lock(&self.shared.server).counts.clone()
     }
 }
 
@@ -139,20 +139,20 @@
         }
     }
 
-    fn run(&self, mut inbox: Inbox, returns: SocketAddrV4) {
+    fn run(&self, mut receiver: BatchReceiver, returns: SocketAddrV4) {
         loop {
             let now = self.clock.now();
             let (packets, next) = {
                 let mut server = lock(&self.server);
-                (server.poll(now), server.next())
+                (server.poll(now), server.next_poll())
             };
             let dead = lock(&self.behaviour).dead;
             for packet in packets.iter().filter(|_| !dead) {
                 // A packet that can't be sent is lost, as in a real network.
-                let _ = inbox.socket.send_to(packet, returns);
+                let _ = receiver.socket.send_to(packet, returns);
             }
-            let wait = next.unwrap_or(now + NAP).since(now).clamp(Millis(1), NAP);
-            let taken = inbox.take(Duration::from_millis(wait.0), |packet| {
+            let wait = next.unwrap_or(now + MAX_WAIT).since(now).clamp(Millis(1), MAX_WAIT);
+            let taken = receiver.receive(Duration::from_millis(wait.0), |packet| {
                 if !dead {
                     lock(&self.server).receive(packet);
                 }
@@ -163,22 +163,22 @@
         }
     }
 
-    fn behave(&self, behaviour: Behaviour) {
+    fn set_behaviour(&self, behaviour: Behaviour) {
         let mut server = lock(&self.server);
         server.draining = behaviour.draining;
         if let Some(work) = behaviour.work_ms {
-            server.profile.work = Millis(work);
+            server.profile.work_time = Millis(work);
         }
         *lock(&self.behaviour) = behaviour;
     }
 
     /// The load as the endpoint tells it: old, or a lie, if so set.
-    fn told(&self) -> Load {
+    fn reported_load(&self) -> Load {
         let behaviour = lock(&self.behaviour).clone();
         let now = self.clock.now();
         let mut sample = lock(&self.sample);
         let fresh = sample.filter(|(at, _)| now.since(*at) < Millis(behaviour.lag_ms));
-        let mut load = fresh.map_or_else(|| self.measure(), |(_, load)| load);
+        let mut load = fresh.map_or_else(|| self.current_load(), |(_, load)| load);
         if fresh.is_none() {
             *sample = Some((now, load));
         }
@@ -186,7 +186,7 @@
         load
     }
 
-    fn measure(&self) -> Load {
+    fn current_load(&self) -> Load {
         let server = lock(&self.server);
         let (connections, slots) = (server.connections(), server.work());
         Load { connections, slots, load: server.load() }
@@ -204,15 +204,15 @@
 
 #[get("/load")]
 fn load(shared: &State<Arc<Shared>>) -> Json<Load> {
-    Json(shared.told())
+    Json(shared.reported_load())
 }
 
 #[get("/seen")]
-fn seen(shared: &State<Arc<Shared>>) -> Json<Seen> {
-    Json(lock(&shared.server).seen.clone())
+fn counts(shared: &State<Arc<Shared>>) -> Json<TargetCounts> {
+    Json(lock(&shared.server).counts.clone())
 }
 
 #[put("/behaviour", data = "<behaviour>")]
-fn behave(shared: &State<Arc<Shared>>, behaviour: Json<Behaviour>) {
-    shared.behave(behaviour.into_inner());
+fn set_behaviour(shared: &State<Arc<Shared>>, behaviour: Json<Behaviour>) {
+    shared.set_behaviour(behaviour.into_inner());
 }
--- a/testutils/src/task.rs
+++ b/testutils/src/task.rs
@@ -27,7 +27,7 @@
     /// The whole answer came, or the feed ran until the caller ended it.
     Completed,
     /// It was established and came to no good end.
-    Broken(Breach),
+    Broken(BreakCause),
     /// It was turned away.
     Refused,
     /// Nothing answered the opening in time.
@@ -39,7 +39,7 @@
 /// How established work broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Breach {
+pub enum BreakCause {
     /// A reset came.
     Reset,
     /// Nothing came for as long as the caller waits.
@@ -49,7 +49,7 @@
 }
 
 /// How a line starts that turns work away.
-const REFUSAL: &[&str] = &["REFUSED", "HTTP/1.1 503"];
+const REFUSAL_PREFIXES: &[&str] = &["REFUSED", "HTTP/1.1 503"];
 
 /// A piece of work under way.
 pub(crate) struct Task {
@@ -58,7 +58,7 @@
     /// When the connection was opened.
     pub opened: Millis,
     /// When the target last showed a sign of life.
-    pub heard: Millis,
+    pub last_activity: Millis,
     /// Whether the handshake is over.
     pub established: bool,
     /// What has arrived and is not read yet.
@@ -94,7 +94,7 @@
         Self {
             work,
             opened,
-            heard: opened,
+            last_activity: opened,
             established: false,
             input: Vec::new(),
             output,
@@ -108,7 +108,7 @@
     }
 
     /// Whether it is a feed that its caller has held long enough.
-    pub fn over(&self, now: Millis) -> bool {
+    pub fn is_hold_over(&self, now: Millis) -> bool {
         self.work.class == Class::Feed && now.since(self.opened) >= self.work.hold
     }
 
@@ -119,44 +119,46 @@
                 return self.read_body(now);
             }
             let line = take_line(&mut self.input)?;
-            if let Some(end) = self.check(&line, now) {
+            if let Some(end) = self.check_line(&line, now) {
                 return Some(end);
             }
         }
     }
 
-    fn check(&mut self, line: &str, now: Millis) -> Option<End> {
-        if self.target.is_none() && REFUSAL.iter().any(|start| line.starts_with(start)) {
+    fn check_line(&mut self, line: &str, now: Millis) -> Option<End> {
+        if self.target.is_none() && REFUSAL_PREFIXES.iter().any(|start| line.starts_with(start)) {
             return Some(End::Refused);
         }
         let words = line.split(' ').collect::<Vec<_>>();
         match (self.work.class, words.as_slice()) {
-            (Class::Feed, ["HELLO", id, target, service]) => self.greet(id, target, service, now),
-            (Class::Feed, ["STRIKE", count]) => self.count(count),
-            (Class::Feed, ["ECHO", "ACK", count]) => self.echo(count),
+            (Class::Feed, ["HELLO", id, target, service]) => {
+                self.check_header(id, target, service, now)
+            }
+            (Class::Feed, ["STRIKE", count]) => self.check_feed_line(count),
+            (Class::Feed, ["ECHO", "ACK", count]) => self.check_echo(count),
             (Class::Request, ["DONE", id, target, service, len]) => {
                 self.expected = len.parse().unwrap_or(0);
-                let wrong = self.greet(id, target, service, now);
+                let wrong = self.check_header(id, target, service, now);
                 wrong.or((self.expected == 0).then_some(End::Completed))
             }
             (Class::Upload, ["STORED", id, target, service, len, hash]) => {
                 let own = blake3::hash(&body(&self.work.id, self.work.size)).to_hex();
                 let whole = *len == self.work.size.to_string() && *hash == own.as_str();
-                let wrong = self.greet(id, target, service, now);
+                let wrong = self.check_header(id, target, service, now);
                 wrong.or(Some(if whole { End::Completed } else { End::Wrong }))
             }
             _ => Some(End::Wrong),
         }
     }
 
-    fn greet(&mut self, id: &str, target: &str, service: &str, now: Millis) -> Option<End> {
+    fn check_header(&mut self, id: &str, target: &str, service: &str, now: Millis) -> Option<End> {
         self.target = Some(target.into());
         self.latency = Some(now.since(self.opened));
         let own = id == self.work.id && service == self.work.service;
         (!own).then_some(End::Wrong)
     }
 
-    fn count(&mut self, count: &str) -> Option<End> {
+    fn check_feed_line(&mut self, count: &str) -> Option<End> {
         let next = count == self.lines.to_string();
         self.lines += 1;
         self.output.extend(format!("ACK {count}\n").bytes());
@@ -165,7 +167,7 @@
 
     /// Each line is acknowledged and comes back, which shows that the feed
     /// carries both directions.
-    fn echo(&mut self, count: &str) -> Option<End> {
+    fn check_echo(&mut self, count: &str) -> Option<End> {
         let next = count == self.echoes.to_string();
         self.echoes += 1;
         (!next).then_some(End::Wrong)
--- a/testutils/src/traffic.rs
+++ b/testutils/src/traffic.rs
@@ -14,20 +14,20 @@
 
 /// How the fabric spreads packets over the instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spread {
+pub enum Distribution {
     /// Each packet to any instance.
-    Packets,
+    PerPacket,
     /// Each flow to one instance, while the list stays as it is.
-    Flows,
+    PerFlow,
 }
 
 /// A packet's part in a TCP connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
+pub enum SegmentKind {
     /// The first.
     Open,
     /// One of those after.
-    Middle,
+    Continue,
     /// The last.
     Close,
 }
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone)]
 pub enum Step {
     /// A packet was handed to an instance.
-    Sent(Millis, Part, usize),
+    Sent(Millis, SegmentKind, usize),
     /// A packet came to a target.
     Reached(Millis, SocketAddrV4),
 }
@@ -60,27 +60,33 @@
 pub struct Traffic {
     /// All flows, by the order in which they were opened.
     pub flows: Vec<Flow>,
-    spread: Spread,
+    distribution: Distribution,
     first: u32,
-    listed: Vec<usize>,
+    instances: Vec<usize>,
     index: Map<FlowKey, usize>,
 }
 
 impl Traffic {
-    /// No flow yet; the fabric sends to the instances in `listed`.
-    pub fn new(spread: Spread, listed: Vec<usize>) -> Traffic {
-        Traffic { flows: Vec::new(), spread, first: FIRST_CALLER, listed, index: Map::default() }
+    /// No flow yet; the fabric sends to the instances in `instances`.
+    pub fn new(distribution: Distribution, instances: Vec<usize>) -> Traffic {
+        Traffic {
+            flows: Vec::new(),
+            distribution,
+            first: FIRST_CALLER,
+            instances,
+            index: Map::default(),
+        }
     }
 
     /// Calls from other addresses than the traffic of another number.
-    pub fn numbered(mut self, number: u32) -> Traffic {
+    pub fn with_subnet(mut self, number: u32) -> Traffic {
         self.first += number << 16;
         self
     }
 
     /// The instances that the fabric sends to from now on.
-    pub fn list(&mut self, listed: Vec<usize>) {
-        self.listed = listed;
+    pub fn set_instances(&mut self, instances: Vec<usize>) {
+        self.instances = instances;
     }
 
     /// Opens a flow to `service`: its first packet and, right after the
@@ -99,40 +105,40 @@
             trace: Vec::new(),
         });
         let ix = self.flows.len() - 1;
-        self.send(fleet, ix, Part::Open);
+        self.send(fleet, ix, SegmentKind::Open);
         ix
     }
 
     /// Sends one packet of a flow through the fabric: its first one again as
     /// long as that has reached no target, but as a caller's TCP does it, not
     /// before [`RETRANSMIT`].
-    pub fn send(&mut self, fleet: &mut Fleet, ix: usize, part: Part) {
+    pub fn send(&mut self, fleet: &mut Fleet, ix: usize, kind: SegmentKind) {
         let flow = &self.flows[ix];
-        let part = if flow.target.is_none() { Part::Open } else { part };
+        let kind = if flow.target.is_none() { SegmentKind::Open } else { kind };
         let last = flow.trace.iter().rev().find_map(|step| match step {
-            Step::Sent(at, Part::Open, _) => Some(*at),
+            Step::Sent(at, SegmentKind::Open, _) => Some(*at),
             _ => None,
         });
-        if part == Part::Open && last.is_some_and(|at| fleet.now.since(at) < RETRANSMIT) {
+        if kind == SegmentKind::Open && last.is_some_and(|at| fleet.now.since(at) < RETRANSMIT) {
             return;
         }
-        let packet = segment(&self.flows[ix].key, part);
+        let packet = segment(&self.flows[ix].key, kind);
         // An instance that has no view yet drops the packet, and the caller's
         // TCP sends it again until it reaches one that has.
         let ready = |ix: &usize| fleet.nodes[*ix].forwarder.view().is_some();
-        let listed: Vec<_> = self.listed.iter().copied().filter(ready).collect();
-        let place = match self.spread {
-            Spread::Packets => fleet.random(listed.len() as u64) as usize,
-            Spread::Flows => rank(&self.flows[ix].key, &listed),
+        let instances: Vec<_> = self.instances.iter().copied().filter(ready).collect();
+        let position = match self.distribution {
+            Distribution::PerPacket => fleet.random(instances.len() as u64) as usize,
+            Distribution::PerFlow => pick_instance(&self.flows[ix].key, &instances),
         };
-        let instance = listed[place];
-        self.flows[ix].trace.push(Step::Sent(fleet.now, part, instance));
+        let instance = instances[position];
+        self.flows[ix].trace.push(Step::Sent(fleet.now, kind, instance));
         fleet.receive(instance, &packet);
-        self.collect(fleet);
+        self.record_arrivals(fleet);
     }
 
     /// Looks where packets have gone.
-    pub fn collect(&mut self, fleet: &mut Fleet) {
+    pub fn record_arrivals(&mut self, fleet: &mut Fleet) {
         for (target, bytes) in std::mem::take(&mut fleet.packets) {
             let Ok(packet) = medlarspur_lib::packet::Packet::parse(&bytes) else { continue };
             let Some(&ix) = self.index.get(&packet.key()) else { continue };
@@ -147,7 +153,7 @@
     }
 
     /// How many flows are broken. Prints the first of them.
-    pub fn broken(&self) -> usize {
+    pub fn count_broken(&self) -> usize {
         let broken: Vec<_> = self.flows.iter().filter(|flow| flow.broken).collect();
         if let Some(first) = broken.first() {
             println!("{first:?}");
@@ -158,18 +164,18 @@
 
 /// The instance of a flow in a fabric that hashes flows: the best by rendezvous
 /// hash, so that a change of the list moves few flows.
-fn rank(key: &FlowKey, listed: &[usize]) -> usize {
+fn pick_instance(key: &FlowKey, instances: &[usize]) -> usize {
     let flow = u64::from(u32::from(*key.caller.ip())) << 16 | u64::from(key.caller.port());
     let score = |instance: usize| {
         let mixed = (flow ^ (instance as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15))
             .wrapping_mul(0xbf58_476d_1ce4_e5b9);
         (mixed ^ mixed >> 31).wrapping_mul(0x94d0_49bb_1331_11eb)
     };
-    (0..listed.len()).max_by_key(|&place| score(listed[place])).unwrap_or(0)
+    (0..instances.len()).max_by_key(|&position| score(instances[position])).unwrap_or(0)
 }
 
 /// A bare TCP segment of a caller.
-pub fn segment(key: &FlowKey, part: Part) -> Vec<u8> {
+pub fn segment(key: &FlowKey, kind: SegmentKind) -> Vec<u8> {
     let mut bytes = vec![0; 40];
     bytes[0] = 0x45;
     bytes[3] = 40;
@@ -180,10 +186,10 @@
     bytes[20..22].copy_from_slice(&key.caller.port().to_be_bytes());
     bytes[22..24].copy_from_slice(&key.service.port().to_be_bytes());
     bytes[32] = 0x50;
-    bytes[33] = match part {
-        Part::Open => 0x02,
-        Part::Middle => 0x10,
-        Part::Close => 0x11,
+    bytes[33] = match kind {
+        SegmentKind::Open => 0x02,
+        SegmentKind::Continue => 0x10,
+        SegmentKind::Close => 0x11,
     };
     bytes
 }
--- a/testutils/src/web.rs
+++ b/testutils/src/web.rs
@@ -46,12 +46,12 @@
 /// the lines that a program's reader expects on its output.
 pub fn silence_logs() {
     // A logger that is set already is as good.
-    let _ = log::set_logger(&Silence);
+    let _ = log::set_logger(&DiscardLogs);
 }
 
-struct Silence;
+struct DiscardLogs;
 
-impl log::Log for Silence {
+impl log::Log for DiscardLogs {
     fn enabled(&self, _: &log::Metadata<'_>) -> bool {
         false
     }
@@ -62,7 +62,7 @@
 }
 
 /// The largest body; a bundle may have a megabyte.
-const LARGEST: &str = "2MiB";
+const MAX_BODY: &str = "2MiB";
 
 /// Starts a server for each state and its routes, the first on `addr` and the
 /// others on ports of the system's choice.
@@ -100,6 +100,6 @@
         .merge(("log_level", LogLevel::Off))
         .merge(("shutdown.ctrlc", false))
         .merge(("shutdown.signals", Vec::<String>::new()))
-        .merge(("limits.string", LARGEST))
-        .merge(("limits.json", LARGEST))
+        .merge(("limits.string", MAX_BODY))
+        .merge(("limits.json", MAX_BODY))
 }
--- a/testutils/tests/test_faults.rs
+++ b/testutils/tests/test_faults.rs
@@ -6,24 +6,24 @@
 };
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
-    client::Patience,
+    client::Timeouts,
     fabric::{self, Fabric},
     list::ListedState,
     spread::Mode,
-    target::{Behaviour, Running},
+    target::{Behaviour, RunningTarget},
     task::End,
 };
 
 /// The status of an endpoint of a target, and its text.
-fn get(running: &Running, path: &str) -> (u16, String) {
+fn get(running: &RunningTarget, path: &str) -> (u16, String) {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let mut answer = agent.get(format!("http://{}{path}", running.probe)).call().unwrap();
     (answer.status().as_u16(), answer.body_mut().read_to_string().unwrap())
 }
 
-fn impatient() -> Patience {
-    Patience { opening: Millis::secs(2), ..Patience::default() }
+fn impatient() -> Timeouts {
+    Timeouts { handshake: Millis::secs(2), ..Timeouts::default() }
 }
 
 #[test]
@@ -67,10 +67,10 @@
     let target = &targets.list[0];
 
     let truth = (get(target, "/health").0, get(target, "/load").1);
-    target.behave(Behaviour { draining: true, ..Behaviour::default() });
+    target.set_behaviour(Behaviour { draining: true, ..Behaviour::default() });
     let draining = get(target, "/health").0;
     let lie = Behaviour { health: Some(true), load: Some(0.9), dead: true, ..Behaviour::default() };
-    target.behave(lie);
+    target.set_behaviour(lie);
     let lies = (get(target, "/health").0, get(target, "/load").1);
 
     assert_eq!(truth, (200, r#"{"connections":0,"slots":0,"load":0.0}"#.into()));
@@ -83,7 +83,7 @@
 #[test]
 fn target_sheds_what_finds_no_place_in_its_queue() {
     let (mut client, mut server) = (client(), server());
-    (server.profile.slots, server.profile.waiting) = (1, 2);
+    (server.profile.slots, server.profile.queue_limit) = (1, 2);
     for id in 0..8 {
         client.open(Millis(0), work(&format!("{id}"), Class::Request));
     }
@@ -91,14 +91,14 @@
     let outcomes = run(&mut client, &mut server, 0.0, 1);
 
     let completed = ends(&outcomes).iter().filter(|&&end| end == End::Completed).count();
-    assert_eq!((completed, server.seen.shed, server.seen.runs.len()), (3, 5, 3));
+    assert_eq!((completed, server.counts.shed, server.counts.runs.len()), (3, 5, 3));
 }
 
 #[test]
 fn cold_target_is_slow_at_first() {
     let latency = |cold| {
         let (mut client, mut server) = (client(), server());
-        (server.profile.work, server.profile.cold) = (Millis(100), cold);
+        (server.profile.work_time, server.profile.cold_time) = (Millis(100), cold);
         client.open(Millis(100), work("r", Class::Request));
         run(&mut client, &mut server, 0.0, 1)[0].latency.unwrap()
     };
--- a/testutils/tests/test_host.rs
+++ b/testutils/tests/test_host.rs
@@ -2,10 +2,10 @@
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
-    client::{Client, Outcome, Patience},
+    client::{Client, Outcome, Timeouts},
     profile::Profile,
     server::Server,
-    task::{Breach, End, Work},
+    task::{BreakCause, End, Work},
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -20,8 +20,8 @@
 }
 
 pub fn client() -> Client {
-    let patience = Patience { opening: Millis::secs(100), silence: Millis::secs(100) };
-    Client::new(CALLER, patience)
+    let timeouts = Timeouts { handshake: Millis::secs(100), idle: Millis::secs(100) };
+    Client::new(CALLER, timeouts)
 }
 
 pub fn work(id: &str, class: Class) -> Work {
@@ -57,7 +57,7 @@
         }
         now = now + Millis(1);
     }
-    client.outcomes()
+    client.take_outcomes()
 }
 
 pub fn ends(outcomes: &[Outcome]) -> Vec<End> {
@@ -74,8 +74,8 @@
     let outcomes = run(&mut client, &mut server, 0.0, 1);
 
     assert_eq!(ends(&outcomes), [End::Completed; 3]);
-    assert_eq!(server.seen.runs.get("Request"), Some(&1));
-    assert_eq!((server.seen.stored, server.seen.strays), (1, 0));
+    assert_eq!(server.counts.runs.get("Request"), Some(&1));
+    assert_eq!((server.counts.stored, server.counts.strays), (1, 0));
 }
 
 #[test]
@@ -88,7 +88,7 @@
     let outcomes = run(&mut client, &mut server, 0.0, 1);
 
     assert_eq!(ends(&outcomes), [End::Refused, End::Completed]);
-    assert_eq!((server.seen.runs.len(), server.seen.late), (0, 1));
+    assert_eq!((server.counts.runs.len(), server.counts.late), (0, 1));
 }
 
 /// A back end dies without a word while a feed is open. The caller must see
@@ -100,7 +100,7 @@
 
     let outcomes = run(&mut client, &mut server, 1.0, 1);
 
-    assert_eq!(ends(&outcomes), [End::Broken(Breach::Silent)]);
+    assert_eq!(ends(&outcomes), [End::Broken(BreakCause::Silent)]);
 }
 
 /// A caller's machine dies while its request is at work. Somebody who then
@@ -108,7 +108,7 @@
 #[test]
 fn request_that_is_cut_short_counts_as_run() {
     let (mut client, mut server) = (client(), server());
-    server.profile.work = Millis::secs(10);
+    server.profile.work_time = Millis::secs(10);
     client.open(Millis(0), work("r", Class::Request));
     for step in 0..100 {
         client.poll(Millis(step)).iter().for_each(|packet| server.receive(packet));
@@ -117,8 +117,8 @@
 
     let outcomes = run(&mut client, &mut server, 1.0, 1);
 
-    assert_eq!(ends(&outcomes), [End::Broken(Breach::Silent)]);
-    assert_eq!(server.seen.runs.get("r"), Some(&1));
+    assert_eq!(ends(&outcomes), [End::Broken(BreakCause::Silent)]);
+    assert_eq!(server.counts.runs.get("r"), Some(&1));
 }
 
 proptest! {
@@ -134,7 +134,7 @@
         let outcomes = run(&mut client, &mut server, loss, seed);
 
         prop_assert_eq!(ends(&outcomes), [End::Completed; 3]);
-        prop_assert_eq!(server.seen.runs.get("Request"), Some(&1));
+        prop_assert_eq!(server.counts.runs.get("Request"), Some(&1));
     }
 }
 
@@ -171,5 +171,5 @@
             .extract_if(.., |(due, _)| *due <= now)
             .for_each(|(_, packet)| client.receive(&packet));
     }
-    client.outcomes()
+    client.take_outcomes()
 }
--- a/testutils/tests/test_path.rs
+++ b/testutils/tests/test_path.rs
@@ -6,11 +6,11 @@
 };
 use medlarspur_testutils::{
     caller::{Callers, Settings, Stream},
-    client::Patience,
+    client::Timeouts,
     fabric::{self, Fabric},
     layout::{Layout, ServiceLayout, TargetLayout},
     list::{Listed, ListedState},
-    packet::Ends,
+    packet::PacketHeader,
     profile::Profile,
     report::Report,
     spread::Mode,
@@ -24,7 +24,7 @@
 
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(10, 70, 0, 1);
 /// For work that has to complete, however busy the machine is.
-const PATIENT: Patience = Patience { opening: Millis::secs(60), silence: Millis::secs(60) };
+const PATIENT: Timeouts = Timeouts { handshake: Millis::secs(60), idle: Millis::secs(60) };
 const PORTS: [(u16, Class); 3] = [(1, Class::Feed), (2, Class::Request), (3, Class::Upload)];
 
 pub fn targets(fabric: &Fabric) -> Targets {
@@ -40,8 +40,8 @@
     thread::spawn(move || {
         let mut buffer = [0; 2048];
         while let Ok((len, _)) = socket.recv_from(&mut buffer) {
-            if let Some(ends) = Ends::parse(&buffer[..len]) {
-                let addr = addrs[usize::from(ends.src.port()) % addrs.len()];
+            if let Some(header) = PacketHeader::parse(&buffer[..len]) {
+                let addr = addrs[usize::from(header.src.port()) % addrs.len()];
                 let _ = socket.send_to(&buffer[..len], addr);
             }
         }
@@ -57,9 +57,9 @@
 }
 
 /// Calls until all streams are opened, then ends in an orderly way.
-pub fn call(fabric: &Fabric, streams: Vec<Stream>, patience: Patience) -> Report {
+pub fn call(fabric: &Fabric, streams: Vec<Stream>, timeouts: Timeouts) -> Report {
     let all = streams.iter().map(|stream| stream.total).sum::<u64>();
-    let settings = Settings { patience, ..Settings::new(fabric.callers) };
+    let settings = Settings { timeouts, ..Settings::new(fabric.callers) };
     let callers = Callers::start(settings, streams).unwrap();
     let opened = || callers.report().iter().map(|(_, _, row)| row.opened).sum::<u64>();
     for _ in 0..2000 {
@@ -85,7 +85,7 @@
     let load = ureq::get(format!("http://{}/load", targets.list[0].probe)).call().unwrap();
     let load = load.into_body().read_to_string().unwrap();
     assert!(load.contains(r#""slots":0"#), "{load}");
-    let runs = targets.list.iter().map(|running| running.seen().runs.len()).sum::<usize>();
+    let runs = targets.list.iter().map(|running| running.counts().runs.len()).sum::<usize>();
     assert_eq!(runs, 40);
 }
 
@@ -96,10 +96,10 @@
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Hash)).unwrap();
     let targets = targets(&fabric);
     fabric.set_list(vec![relay("x", &targets)]);
-    targets.list[0].behave(Behaviour { dead: true, ..Behaviour::default() });
+    targets.list[0].set_behaviour(Behaviour { dead: true, ..Behaviour::default() });
 
-    let patience = Patience { opening: Millis::secs(2), ..Patience::default() };
-    let report = call(&fabric, vec![stream(2, Class::Request, 40)], patience);
+    let timeouts = Timeouts { handshake: Millis::secs(2), ..Timeouts::default() };
+    let report = call(&fabric, vec![stream(2, Class::Request, 40)], timeouts);
 
     let (_, _, row) = report.iter().next().unwrap();
     assert_eq!(row.completed + row.unanswered, 40, "{row:?}");
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -2,20 +2,20 @@
 
 use medlarspur_lib::collections::Set;
 use medlarspur_testutils::{
-    packet::{Ends, Kind},
-    spread::{Mode, Spread},
+    packet::{Kind, PacketHeader},
+    spread::{Mode, Picker},
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-fn flow(port: u16) -> Ends {
+fn flow(port: u16) -> PacketHeader {
     let end = |last, port| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), port);
-    Ends { src: end(1, port), dst: end(2, 80), kind: Kind::Segment }
+    PacketHeader { src: end(1, port), dst: end(2, 80), kind: Kind::Segment }
 }
 
 /// The instances of 1000 flows, by name.
 fn picks(mode: Mode, names: &[&'static str]) -> Vec<&'static str> {
-    let mut spread = Spread::new(mode, 1);
-    (0..1000).map(|port| names[spread.pick(names, &flow(port)).unwrap()]).collect()
+    let mut picker = Picker::new(mode, 1);
+    (0..1000).map(|port| names[picker.pick(names, &flow(port)).unwrap()]).collect()
 }
 
 #[test]
@@ -30,9 +30,9 @@
 
 #[test]
 fn spray_sends_one_flow_to_many() {
-    let mut spread = Spread::new(Mode::Spray, 1);
+    let mut picker = Picker::new(Mode::Spray, 1);
 
-    let used = (0..100).map(|_| spread.pick(&["a", "b", "c"], &flow(1))).collect::<Set<_>>();
+    let used = (0..100).map(|_| picker.pick(&["a", "b", "c"], &flow(1))).collect::<Set<_>>();
 
     assert_eq!(used.len(), 3);
 }
