--- a/tests/examples/moves.rs
+++ b/tests/examples/moves.rs
@@ -18,7 +18,7 @@
 /// How many are opened after it, beside those of the fabric's lag.
 const LATER: usize = 4_000;
 /// The target that leaves, and where it is.
-const LEAVER: (&str, SocketAddrV4) =
+const LEAVING_TARGET: (&str, SocketAddrV4) =
     ("alertdesk-3", SocketAddrV4::new(Ipv4Addr::new(127, 8, 0, 3), 5555));
 
 /// Instances, and the failure domains that they are in, of the two sites.
@@ -52,15 +52,15 @@
         run.leave(2);
         run.unlist(6);
     }),
-    ("target leaves", leave),
+    ("target leaves", leave_target),
     ("target leaves, instance killed 0.5 s later", |run| {
-        leave(run);
+        leave_target(run);
         run.open(LATER / 5);
         run.kill(6);
         run.unlist(6);
     }),
     ("target leaves, instance killed 3 s later", |run| {
-        leave(run);
+        leave_target(run);
         run.open(LATER);
         run.advance(Millis(900));
         run.kill(6);
@@ -68,20 +68,20 @@
     }),
     ("target added to each service", |run| run.publish(|site| site.grown())),
     ("leaving called off after 0.7 s", |run| {
-        leave(run);
+        leave_target(run);
         run.open(1_200);
-        run.call_off(LEAVER.0);
+        run.cancel_leaving(LEAVING_TARGET.0);
     }),
-    ("domain cut off for a minute", |run| cut(run, |_| {})),
-    ("domain cut off, target leaves meanwhile", |run| cut(run, leave)),
+    ("domain cut off for a minute", |run| partition_domain(run, |_| {})),
+    ("domain cut off, target leaves meanwhile", |run| partition_domain(run, leave_target)),
 ];
 
-fn leave(run: &mut Run) {
-    run.drain(LEAVER.0);
+fn leave_target(run: &mut Run) {
+    run.start_leaving(LEAVING_TARGET.0);
 }
 
 /// The first domain's instances hear no others; the fabric reaches all.
-fn cut(run: &mut Run, event: fn(&mut Run)) {
+fn partition_domain(run: &mut Run, event: fn(&mut Run)) {
     let domains = run.domains as usize;
     run.fleet.partition(|ix| u8::from(ix % domains == 0));
     run.advance(Millis::secs(5));
@@ -117,10 +117,10 @@
 ) {
     run.open(flows);
     run.keep_alive();
-    let start = run.mark();
+    let start = run.start_counting();
     run.keep_alive();
     let [before, _] = run.control_rates(start);
-    let start = run.mark();
+    let start = run.start_counting();
     event(&mut run);
     run.open(LATER);
     run.keep_alive();
@@ -132,7 +132,7 @@
     let others = others.map(|(broken, ratio)| format!("{broken} ({ratio:.2})")).join(" | ");
     let fabric = if distribution == Distribution::PerPacket { "spray" } else { "hash" };
     let (count, silent) = (run.traffic.flows.len(), run.silent());
-    let last = run.left.map_or("–".into(), |at| run.last_new(LEAVER.1, at).0.to_string());
+    let last = run.left.map_or("–".into(), |at| run.last_new(LEAVING_TARGET.1, at).0.to_string());
     println!(
         "| {name} | {fabric} | {count} | {broken} | {silent} | {ratio:.2} | {before} | {mean} | {peak} | {last} | {others} |"
     );
--- a/tests/examples/moves/baseline.rs
+++ b/tests/examples/moves/baseline.rs
@@ -28,9 +28,9 @@
 
 /// What the baselines know.
 #[derive(Debug, Default)]
-pub struct Past {
+pub struct SiteHistory {
     epochs: Vec<Epoch>,
-    gone: Vec<(usize, Millis)>,
+    removed: Vec<(usize, Millis)>,
 }
 
 /// The time in which one bundle is in force.
@@ -43,14 +43,14 @@
 
 /// What became of a flow.
 #[derive(Debug, Default)]
-pub struct Fate {
+pub struct Replayed {
     /// The target that got its last packet.
     pub last: Option<SocketAddrV4>,
     /// Whether another target than the one that opened it got a packet.
     pub broken: bool,
 }
 
-impl Past {
+impl SiteHistory {
     /// From now on a bundle is in force.
     pub fn publish(&mut self, from: Millis, bundle: Arc<Bundle>) {
         let owners = bundle.services.iter().map(|service| owners(service)).collect();
@@ -58,43 +58,43 @@
     }
 
     /// From now on an instance gets no packet.
-    pub fn end(&mut self, instance: usize, at: Millis) {
-        self.gone.push((instance, at));
+    pub fn remove_instance(&mut self, instance: usize, at: Millis) {
+        self.removed.push((instance, at));
     }
 
     /// What becomes of a flow under a baseline.
-    pub fn replay(&self, baseline: Baseline, flow: &Flow) -> Fate {
-        let mut fate = Fate::default();
-        let mut seen = Map::default();
+    pub fn replay(&self, baseline: Baseline, flow: &Flow) -> Replayed {
+        let mut replayed = Replayed::default();
+        let mut observed = Map::default();
         let mut opened = None;
         for step in &flow.trace {
             let Step::Sent(at, kind, instance) = step else { continue };
-            if self.gone.iter().any(|(gone, since)| gone == instance && since <= at) {
+            if self.removed.iter().any(|(removed, since)| removed == instance && since <= at) {
                 continue;
             }
-            let known = seen.get(instance).copied().filter(|_| *kind != SegmentKind::Open);
+            let known = observed.get(instance).copied().filter(|_| *kind != SegmentKind::Open);
             let target = match baseline {
                 Baseline::Modulo => self.modulo(*at, &flow.key),
                 Baseline::Consistent => self.owner(*at, &flow.key),
                 Baseline::History if *kind == SegmentKind::Open => self.owner(*at, &flow.key),
                 Baseline::History => known.or_else(|| self.earlier(*at, &flow.key)),
             };
-            seen.extend(target.map(|target| (*instance, target)));
+            observed.extend(target.map(|target| (*instance, target)));
             if *kind == SegmentKind::Open {
                 opened = target;
             }
-            fate.broken |= target != opened;
-            fate.last = target;
+            replayed.broken |= target != opened;
+            replayed.last = target;
         }
-        fate
+        replayed
     }
 
     fn modulo(&self, at: Millis, key: &FlowKey) -> Option<SocketAddrV4> {
         let bundle = &self.epochs_before(at).next()?.bundle;
         let service = service(bundle, key)?;
-        let live: Vec<_> = active(&bundle.services[service]).collect();
+        let active: Vec<_> = active_targets(&bundle.services[service]).collect();
         let hash = Hasher::new(bundle.seed).id(key).0;
-        live.get((hash % live.len().max(1) as u64) as usize).copied()
+        active.get((hash % active.len().max(1) as u64) as usize).copied()
     }
 
     fn owner(&self, at: Millis, key: &FlowKey) -> Option<SocketAddrV4> {
@@ -123,8 +123,8 @@
 }
 
 fn owners(service: &Service) -> Vec<SocketAddrV4> {
-    let dealt = table::assign_buckets(service).unwrap_or_default();
-    dealt.iter().map(|target| service.targets[usize::from(target.0)].address).collect()
+    let assigned = table::assign_buckets(service).unwrap_or_default();
+    assigned.iter().map(|target| service.targets[usize::from(target.0)].address).collect()
 }
 
 fn service(bundle: &Bundle, key: &FlowKey) -> Option<usize> {
@@ -132,7 +132,7 @@
 }
 
 /// The targets that take new flows.
-pub fn active(service: &Service) -> impl Iterator<Item = SocketAddrV4> {
+pub fn active_targets(service: &Service) -> impl Iterator<Item = SocketAddrV4> {
     let takers = service.targets.iter().filter(|target| target.state == TargetState::Active);
     takers.map(|target| target.address)
 }
--- a/tests/examples/moves/run.rs
+++ b/tests/examples/moves/run.rs
@@ -1,6 +1,6 @@
 //! One run: a fleet, its traffic, and what both did.
 
-use crate::baseline::{Baseline, Past, active};
+use crate::baseline::{Baseline, SiteHistory, active_targets};
 use medlarspur_lib::{bundle::Bundle, collections::Map, time::Millis};
 use medlarspur_testutils::{
     bundles::{FEEDS, SiteBuilder, UPLOADS},
@@ -12,9 +12,9 @@
 /// How often each flow sends at least.
 const KEEPALIVE: Millis = Millis::secs(30);
 /// How many flows are opened at one moment.
-const TOGETHER: usize = 10;
+const BATCH: usize = 10;
 /// The time between such moments: two thousand new flows a second.
-const BETWEEN: Millis = Millis(5);
+const BATCH_INTERVAL: Millis = Millis(5);
 /// How finely the control bytes of a second are counted.
 const STEP: Millis = Millis(100);
 /// How long the fabric goes on sending to an instance that was killed.
@@ -31,7 +31,7 @@
     /// When a target was told to leave, if it still is.
     pub left: Option<Millis>,
     site: SiteBuilder,
-    past: Past,
+    history: SiteHistory,
     listed: Vec<usize>,
     mark: (Millis, u64),
     peak: u64,
@@ -45,15 +45,15 @@
             Fleet::new(instances, domains, &site.bundle(), Network { seed, ..Network::default() });
         let listed: Vec<_> = (0..instances).collect();
         let traffic = Traffic::new(distribution, listed.clone());
-        let mut past = Past::default();
-        past.publish(Millis(0), site.bundle());
+        let mut history = SiteHistory::default();
+        history.publish(Millis(0), site.bundle());
         Run {
             fleet,
             traffic,
             domains,
             left: None,
             site,
-            past,
+            history,
             listed,
             mark: (Millis(0), 0),
             peak: 0,
@@ -74,12 +74,12 @@
 
     /// Opens flows, a fifth of them uploads, a second packet right after each.
     pub fn open(&mut self, count: usize) {
-        for first in (0..count).step_by(TOGETHER) {
-            let flows: Vec<_> = (first..(first + TOGETHER).min(count))
+        for first in (0..count).step_by(BATCH) {
+            let flows: Vec<_> = (first..(first + BATCH).min(count))
                 .map(|number| if number.is_multiple_of(5) { UPLOADS } else { FEEDS })
                 .map(|service| self.traffic.open(&mut self.fleet, service))
                 .collect();
-            self.advance(BETWEEN);
+            self.advance(BATCH_INTERVAL);
             self.traffic.record_arrivals(&mut self.fleet);
             for flow in flows {
                 self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
@@ -110,17 +110,17 @@
         self.site = change(self.site.clone());
         let bundle = self.site.bundle();
         self.fleet.publish(&bundle);
-        self.past.publish(self.fleet.now, bundle);
+        self.history.publish(self.fleet.now, bundle);
     }
 
     /// Publishes that a target leaves.
-    pub fn drain(&mut self, target: &str) {
+    pub fn start_leaving(&mut self, target: &str) {
         self.publish(|site| site.leaving(target));
         self.left = Some(self.fleet.now);
     }
 
     /// Publishes that a target that was to leave stays.
-    pub fn call_off(&mut self, target: &str) {
+    pub fn cancel_leaving(&mut self, target: &str) {
         self.publish(|site| site.returning(target));
         self.left = None;
     }
@@ -128,12 +128,12 @@
     /// Kills an instance; the fabric's list lags.
     pub fn kill(&mut self, ix: usize) {
         self.fleet.kill(ix);
-        self.past.end(ix, self.fleet.now);
+        self.history.remove_instance(ix, self.fleet.now);
     }
 
     /// The fabric's list loses an instance after its lag, with new flows on.
     pub fn unlist(&mut self, ix: usize) {
-        self.open((LIST_LAG.0 / BETWEEN.0) as usize * TOGETHER);
+        self.open((LIST_LAG.0 / BATCH_INTERVAL.0) as usize * BATCH);
         self.listed.retain(|&other| other != ix);
         self.traffic.set_instances(self.listed.clone());
     }
@@ -143,7 +143,7 @@
         self.fleet.leave(ix);
         self.unlist(ix);
         self.fleet.retire(ix);
-        self.past.end(ix, self.fleet.now);
+        self.history.remove_instance(ix, self.fleet.now);
     }
 
     /// An instance joins and gets packets at once.
@@ -153,7 +153,7 @@
     }
 
     /// Starts the measure of the control bytes.
-    pub fn mark(&mut self) -> (Millis, u64) {
+    pub fn start_counting(&mut self) -> (Millis, u64) {
         self.peak = 0;
         self.mark = (self.fleet.now, self.fleet.control_bytes);
         self.mark
@@ -187,10 +187,10 @@
 
     /// Broken flows and imbalance, of a baseline on the same packets.
     pub fn baseline(&self, baseline: Baseline) -> (usize, f64) {
-        let fates: Vec<_> =
-            self.traffic.flows.iter().map(|flow| self.past.replay(baseline, flow)).collect();
-        let broken = fates.iter().filter(|fate| fate.broken).count();
-        (broken, imbalance(&self.site.bundle(), fates.iter().filter_map(|fate| fate.last)))
+        let replays: Vec<_> =
+            self.traffic.flows.iter().map(|flow| self.history.replay(baseline, flow)).collect();
+        let broken = replays.iter().filter(|replay| replay.broken).count();
+        (broken, imbalance(&self.site.bundle(), replays.iter().filter_map(|replay| replay.last)))
     }
 }
 
@@ -202,8 +202,9 @@
         *counts.entry(target).or_default() += 1;
     }
     let ratio = |service: &Arc<medlarspur_lib::bundle::Service>| {
-        let each: Vec<_> =
-            active(service).map(|target| counts.get(&target).copied().unwrap_or(0)).collect();
+        let each: Vec<_> = active_targets(service)
+            .map(|target| counts.get(&target).copied().unwrap_or(0))
+            .collect();
         let mean = each.iter().sum::<usize>() as f64 / each.len() as f64;
         each.into_iter().max().unwrap_or(0) as f64 / mean
     };
--- a/tests/tests/test_changes.rs
+++ b/tests/tests/test_changes.rs
@@ -150,7 +150,7 @@
 /// commits of the packet path tell them. A user saw a silent feed after changes
 /// that were all planned.
 #[test]
-fn changes_that_once_broke_flows() {
+fn earlier_failures_break_no_flow() {
     use Change::{Grow, Join, Leave, Retire, Return};
     let cases: [Case; 10] = [
         (&[(Retire(0), 50), (Leave(2), 50)], false, 0),
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -23,13 +23,13 @@
 }
 
 /// How many flows are opened at one moment.
-const TOGETHER: usize = 10;
+const BATCH: usize = 10;
 
 /// Opens `count` flows, some every few milliseconds, a second packet right
 /// after each.
 fn open_flows(fleet: &mut Fleet, traffic: &mut Traffic, count: usize) {
-    for first in (0..count).step_by(TOGETHER) {
-        let numbers = first..(first + TOGETHER).min(count);
+    for first in (0..count).step_by(BATCH) {
+        let numbers = first..(first + BATCH).min(count);
         let service = |number: usize| if number.is_multiple_of(5) { UPLOADS } else { FEEDS };
         let flows: Vec<_> = numbers.map(|n| traffic.open(fleet, service(n))).collect();
         fleet.advance(Millis(5));
@@ -90,7 +90,7 @@
 /// Two seconds after the news that a target leaves, new flows still reach it.
 /// Work that it takes on so late is cut when its host goes down.
 #[test]
-fn a_leaving_target_gets_nothing_new_after_two_seconds() {
+fn a_leaving_target_gets_no_new_flow_after_two_seconds() {
     let site = SiteBuilder::new(14, 4);
     let leaving = site.bundle().services[0].targets[3].address;
     let mut fleet = fleet(&site);
@@ -108,7 +108,7 @@
 /// flow's next packet reaches the one that is behind. A user's new feed breaks
 /// right after it was opened.
 #[test]
-fn a_planned_move_breaks_no_flow_while_its_news_spreads() {
+fn a_planned_move_breaks_no_flow_while_it_spreads() {
     let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
     let mut traffic = Traffic::new(Distribution::PerPacket, (0..8).collect());
@@ -133,7 +133,7 @@
 /// memory and gets packets of flows that it never saw, the old one leaves the
 /// fabric's list late. Users notice feeds that break when nothing failed.
 #[test]
-fn an_instance_is_replaced_while_a_target_drains() {
+fn replacing_an_instance_while_a_target_drains_breaks_no_flow() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
         let site = SiteBuilder::new(14, 4);
         let mut fleet = fleet(&site);
@@ -160,7 +160,7 @@
 /// for the present one: a user's packet would go to a target that never knew
 /// the flow.
 #[test]
-fn an_instance_that_slept_asks_before_it_acts() {
+fn an_instance_that_slept_asks_peers_before_it_forwards() {
     let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
     let mut traffic = Traffic::new(Distribution::PerPacket, (0..8).collect());
@@ -185,7 +185,7 @@
 /// Operators call a target's leaving off two seconds after they published it.
 /// Flows of both times must stay where they are.
 #[test]
-fn a_move_that_is_called_off_breaks_nothing() {
+fn a_cancelled_move_breaks_no_flow() {
     for pause in [100, 700, 1500, 5000] {
         let site = SiteBuilder::new(14, 4);
         let mut fleet = fleet(&site);
@@ -229,7 +229,7 @@
 /// cut any packet may reach any instance again, and a feed that was opened
 /// during the move must not be sent elsewhere by an instance of the other side.
 #[test]
-fn a_cut_that_heals_breaks_no_flow() {
+fn a_healed_partition_breaks_no_flow() {
     let sides = [vec![0, 1, 4, 5], vec![2, 3, 6, 7]];
     let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
@@ -272,7 +272,7 @@
 /// first packet. The answer is lost, the packet is repeated while its bucket
 /// moves, and another target gets it: a booking would be committed twice.
 #[test]
-fn an_opening_with_data_reaches_no_target() {
+fn a_syn_with_data_reaches_no_target() {
     let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
     let caller = "10.0.0.1:40000".parse().expect("an address");
@@ -293,7 +293,7 @@
 /// instance dies, a keeper that has forgotten them denies them, and they are
 /// sent to the present owner: long feeds break that everybody took for safe.
 #[test]
-fn keepers_remember_flows_through_a_quiet_time() {
+fn keepers_remember_flows_while_nothing_changes() {
     let site = SiteBuilder::new(14, 4);
     let mut fleet = fleet(&site);
     let mut traffic = Traffic::new(Distribution::PerFlow, (0..8).collect());
--- a/tests/tests/test_processes.rs
+++ b/tests/tests/test_processes.rs
@@ -24,14 +24,14 @@
 };
 
 /// Far longer than anything here takes on a busy machine.
-const LIMIT: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long the fabric goes on sending to an instance that is gone.
-const LAG: Duration = Duration::from_millis(500);
+const LIST_LAG: Duration = Duration::from_millis(500);
 /// Long enough for every feed to carry some lines and their acknowledgements.
-const LINES: Duration = Duration::from_secs(2);
+const FEED_TIME: Duration = Duration::from_secs(2);
 /// How long after the news that it leaves a target must still take openings.
-const DRAIN: Duration = Duration::from_secs(2);
+const DRAIN_TIME: Duration = Duration::from_secs(2);
 const FEEDS: u64 = 60;
 
 /// A site under a fabric that sprays packets, and its callers.
@@ -68,9 +68,9 @@
         stream("ingest", Class::Upload, "10.70.0.2:7003", 8.0, 0),
     ];
     let callers = Callers::start(Settings::new(site.fabric.callers), streams).expect("callers");
-    let begun =
+    let started =
         || callers.report().iter().any(|(_, class, row)| class == "feed" && row.opened == FEEDS);
-    await_that("the feeds begin", begun);
+    wait_until("the feeds begin", started);
     Trial { site, callers }
 }
 
@@ -79,9 +79,9 @@
     /// upload came to its good end, nothing ran twice, no packet reached a target
     /// of the other service, and no opening one that has left.
     fn conclude(self) {
-        let report = self.callers.stop(LIMIT);
+        let report = self.callers.stop(TIMEOUT);
         for (service, class, row) in report.iter() {
-            assert_eq!(bad(row), [0; 3], "{service} {class}: {row:?}");
+            assert_eq!(failures(row), [0; 3], "{service} {class}: {row:?}");
             assert!(row.completed > 0, "{service} {class}: {row:?}");
         }
         assert_eq!(report.rows["alertdesk"]["feed"].completed, FEEDS, "{report:?}");
@@ -105,15 +105,15 @@
     }
 }
 
-fn bad(row: &Row) -> [u64; 3] {
+fn failures(row: &Row) -> [u64; 3] {
     [row.broken, row.wrong, row.pending]
 }
 
-fn await_that(what: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < LIMIT, "in vain: {what}");
-        thread::sleep(PAUSE);
+        assert!(start.elapsed() < TIMEOUT, "in vain: {what}");
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -124,18 +124,18 @@
     status.bundle.expect("a bundle in force")
 }
 
-fn await_version(operators: &[SocketAddrV4], version: u64) {
-    await_that("the version", || operators.iter().all(|it| bundle(*it).version.0 == version));
+fn wait_for_version(operators: &[SocketAddrV4], version: u64) {
+    wait_until("the version", || operators.iter().all(|it| bundle(*it).version.0 == version));
 }
 
 /// Looks for a while whether an instance leaves the version.
-fn assert_stays(operators: &[SocketAddrV4], version: u64) {
+fn assert_version_stays(operators: &[SocketAddrV4], version: u64) {
     let start = Instant::now();
-    while start.elapsed() < LINES {
+    while start.elapsed() < FEED_TIME {
         for operator in operators {
             assert_eq!(bundle(*operator).version.0, version);
         }
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
@@ -147,12 +147,12 @@
     let mut trial = trial(3);
 
     trial.site.kill().expect("it is killed");
-    thread::sleep(LAG);
-    await_that("it is gone", || {
+    thread::sleep(LIST_LAG);
+    wait_until("it is gone", || {
         trial.site.remove_ended();
         trial.site.instances.len() == 2
     });
-    thread::sleep(LINES);
+    thread::sleep(FEED_TIME);
 
     trial.conclude();
 }
@@ -162,19 +162,19 @@
 /// old bundle, feeds would break, or a request that another instance has
 /// placed already would run a second time.
 #[test]
-fn a_frozen_instance_wakes_to_the_newer_bundle() {
+fn a_frozen_instance_takes_the_newer_bundle() {
     let mut trial = trial(3);
     let operators = trial.operators();
 
     trial.site.instances[1].signal(Signal::SIGSTOP).expect("it is frozen");
     trial.site.publish_leaving("alertdesk-1");
-    await_version(&[operators[0], operators[2]], 2);
-    thread::sleep(DRAIN);
+    wait_for_version(&[operators[0], operators[2]], 2);
+    thread::sleep(DRAIN_TIME);
     trial.site.drain("alertdesk-1");
     trial.site.instances[1].signal(Signal::SIGCONT).expect("it is woken");
 
-    await_version(&operators, 2);
-    assert_stays(&operators, 2);
+    wait_for_version(&operators, 2);
+    assert_version_stays(&operators, 2);
     trial.conclude();
 }
 
@@ -187,20 +187,20 @@
     let mut trial = trial(2);
     let old = trial.site.signed();
     trial.site.publish_leaving("alertdesk-1");
-    await_version(&trial.operators(), 2);
-    thread::sleep(DRAIN);
+    wait_for_version(&trial.operators(), 2);
+    thread::sleep(DRAIN_TIME);
     trial.site.drain("alertdesk-1");
 
     trial.site.platform.set_fault(Fault { down: true, ..Fault::default() });
     trial.site.join().expect("it gets ready by its peers");
     let operators = trial.operators();
-    assert_stays(&operators, 2);
+    assert_version_stays(&operators, 2);
     trial.site.platform.publish(&old);
     trial.site.platform.set_fault(Fault::default());
     let calls = trial.site.platform.calls().bundle;
-    await_that("the old bundle is read", || trial.site.platform.calls().bundle > calls + 3);
+    wait_until("the old bundle is read", || trial.site.platform.calls().bundle > calls + 3);
 
-    assert_stays(&operators, 2);
+    assert_version_stays(&operators, 2);
     trial.conclude();
 }
 
@@ -209,7 +209,7 @@
 /// Instances that stayed apart would send one flow to two targets; operators
 /// have to see that there was a race, since one of the changes is not in force.
 #[test]
-fn a_race_of_operators_ends_in_one_bundle() {
+fn concurrent_publications_converge_on_one_bundle() {
     let mut trial = trial(3);
     let operators = trial.operators();
     let mut other = trial.site.layout.clone();
@@ -226,9 +226,9 @@
         let alike = |it: &BundleStatus| it.version.0 == 2 && it.digest == bundles[0].digest;
         bundles.iter().all(|it| alike(it) && it.conflict)
     };
-    await_that("the instances agree and show the conflict", agreed);
+    wait_until("the instances agree and show the conflict", agreed);
     let digest = bundle(operators[0]).digest;
-    assert_stays(&operators, 2);
+    assert_version_stays(&operators, 2);
     assert!(operators.iter().all(|operator| bundle(*operator).digest == digest));
     trial.conclude();
 }
@@ -236,15 +236,15 @@
 /// An instance is taken out for an update while uploads run through it. Users
 /// notice uploads that are cut and have to be sent again.
 #[test]
-fn an_instance_that_leaves_cuts_no_upload() {
+fn a_leaving_instance_breaks_no_upload() {
     let mut trial = trial(3);
 
     trial.site.leave().expect("it is asked to leave");
-    await_that("it ends", || {
+    wait_until("it ends", || {
         trial.site.remove_ended();
         trial.site.instances.len() == 2
     });
-    thread::sleep(LINES);
+    thread::sleep(FEED_TIME);
 
     trial.conclude();
 }
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -16,13 +16,13 @@
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-const WORDS: &str = "HTTP/1.1 503 Busy\r\nRetry-After: {seconds}\r\n\r\n";
-const TOLD: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 007\r\n\r\n";
+const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nRetry-After: {seconds}\r\n\r\n";
+const EXPECTED: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 007\r\n\r\n";
 
 /// Turns everybody away for seven seconds.
-struct Closed;
+struct RefuseAll;
 
-impl Gate for Closed {
+impl Gate for RefuseAll {
     fn open(&mut self, _: Millis, _: &Opening) -> Verdict {
         Verdict::Refuse { after: Millis::secs(7) }
     }
@@ -65,7 +65,7 @@
 /// Two instances before a closed gate, and a caller whose packets reach them
 /// in turn.
 struct Scene {
-    instances: [Forwarder<Closed>; 2],
+    instances: [Forwarder<RefuseAll>; 2],
     caller: Host,
     sent: Sent,
     turn: usize,
@@ -99,10 +99,10 @@
     }
 }
 
-fn instance(name: &str, site: &SiteBuilder) -> Forwarder<Closed> {
+fn instance(name: &str, site: &SiteBuilder) -> Forwarder<RefuseAll> {
     let mut draft = Draft::first(InstanceName::new(name), &site.bundle(), Millis(0));
     draft.advance(PUBLISH_DELAY);
-    let mut forwarder = Forwarder::new(Closed, 16);
+    let mut forwarder = Forwarder::new(RefuseAll, 16);
     forwarder.install(draft.commit().expect("a view"), PUBLISH_DELAY);
     forwarder
 }
@@ -112,17 +112,17 @@
 /// a common cookie the second would take the caller's packet for a flow of a
 /// target, and the caller would get a reset in place of when to come back.
 #[test]
-fn a_caller_is_told_in_words_when_to_come_back() {
-    let mut scene = Scene::new(&SiteBuilder::new(4, 2).refusal(WORDS));
+fn a_refused_caller_gets_the_refusal_text() {
+    let mut scene = Scene::new(&SiteBuilder::new(4, 2).refusal(REFUSAL));
 
     let conn = scene.call();
     scene.caller.send(conn, b"REQ 1\n");
     scene.run();
-    let told = scene.caller.recv(conn);
+    let received = scene.caller.recv(conn);
     scene.caller.close(conn);
     scene.run();
 
-    assert_eq!(String::from_utf8_lossy(&told), TOLD);
+    assert_eq!(String::from_utf8_lossy(&received), EXPECTED);
     assert_ne!(scene.caller.stage(conn), Stage::Broken);
     assert_eq!(scene.sent.forwarded, 0);
 }
@@ -130,7 +130,7 @@
 /// Without words a reset says at once that nothing was run; a caller that only
 /// heard silence would wait for its own time limit.
 #[test]
-fn a_caller_without_words_gets_a_reset_at_once() {
+fn a_refused_caller_gets_a_reset_without_refusal_text() {
     let mut scene = Scene::new(&SiteBuilder::new(4, 2));
 
     let conn = scene.call();
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -47,7 +47,7 @@
 /// names a target of ingestion. Followed, a subscriber's acknowledgement would
 /// reach a host that takes it for a part of an upload.
 #[test]
-fn a_wrong_answer_leads_to_no_other_service() {
+fn a_wrong_answer_leads_to_no_target_of_another_service() {
     let mut fleet = Fleet::new(4, 2, &SiteBuilder::new(4, 4).bundle(), Network::default());
     let now = fleet.now;
     let forwarder = &mut fleet.nodes[0].forwarder;
--- a/testutils/src/bin/capacity/roles.rs
+++ b/testutils/src/bin/capacity/roles.rs
@@ -16,31 +16,31 @@
 /// Keepers of a service, and of a bucket.
 const KEEPERS: (f64, f64) = (4.0, 2.0);
 /// Readers and probers in each failure domain.
-const PAIR: f64 = 2.0;
+const PER_DOMAIN: f64 = 2.0;
 /// The time between two probes of a target, and the wait of a watch, in
 /// seconds.
 const PROBE_PERIOD: f64 = 2.0;
 const WATCH_WAIT: f64 = 25.0;
 /// Bytes that gRPC and mutual TLS add to a message, from the example
 /// `call_cost` of `medlarspur-peer`.
-const CALL: f64 = 181.0;
+const CALL_OVERHEAD: f64 = 181.0;
 /// The text of a service with two targets in a bundle, in bytes.
 const SERVICE_TEXT: f64 = 247.0;
 
 /// What carries the repair after a partition; no part of an ordinary second.
-const HEALING: &str = "bounded rumours";
+const REPAIR: &str = "bounded rumours";
 
 /// The limits of letter 1 for control on a node.
-const CORE: Limit = Limit { most: 1.8, unit: Unit::Core };
-const MEMORY: Limit = Limit { most: 256e6, unit: Unit::Bytes };
-const TRAFFIC: Limit = Limit { most: 8e3, unit: Unit::Rate };
-const IN_FORCE: Limit = Limit { most: 4_000.0, unit: Unit::Millis };
+const CORE: Limit = Limit { max: 1.8, unit: Unit::Core };
+const MEMORY: Limit = Limit { max: 256e6, unit: Unit::Bytes };
+const TRAFFIC: Limit = Limit { max: 8e3, unit: Unit::Rate };
+const LATENCY: Limit = Limit { max: 4_000.0, unit: Unit::Millis };
 /// The platform's calls a second, of all readers.
-const CALLS: Limit = Limit { most: 2_000.0, unit: Unit::Calls };
+const CALLS: Limit = Limit { max: 2_000.0, unit: Unit::Calls };
 
 #[derive(Debug, Clone, Copy)]
 pub struct Limit {
-    most: f64,
+    max: f64,
     unit: Unit,
 }
 
@@ -54,7 +54,7 @@
 }
 
 impl Unit {
-    fn show(self, value: f64) -> String {
+    fn format(self, value: f64) -> String {
         match self {
             Unit::Core => format!("{value:.3} % of a core"),
             Unit::Bytes => format!("{:.1} MB", value / 1e6),
@@ -75,13 +75,13 @@
 }
 
 /// A day's work in microseconds as a share of a core.
-fn share(micros: f64) -> f64 {
+fn core_share(micros: f64) -> f64 {
     micros / 1e6 / DAY * 100.0
 }
 
 /// All costs by role.
 pub fn rows(slopes: &Slopes) -> Result<Vec<Row>, SlopesError> {
-    let parts = [forwarder, keeper, reader, bundle, member, target, together];
+    let parts = [forwarder, keeper, reader, bundle, member, target, totals];
     let rows: Result<Vec<_>, _> = parts.iter().map(|part| part(slopes)).collect();
     Ok(rows?.into_iter().flatten().collect())
 }
@@ -99,7 +99,7 @@
 fn forwarder(s: &Slopes) -> Result<Vec<Row>, SlopesError> {
     let role = "forwarder";
     let one = s.at("flow-memory", FLOWS / NODES)?;
-    let near = s.at("flow-memory", FLOWS / DOMAINS)?;
+    let domain = s.at("flow-memory", FLOWS / DOMAINS)?;
     let all = s.at("flow-memory", FLOWS)?;
     let tables = s.at("view-memory", ADDRESSES)?;
     let pause = s.at("follow-micros", ADDRESSES)? / 1e3;
@@ -107,17 +107,17 @@
     let entries = "24-byte entries keyed by a hash";
     Ok(vec![
         row(role, "flow table, a flow stays at one instance", one, MEMORY, entries),
-        row(role, "flow table, packets sprayed in a failure domain", near, MEMORY, entries),
+        row(role, "flow table, packets sprayed in a failure domain", domain, MEMORY, entries),
         row(role, "flow table, packets sprayed over all", all, MEMORY, entries),
         row(role, "the view's tables", tables, MEMORY, "1,024 buckets a service"),
         row(
             role,
             "packets wait while a view is taken",
             pause,
-            IN_FORCE,
+            LATENCY,
             "unchanged services are shared",
         ),
-        row(role, "a question written and read", answer, IN_FORCE, "one datagram each way"),
+        row(role, "a question written and read", answer, LATENCY, "one datagram each way"),
     ])
 }
 
@@ -126,9 +126,9 @@
     let flows = FLOWS / HOSTS * KEEPERS.1 / KEEPERS.0;
     let empty = s.at("advert-bytes", 0.0)?;
     let each = s.at("advert-bytes", 1.0)? - empty;
-    let told = empty + CALL;
+    let message = empty + CALL_OVERHEAD;
     let memory = s.at("kept-memory", flows)?;
-    let day = CHANGES / DAY * KEEPERS.0 * told;
+    let day = CHANGES / DAY * KEEPERS.0 * message;
     Ok(vec![
         row(
             role,
@@ -141,7 +141,7 @@
         row(
             role,
             "\"told all\" of every instance after a change, if in one second",
-            NODES * told,
+            NODES * message,
             TRAFFIC,
             "one message an instance and keeper",
         ),
@@ -153,7 +153,7 @@
     let role = "platform reader";
     let whole = SERVICE_TEXT * ADDRESSES * CHANGES / DAY;
     let idle = s.at("watch-bytes", 2.0)? / WATCH_WAIT;
-    let calls = PAIR * DOMAINS * (2.0 / WATCH_WAIT + CHANGES / DAY);
+    let calls = PER_DOMAIN * DOMAINS * (2.0 / WATCH_WAIT + CHANGES / DAY);
     Ok(vec![
         row(
             role,
@@ -182,11 +182,11 @@
         row(
             role,
             "checking a bundle's text, a day's changes",
-            share(CHANGES * check),
+            core_share(CHANGES * check),
             CORE,
             "whole text, one parse",
         ),
-        row(role, "the same, one change", check / 1e3, IN_FORCE, "whole text, one parse"),
+        row(role, "the same, one change", check / 1e3, LATENCY, "whole text, one parse"),
         row(
             role,
             "putting it in force, a day's changes",
@@ -200,7 +200,7 @@
 /// The share of a core for putting a day's changes in force.
 fn install(s: &Slopes) -> Result<f64, SlopesError> {
     let micros = s.at("install-micros", ADDRESSES)? + s.at("follow-micros", ADDRESSES)?;
-    Ok(share(CHANGES * micros))
+    Ok(core_share(CHANGES * micros))
 }
 
 fn member(s: &Slopes) -> Result<Vec<Row>, SlopesError> {
@@ -211,8 +211,8 @@
     let change = s.at("change-bytes", NODES)? * CHANGES / DAY;
     let healing = s.at("heal-bytes", NODES)?;
     let last = s.at("change-millis", NODES)?;
-    let keepers = share(TURNOVER * s.at("members-micros", NODES)?);
-    let duties = share(DAY * s.at("duties-micros", NODES)?);
+    let keepers = core_share(TURNOVER * s.at("members-micros", NODES)?);
+    let duties = core_share(DAY * s.at("duties-micros", NODES)?);
     let few = "a bounded number of neighbours";
     Ok(vec![
         row(
@@ -237,16 +237,16 @@
             "after a failure domain was cut off, until all know all",
             healing,
             TRAFFIC,
-            HEALING,
+            REPAIR,
         ),
         row(role, "changes spread, mean of a day", change, TRAFFIC, "pieces that differ"),
-        row(role, "a change reaches the last node", last, IN_FORCE, "pushed along the neighbours"),
+        row(role, "a change reaches the last node", last, LATENCY, "pushed along the neighbours"),
     ])
 }
 
 /// How many probes a node makes in a second.
 fn probes() -> f64 {
-    HOSTS * PAIR / (NODES / DOMAINS) / PROBE_PERIOD
+    HOSTS * PER_DOMAIN / (NODES / DOMAINS) / PROBE_PERIOD
 }
 
 fn target(s: &Slopes) -> Result<Vec<Row>, SlopesError> {
@@ -266,13 +266,13 @@
 
 /// The sums for a node that is no reader, when packets are sprayed over the
 /// instances of a failure domain.
-fn together(s: &Slopes) -> Result<Vec<Row>, SlopesError> {
+fn totals(s: &Slopes) -> Result<Vec<Row>, SlopesError> {
     let rows = [bundle(s)?, member(s)?, target(s)?].into_iter().flatten();
     let (mut core, mut traffic) = (0.0, 0.0);
     for row in rows {
         match row.limit.unit {
             Unit::Core => core += row.value,
-            Unit::Rate if row.carrier != HEALING => traffic += row.value,
+            Unit::Rate if row.carrier != REPAIR => traffic += row.value,
             _ => {}
         }
     }
@@ -290,9 +290,9 @@
 pub fn table(rows: &[Row]) -> String {
     let mut text = "| role | cost at the target size | value | limit | | carried by |\n|---|---|---|---|---|---|\n".to_owned();
     for Row { role, cost, value, limit, carrier } in rows {
-        let mark = if *value > limit.most { "**over**" } else { "within" };
-        let (value, most) = (limit.unit.show(*value), limit.unit.show(limit.most));
-        let _ = writeln!(text, "| {role} | {cost} | {value} | {most} | {mark} | {carrier} |");
+        let mark = if *value > limit.max { "**over**" } else { "within" };
+        let (value, max) = (limit.unit.format(*value), limit.unit.format(limit.max));
+        let _ = writeln!(text, "| {role} | {cost} | {value} | {max} | {mark} | {carrier} |");
     }
     text
 }
--- a/testutils/src/bin/capacity/slopes.rs
+++ b/testutils/src/bin/capacity/slopes.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 
 /// The fewest sizes that make a slope.
-const LEAST_POINTS: usize = 4;
+const MIN_POINTS: usize = 4;
 
 /// Why slopes can't be used.
 #[derive(Debug, Snafu)]
@@ -15,7 +15,7 @@
     #[snafu(display("the slopes cannot be parsed"))]
     Parse { source: serde_norway::Error },
     /// Too few sizes tell nothing of the way between them.
-    #[snafu(display("slope `{name}` has fewer than {LEAST_POINTS} sizes"))]
+    #[snafu(display("slope `{name}` has fewer than {MIN_POINTS} sizes"))]
     Points { name: String },
     /// The roles need a slope that is not there.
     #[snafu(display("slope `{name}` was not measured"))]
@@ -38,14 +38,14 @@
 #[derive(Debug)]
 pub struct Slopes {
     list: Vec<Slope>,
-    places: Map<String, usize>,
+    positions: Map<String, usize>,
 }
 
 /// The straight line nearest to the points, by least squares.
 #[derive(Debug, Clone, Copy)]
 pub struct Line {
-    pub start: f64,
-    pub rise: f64,
+    pub intercept: f64,
+    pub gradient: f64,
     /// The share of the points' variance that it explains.
     pub fit: f64,
 }
@@ -53,7 +53,7 @@
 impl Line {
     /// The value of the line at a size, never below zero.
     pub fn at(&self, x: f64) -> f64 {
-        (self.start + self.rise * x).max(0.0)
+        (self.intercept + self.gradient * x).max(0.0)
     }
 }
 
@@ -66,9 +66,9 @@
             self.points.iter().map(|it| of(it.0 - x, it.1 - y)).sum()
         };
         let (xx, xy, yy) = (sum(&|x, _| x * x), sum(&|x, y| x * y), sum(&|_, y| y * y));
-        let rise = if xx > 0.0 { xy / xx } else { 0.0 };
-        let fit = if yy > 0.0 { rise * xy / yy } else { 1.0 };
-        Line { start: y - rise * x, rise, fit }
+        let gradient = if xx > 0.0 { xy / xx } else { 0.0 };
+        let fit = if yy > 0.0 { gradient * xy / yy } else { 1.0 };
+        Line { intercept: y - gradient * x, gradient, fit }
     }
 }
 
@@ -76,11 +76,11 @@
     pub fn parse(text: &str) -> Result<Slopes, SlopesError> {
         let list: Vec<Slope> = serde_norway::from_str(text).context(ParseSnafu)?;
         for slope in &list {
-            let enough = slope.points.len() >= LEAST_POINTS;
-            ensure!(enough, PointsSnafu { name: slope.name.as_str() });
+            let is_enough = slope.points.len() >= MIN_POINTS;
+            ensure!(is_enough, PointsSnafu { name: slope.name.as_str() });
         }
-        let places = list.iter().enumerate().map(|(at, it)| (it.name.clone(), at)).collect();
-        Ok(Slopes { list, places })
+        let positions = list.iter().enumerate().map(|(at, it)| (it.name.clone(), at)).collect();
+        Ok(Slopes { list, positions })
     }
 
     pub fn iter(&self) -> impl Iterator<Item = &Slope> {
@@ -89,8 +89,8 @@
 
     /// The value of a slope's line at a size.
     pub fn at(&self, name: &str, x: f64) -> Result<f64, SlopesError> {
-        let place = self.places.get(name).context(MissingSnafu { name })?;
-        Ok(self.list[*place].line().at(x))
+        let position = self.positions.get(name).context(MissingSnafu { name })?;
+        Ok(self.list[*position].line().at(x))
     }
 
     /// The slopes as a table in Markdown.
@@ -101,10 +101,10 @@
             let line = slope.line();
             let sizes: Vec<_> = slope.points.iter().map(|it| format!("{}", it.0)).collect();
             let Slope { name, what, x, y, .. } = slope;
-            let (sizes, start, rise) = (sizes.join(", "), line.start, line.rise);
+            let (sizes, intercept, gradient) = (sizes.join(", "), line.intercept, line.gradient);
             let _ = writeln!(
                 text,
-                "| `{name}` | {what} | {sizes} {x} | {start:.0} + {rise:.4} {y} | {:.3} |",
+                "| `{name}` | {what} | {sizes} {x} | {intercept:.0} + {gradient:.4} {y} | {:.3} |",
                 line.fit
             );
         }
--- a/testutils/src/bin/site.rs
+++ b/testutils/src/bin/site.rs
@@ -196,19 +196,19 @@
     for (id, count) in counts.iter().flat_map(|counts| &counts.runs) {
         *runs.entry(id).or_default() += count;
     }
-    let double = runs.values().filter(|&&count| count > 1).count();
+    let repeated = runs.values().filter(|&&count| count > 1).count();
     let turned = report.iter().flat_map(|(_, _, row)| &row.turned);
-    let false_turned = turned.filter(|id| runs.contains_key(id.as_str())).count();
+    let refused_but_run = turned.filter(|id| runs.contains_key(id.as_str())).count();
     let strays = counts.iter().map(|counts| counts.strays).sum::<u64>();
     let late = counts.iter().map(|counts| counts.late).sum::<u64>();
     let calls = site.platform.calls();
-    eprintln!("requests run twice {double}, turned away and yet run {false_turned}");
+    eprintln!("requests run twice {repeated}, turned away and yet run {refused_but_run}");
     eprintln!("packets at a target of another service {strays}, openings at a leaving one {late}");
     eprintln!("calls to the platform: bundle {}, instances {}", calls.bundle, calls.instances);
     let broken = report.iter().map(|(_, _, row)| row.broken).sum::<u64>();
     let wrong = report.iter().map(|(_, _, row)| row.wrong).sum::<u64>();
     let pending = report.iter().map(|(_, _, row)| row.pending).sum::<u64>();
-    let faults = broken + wrong + pending + strays + (double + false_turned) as u64;
+    let faults = broken + wrong + pending + strays + (repeated + refused_but_run) as u64;
     let completed = report.iter().all(|(_, _, row)| row.completed > 0);
     faults == 0 && completed
 }
--- a/testutils/src/fabric.rs
+++ b/testutils/src/fabric.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     clock::Clock,
-    list::{Listed, ListedState},
+    list::{ListedInstance, ListedState},
     packet::PacketHeader,
     platform,
     spread::{Mode, Picker},
@@ -86,7 +86,7 @@
 
 #[derive(Default)]
 struct Routes {
-    entries: Vec<Listed>,
+    entries: Vec<ListedInstance>,
     leaving: Map<String, Millis>,
     blocked: Set<String>,
 }
@@ -120,7 +120,7 @@
     }
 
     /// Sets the list directly.
-    pub fn set_list(&self, entries: Vec<Listed>) {
+    pub fn set_list(&self, entries: Vec<ListedInstance>) {
         self.shared.set_list(entries);
     }
 
@@ -137,7 +137,7 @@
 }
 
 impl Shared {
-    fn set_list(&self, entries: Vec<Listed>) {
+    fn set_list(&self, entries: Vec<ListedInstance>) {
         let now = self.clock.now();
         let mut routes = lock(&self.routes);
         let leaving = entries.iter().filter(|entry| entry.state == ListedState::Leaving);
@@ -195,7 +195,7 @@
 
 impl Routes {
     /// The instances that get packets now, in the order of the list.
-    fn receivers(&self, now: Millis, lag: Millis) -> Vec<&Listed> {
+    fn receivers(&self, now: Millis, lag: Millis) -> Vec<&ListedInstance> {
         let within_lag = |name| self.leaving.get(name).is_none_or(|&since| now.since(since) < lag);
         let entries = self.entries.iter();
         entries
--- a/testutils/src/list.rs
+++ b/testutils/src/list.rs
@@ -4,7 +4,7 @@
 
 /// One line of the list.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
-pub struct Listed {
+pub struct ListedInstance {
     /// The name of the instance.
     pub name: String,
     /// Its failure domain.
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -3,7 +3,7 @@
 
 use crate::{
     fabric::lock,
-    list::Listed,
+    list::ListedInstance,
     web::{self, HttpServers},
 };
 use rocket::{
@@ -85,7 +85,7 @@
 }
 
 /// Reads the list of instances once.
-pub fn read_list(platform: SocketAddrV4) -> Result<Vec<Listed>, ListError> {
+pub fn read_list(platform: SocketAddrV4) -> Result<Vec<ListedInstance>, ListError> {
     let url = format!("http://{platform}/instances");
     let mut answer = ureq::get(&url).call().map_err(Box::new).context(CallSnafu)?;
     let text = answer.body_mut().read_to_string().map_err(Box::new).context(CallSnafu)?;
@@ -108,7 +108,7 @@
     }
 
     /// Sets the list of instances.
-    pub fn set_list(&self, entries: &[Listed]) {
+    pub fn set_list(&self, entries: &[ListedInstance]) {
         let text = serde_json::to_string(entries).unwrap_or_default();
         self.shared.change(|store| store.instances = text);
     }
@@ -232,7 +232,7 @@
 }
 
 #[put("/instances", data = "<entries>")]
-fn put_instances(shared: &State<Arc<Shared>>, entries: Json<Vec<Listed>>) {
+fn put_instances(shared: &State<Arc<Shared>>, entries: Json<Vec<ListedInstance>>) {
     let text = serde_json::to_string(&*entries).unwrap_or_default();
     shared.change(|store| store.instances = text);
 }
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -1,6 +1,6 @@
 //! Instances as processes of their own.
 
-use crate::list::{Listed, ListedState};
+use crate::list::{ListedInstance, ListedState};
 use medlarspur_lib::bundle::PublicKey;
 use nix::{
     errno::Errno,
@@ -129,7 +129,7 @@
 /// A process of an instance, which is killed when this is dropped.
 pub struct Instance {
     /// What the list says of it.
-    pub listed: Listed,
+    pub listed: ListedInstance,
     /// Where operators read from it.
     pub operator: SocketAddrV4,
     log: PathBuf,
@@ -167,7 +167,7 @@
         };
         let PrintedAddresses { packets, questions, control, operator } = printed;
         let (name, domain, state) = (name.to_owned(), domain.to_owned(), ListedState::Live);
-        let listed = Listed { name, domain, state, packets, questions, control };
+        let listed = ListedInstance { name, domain, state, packets, questions, control };
         Ok(Self { listed, operator, log, child })
     }
 
--- a/testutils/tests/test_faults.rs
+++ b/testutils/tests/test_faults.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn cut_off_instance_gets_no_packet() {
+fn blocked_instance_gets_no_packet() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Hash)).unwrap();
     let targets = targets(&fabric);
     fabric.set_list(vec![relay("x", &targets), relay("y", &targets)]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn leaving_instance_gets_packets_until_the_lag_is_over() {
+fn leaving_instance_gets_no_packet_after_the_lag() {
     let mut settings = fabric::Settings::new(Mode::Spray);
     settings.lag = Millis(0);
     let fabric = Fabric::start(&settings).unwrap();
@@ -61,27 +61,28 @@
 }
 
 #[test]
-fn endpoints_tell_what_they_are_told_to() {
+fn endpoints_report_configured_values() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Spray)).unwrap();
     let targets = targets(&fabric);
     let target = &targets.list[0];
 
-    let truth = (get(target, "/health").0, get(target, "/load").1);
+    let actual = (get(target, "/health").0, get(target, "/load").1);
     target.set_behaviour(Behaviour { draining: true, ..Behaviour::default() });
     let draining = get(target, "/health").0;
-    let lie = Behaviour { health: Some(true), load: Some(0.9), dead: true, ..Behaviour::default() };
-    target.set_behaviour(lie);
-    let lies = (get(target, "/health").0, get(target, "/load").1);
+    let overrides =
+        Behaviour { health: Some(true), load: Some(0.9), dead: true, ..Behaviour::default() };
+    target.set_behaviour(overrides);
+    let overridden = (get(target, "/health").0, get(target, "/load").1);
 
-    assert_eq!(truth, (200, r#"{"connections":0,"slots":0,"load":0.0}"#.into()));
+    assert_eq!(actual, (200, r#"{"connections":0,"slots":0,"load":0.0}"#.into()));
     assert_eq!(draining, 503);
-    assert_eq!(lies, (200, r#"{"connections":0,"slots":0,"load":0.9}"#.into()));
+    assert_eq!(overridden, (200, r#"{"connections":0,"slots":0,"load":0.9}"#.into()));
 }
 
 /// Requests arrive faster than a back end works. It sheds those beyond its
 /// queue with a reset, which the caller sees after its connection was open.
 #[test]
-fn target_sheds_what_finds_no_place_in_its_queue() {
+fn target_sheds_requests_beyond_its_queue() {
     let (mut client, mut server) = (client(), server());
     (server.profile.slots, server.profile.queue_limit) = (1, 2);
     for id in 0..8 {
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn full_target_turns_connections_away() {
+fn full_target_refuses_connections() {
     let (mut client, mut server) = (client(), server());
     server.profile.connections = 2;
     for id in 0..3 {
--- a/testutils/tests/test_host.rs
+++ b/testutils/tests/test_host.rs
@@ -106,7 +106,7 @@
 /// A caller's machine dies while its request is at work. Somebody who then
 /// says that the request was not run would be wrong.
 #[test]
-fn request_that_is_cut_short_counts_as_run() {
+fn interrupted_request_counts_as_run() {
     let (mut client, mut server) = (client(), server());
     server.profile.work_time = Millis::secs(10);
     client.open(Millis(0), work("r", Class::Request));
@@ -125,7 +125,7 @@
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn loss_delays_and_never_breaks(seed: u64, loss in 0.0..0.1f64) {
+    fn packet_loss_breaks_no_work(seed: u64, loss in 0.0..0.1f64) {
         let (mut client, mut server) = (client(), server());
         for class in [Class::Feed, Class::Request, Class::Upload] {
             client.open(Millis(0), work(&format!("{class:?}"), class));
@@ -141,7 +141,7 @@
 /// A fabric that sprays lets packets of one flow overtake each other. TCP has
 /// to put them in order again, and no work may stall behind another's.
 #[test]
-fn reordered_packets_cost_nothing_but_time() {
+fn reordered_packets_only_delay_work() {
     let (mut client, mut server) = (client(), server());
     for id in 0..40 {
         client.open(Millis(0), work(&format!("{id}"), Class::Upload));
--- a/testutils/tests/test_path.rs
+++ b/testutils/tests/test_path.rs
@@ -9,7 +9,7 @@
     client::Timeouts,
     fabric::{self, Fabric},
     layout::{Layout, ServiceLayout, TargetLayout},
-    list::{Listed, ListedState},
+    list::{ListedInstance, ListedState},
     packet::PacketHeader,
     profile::Profile,
     report::Report,
@@ -33,7 +33,7 @@
 }
 
 /// An instance that picks the target by the caller's port and keeps no state.
-pub fn relay(name: &str, targets: &Targets) -> Listed {
+pub fn relay(name: &str, targets: &Targets) -> ListedInstance {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(packets) = socket.local_addr().unwrap() else { unreachable!() };
     let addrs = targets.list.iter().map(|running| running.addr).collect::<Vec<_>>();
@@ -47,7 +47,7 @@
         }
     });
     let (name, domain, state) = (name.into(), "lozenets".into(), ListedState::Live);
-    Listed { name, domain, state, packets, questions: packets, control: packets }
+    ListedInstance { name, domain, state, packets, questions: packets, control: packets }
 }
 
 pub fn stream(port: u16, class: Class, total: u64) -> Stream {
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn layout_is_a_bundle_without_faults() {
+fn layout_gives_a_valid_bundle() {
     let target = TargetLayout {
         name: "a".into(),
         domain: "lozenets".into(),
--- a/testutils/tests/test_platform.rs
+++ b/testutils/tests/test_platform.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn faults_show_to_readers() {
+fn readers_see_each_fault() {
     let platform = platform("one");
 
     platform.set_fault(Fault { down: true, ..Fault::default() });
--- a/testutils/tests/test_process.rs
+++ b/testutils/tests/test_process.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_running_child_gets_the_signal() {
+fn running_child_gets_the_signal() {
     let mut child = child("60");
 
     signal(&mut child, Signal::SIGTERM).expect("it runs");
@@ -27,11 +27,11 @@
 /// A signal to that number would hit whoever has it: a test runner that is gone with no
 /// test failed.
 #[test]
-fn the_number_of_an_ended_child_gets_no_signal() {
+fn ended_child_gets_no_signal() {
     let mut child = child("0");
     child.wait().expect("it ends");
 
-    let told = signal(&mut child, Signal::SIGKILL);
+    let result = signal(&mut child, Signal::SIGKILL);
 
-    assert!(matches!(told, Err(SignalError::Ended { .. })), "{told:?}");
+    assert!(matches!(result, Err(SignalError::Ended { .. })), "{result:?}");
 }
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn hash_moves_only_flows_of_the_instance_that_went() {
+fn hash_moves_only_flows_of_the_removed_instance() {
     let before = picks(Mode::Hash, &["a", "b", "c", "d"]);
     let after = picks(Mode::Hash, &["a", "b", "d"]);
 
