--- a/tests/examples/moves.rs
+++ b/tests/examples/moves.rs
@@ -1,6 +1,6 @@
-//! Measures what moves do to flows, beside simpler load balancers on the same
-//! packets, in virtual time. Prints a table for `docs/measures/moves.md`; the
-//! number of flows and a seed may follow.
+//! Measures the effect of bucket moves on flows in virtual time, and compares it
+//! with simpler load balancers on the same packets. Prints the tables of
+//! `docs/measures/moves.md`. Optional arguments: the number of flows, and a seed.
 
 #[path = "moves/baseline.rs"]
 mod baseline;
@@ -13,24 +13,25 @@
 use run::Run;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// How many flows are open before the event.
+/// Number of flows opened before the event.
 const FLOWS: usize = 8_000;
-/// How many are opened after it, beside those of the fabric's lag.
+/// Number of flows opened after the event, without those opened during the
+/// fabric's lag.
 const LATER: usize = 4_000;
-/// The target that leaves, and where it is.
+/// Name and address of the target that leaves.
 const LEAVING_TARGET: (&str, SocketAddrV4) =
     ("alertdesk-3", SocketAddrV4::new(Ipv4Addr::new(127, 8, 0, 3), 5555));
 
-/// Instances, and the failure domains that they are in, of the two sites.
+/// Numbers of instances and of failure domains of the two sites.
 const SITES: [(usize, u64); 2] = [(8, 4), (7, 3)];
 
-/// The head of a site's table.
+/// Header of a site's table.
 const HEADER: &str = "\
 | event | fabric | flows | broken | silent | max/mean | B/s before | B/s in event | worst second \
 | last new, ms | modulo | consistent | history |
 |---|---|---|---|---|---|---|---|---|---|---|---|---|";
 
-/// What happens to a run.
+/// Name of an event, and the function that makes it happen in a run.
 type Event = (&'static str, fn(&mut Run));
 
 const EVENTS: [Event; 13] = [
@@ -80,7 +81,8 @@
     run.start_leaving(LEAVING_TARGET.0);
 }
 
-/// The first domain's instances hear no others; the fabric reaches all.
+/// Cuts off the instances of the first failure domain from the others for a
+/// minute; the fabric still reaches all.
 fn partition_domain(run: &mut Run, event: fn(&mut Run)) {
     let domains = run.domains as usize;
     run.fleet.partition(|ix| u8::from(ix % domains == 0));
@@ -107,7 +109,7 @@
     }
 }
 
-/// Prints one row.
+/// Makes an event happen in a run and prints its row of the table.
 fn measure(
     mut run: Run,
     flows: usize,
--- a/tests/examples/moves/baseline.rs
+++ b/tests/examples/moves/baseline.rs
@@ -1,8 +1,8 @@
-//! What simpler load balancers would have done with the same packets.
+//! Simpler load balancers, applied to the packets of a run.
 //!
-//! Each baseline decides on the packets that a flow sent in the run, at the
-//! instances that got them. It learns of a bundle at the moment of its
-//! publication and on all instances at once, which is kinder than the truth.
+//! Each baseline chooses targets for the packets that the flows sent in the run,
+//! at the instances that received them. Its instances all know a bundle from the
+//! moment of its publication, which favours the baselines.
 
 use medlarspur_lib::{
     bundle::{Bundle, Service, TargetState},
@@ -14,26 +14,27 @@
 use medlarspur_testutils::traffic::{Flow, SegmentKind, Step};
 use std::{net::SocketAddrV4, sync::Arc};
 
-/// A simpler way to choose a target.
+/// A simpler algorithm to choose a target.
 #[derive(Debug, Clone, Copy)]
 pub enum Baseline {
-    /// The flow's hash modulo the number of targets that take new flows.
+    /// The flow's hash modulo the number of active targets.
     Modulo,
-    /// The owner of the flow's bucket now.
+    /// The present owner of the flow's bucket.
     Consistent,
-    /// What the instance saw before; else, for a flow in its middle, the
+    /// The target that the instance used for the flow before. For the first packet
+    /// of a flow it is the present owner of the bucket, and for an unknown flow the
     /// owner before the bucket's last move. No peer is asked.
     History,
 }
 
-/// What the baselines know.
+/// Bundles and removed instances of a run.
 #[derive(Debug, Default)]
 pub struct SiteHistory {
     epochs: Vec<Epoch>,
     removed: Vec<(usize, Millis)>,
 }
 
-/// The time in which one bundle is in force.
+/// A bundle with the time from which it is in force and the owners of its buckets.
 #[derive(Debug)]
 struct Epoch {
     from: Millis,
@@ -41,28 +42,28 @@
     owners: Vec<Vec<SocketAddrV4>>,
 }
 
-/// What became of a flow.
+/// Result of a flow with a baseline.
 #[derive(Debug, Default)]
 pub struct Replayed {
-    /// The target that got its last packet.
+    /// The target of its last packet.
     pub last: Option<SocketAddrV4>,
-    /// Whether another target than the one that opened it got a packet.
+    /// Whether a packet went to another target than its SYN.
     pub broken: bool,
 }
 
 impl SiteHistory {
-    /// From now on a bundle is in force.
+    /// Records a bundle that is in force from `from` on.
     pub fn publish(&mut self, from: Millis, bundle: Arc<Bundle>) {
         let owners = bundle.services.iter().map(|service| owners(service)).collect();
         self.epochs.push(Epoch { from, bundle, owners });
     }
 
-    /// From now on an instance gets no packet.
+    /// Records that an instance gets no packets from `at` on.
     pub fn remove_instance(&mut self, instance: usize, at: Millis) {
         self.removed.push((instance, at));
     }
 
-    /// What becomes of a flow under a baseline.
+    /// Returns the result of a flow with a baseline.
     pub fn replay(&self, baseline: Baseline, flow: &Flow) -> Replayed {
         let mut replayed = Replayed::default();
         let mut observed = Map::default();
@@ -101,14 +102,15 @@
         self.epochs_before(at).next()?.owner(key)
     }
 
-    /// The owner before the last move, or the owner if none moved the bucket.
+    /// Returns the owner before the bucket's last move, or the present owner if the
+    /// bucket never moved.
     fn earlier(&self, at: Millis, key: &FlowKey) -> Option<SocketAddrV4> {
         let now = self.owner(at, key);
         let mut owners = self.epochs_before(at).map(|epoch| epoch.owner(key));
         owners.find(|owner| *owner != now).unwrap_or(now)
     }
 
-    /// The latest first.
+    /// Returns the epochs that have begun at `at`, the latest first.
     fn epochs_before(&self, at: Millis) -> impl Iterator<Item = &Epoch> {
         self.epochs.iter().rev().filter(move |epoch| epoch.from <= at)
     }
@@ -131,7 +133,7 @@
     bundle.services.iter().position(|service| service.address == *key.service.ip())
 }
 
-/// The targets that take new flows.
+/// Returns the addresses of the targets that take new flows.
 pub fn active_targets(service: &Service) -> impl Iterator<Item = SocketAddrV4> {
     let takers = service.targets.iter().filter(|target| target.state == TargetState::Active);
     takers.map(|target| target.address)
--- a/tests/examples/moves/run.rs
+++ b/tests/examples/moves/run.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, its traffic, and what both did.
+//! A run of the simulation: a fleet, its traffic and the measured results.
 
 use crate::baseline::{Baseline, SiteHistory, active_targets};
 use medlarspur_lib::{bundle::Bundle, collections::Map, time::Millis};
@@ -9,26 +9,26 @@
 };
 use std::{net::SocketAddrV4, sync::Arc};
 
-/// How often each flow sends at least.
+/// Maximum time between two packets of a flow.
 const KEEPALIVE: Millis = Millis::secs(30);
-/// How many flows are opened at one moment.
+/// Number of flows opened at the same time.
 const BATCH: usize = 10;
-/// The time between such moments: two thousand new flows a second.
+/// Time between two batches, for two thousand new flows per second.
 const BATCH_INTERVAL: Millis = Millis(5);
-/// How finely the control bytes of a second are counted.
+/// Resolution of the seconds in which control bytes are counted.
 const STEP: Millis = Millis(100);
-/// How long the fabric goes on sending to an instance that was killed.
+/// Time in which the fabric still sends to an instance that is gone.
 const LIST_LAG: Millis = Millis::secs(1);
 
-/// A fleet before a site's targets.
+/// A run of the simulation.
 pub struct Run {
     /// The instances.
     pub fleet: Fleet,
     /// The flows.
     pub traffic: Traffic,
-    /// How many failure domains there are.
+    /// Number of failure domains.
     pub domains: u64,
-    /// When a target was told to leave, if it still is.
+    /// Time at which a target began to leave; `None` if none is leaving.
     pub left: Option<Millis>,
     site: SiteBuilder,
     history: SiteHistory,
@@ -38,7 +38,7 @@
 }
 
 impl Run {
-    /// A fleet that has run for a while.
+    /// Creates a run with a fleet that has warmed up.
     pub fn new(instances: usize, domains: u64, distribution: Distribution, seed: u64) -> Run {
         let site = SiteBuilder::new(14, 4);
         let fleet =
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Lets time pass and watches the control bytes of each second.
+    /// Advances the time and records the peak of the control bytes per second.
     pub fn advance(&mut self, span: Millis) {
         let end = self.fleet.now + span;
         while self.fleet.now < end {
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Opens flows, a fifth of them uploads, a second packet right after each.
+    /// Opens flows, a fifth of them uploads, and sends the second packet of each after
+    /// [`BATCH_INTERVAL`].
     pub fn open(&mut self, count: usize) {
         for first in (0..count).step_by(BATCH) {
             let flows: Vec<_> = (first..(first + BATCH).min(count))
@@ -88,7 +89,7 @@
         self.settle();
     }
 
-    /// Sends a packet of every flow, spread over a keep-alive's time.
+    /// Sends a packet of every flow, spread over [`KEEPALIVE`].
     pub fn keep_alive(&mut self) {
         let (start, count) = (self.fleet.now, self.traffic.flows.len());
         for flow in 0..count {
@@ -105,7 +106,7 @@
         self.traffic.record_arrivals(&mut self.fleet);
     }
 
-    /// Publishes the site as `change` makes it.
+    /// Publishes the bundle of the site that `change` returns.
     pub fn publish(&mut self, change: impl FnOnce(SiteBuilder) -> SiteBuilder) {
         self.site = change(self.site.clone());
         let bundle = self.site.bundle();
@@ -113,32 +114,33 @@
         self.history.publish(self.fleet.now, bundle);
     }
 
-    /// Publishes that a target leaves.
+    /// Publishes a bundle in which a target is leaving.
     pub fn start_leaving(&mut self, target: &str) {
         self.publish(|site| site.leaving(target));
         self.left = Some(self.fleet.now);
     }
 
-    /// Publishes that a target that was to leave stays.
+    /// Publishes a bundle in which a leaving target is active again.
     pub fn cancel_leaving(&mut self, target: &str) {
         self.publish(|site| site.returning(target));
         self.left = None;
     }
 
-    /// Kills an instance; the fabric's list lags.
+    /// Kills an instance, which stays in the fabric's list until [`Self::unlist`].
     pub fn kill(&mut self, ix: usize) {
         self.fleet.kill(ix);
         self.history.remove_instance(ix, self.fleet.now);
     }
 
-    /// The fabric's list loses an instance after its lag, with new flows on.
+    /// Removes an instance from the fabric's list after the list's lag, during which
+    /// new flows are opened.
     pub fn unlist(&mut self, ix: usize) {
         self.open((LIST_LAG.0 / BATCH_INTERVAL.0) as usize * BATCH);
         self.listed.retain(|&other| other != ix);
         self.traffic.set_instances(self.listed.clone());
     }
 
-    /// An instance leaves by plan.
+    /// Makes an instance leave in an orderly way.
     pub fn leave(&mut self, ix: usize) {
         self.fleet.leave(ix);
         self.unlist(ix);
@@ -146,46 +148,47 @@
         self.history.remove_instance(ix, self.fleet.now);
     }
 
-    /// An instance joins and gets packets at once.
+    /// Starts an instance, which gets packets at once.
     pub fn join(&mut self) {
         self.listed.push(self.fleet.join());
         self.traffic.set_instances(self.listed.clone());
     }
 
-    /// Starts the measure of the control bytes.
+    /// Starts counting control bytes. Returns the time and the present total.
     pub fn start_counting(&mut self) -> (Millis, u64) {
         self.peak = 0;
         self.mark = (self.fleet.now, self.fleet.control_bytes);
         self.mark
     }
 
-    /// Bytes a second an instance since `start`: the mean and the worst second.
+    /// Returns control bytes per second and instance since `start`: their mean, and
+    /// those of the worst second.
     pub fn control_rates(&self, start: (Millis, u64)) -> [u64; 2] {
         let up = self.fleet.nodes.iter().filter(|node| node.state != State::Gone).count() as u64;
         let millis = self.fleet.now.since(start.0).0.max(1);
         [(self.fleet.control_bytes - start.1) * 1000 / millis / up, self.peak / up]
     }
 
-    /// Flows whose last packet came to no target.
+    /// Number of flows whose last packet reached no target.
     pub fn silent(&self) -> usize {
         let silent = |flow: &&Flow| matches!(flow.trace.last(), Some(Step::Sent(..)));
         self.traffic.flows.iter().filter(silent).count()
     }
 
-    /// How long after `since` a flow was last opened at a target.
+    /// Time from `since` to the last opening of a flow at a target.
     pub fn last_new(&self, target: SocketAddrV4, since: Millis) -> Millis {
         let flows = self.traffic.flows.iter().filter(|flow| flow.target == Some(target));
         flows.map(|flow| flow.opened).max().unwrap_or(since).since(since)
     }
 
-    /// Broken flows and imbalance, of the fleet.
+    /// Returns broken flows and imbalance of the fleet.
     pub fn outcome(&self) -> (usize, f64) {
         let broken = self.traffic.flows.iter().filter(|flow| flow.broken).count();
         let ends = self.traffic.flows.iter().filter_map(|flow| flow.target);
         (broken, imbalance(&self.site.bundle(), ends))
     }
 
-    /// Broken flows and imbalance, of a baseline on the same packets.
+    /// Returns broken flows and imbalance of a baseline on the same packets.
     pub fn baseline(&self, baseline: Baseline) -> (usize, f64) {
         let replays: Vec<_> =
             self.traffic.flows.iter().map(|flow| self.history.replay(baseline, flow)).collect();
@@ -194,8 +197,8 @@
     }
 }
 
-/// The most flows of a target over the mean, for the service where it is worse;
-/// targets that leave do not count.
+/// Returns the largest number of flows of an active target divided by the mean, for
+/// the service where this is larger.
 fn imbalance(bundle: &Arc<Bundle>, ends: impl Iterator<Item = SocketAddrV4>) -> f64 {
     let mut counts: Map<SocketAddrV4, usize> = Map::default();
     for target in ends {
--- a/tests/src/lib.rs
+++ b/tests/src/lib.rs
@@ -1,1 +1,1 @@
-//! Holds the integration tests that need more than one package.
+//! Integration tests that need several packages.
--- a/tests/tests/runner.rs
+++ b/tests/tests/runner.rs
@@ -1,4 +1,4 @@
-//! One runner, so that the integration tests link once.
+//! All integration tests in one binary, so that they are linked only once.
 
 mod test_changes;
 mod test_moves;
--- a/tests/tests/test_changes.rs
+++ b/tests/tests/test_changes.rs
@@ -1,4 +1,4 @@
-//! Random planned changes, one upon the other, break no flow.
+//! Tests that overlapping planned changes break no flow.
 
 use medlarspur_lib::time::Millis;
 use medlarspur_testutils::{
@@ -8,18 +8,18 @@
 };
 use proptest::prelude::*;
 
-/// A planned change, and how long after the one before it comes.
+/// A planned change of the site.
 #[derive(Debug, Clone)]
 enum Change {
-    /// The target of this number leaves.
+    /// The first service's target with this number leaves.
     Leave(usize),
-    /// The one that left first takes work again.
+    /// The target that has been leaving longest becomes active again.
     Return,
-    /// Each service gets another target.
+    /// Each service gets one more target.
     Grow,
     /// An instance joins.
     Join,
-    /// An instance leaves.
+    /// The instance with this number, modulo the number of instances, leaves.
     Retire(usize),
 }
 
@@ -33,7 +33,7 @@
     ]
 }
 
-/// The site under change.
+/// A site with its fleet and traffic.
 struct World {
     site: SiteBuilder,
     left: Vec<String>,
@@ -80,7 +80,8 @@
         self.fleet.publish(&self.site.bundle());
     }
 
-    /// One instance at a time leaves, and is gone when it has had its time.
+    /// Makes an instance leave, and ends it after 3 s. Does nothing if the instance
+    /// is not up or at most four are.
     fn retire(&mut self, ix: usize) {
         let up = |node: &medlarspur_testutils::fleet::Node| node.state == State::Up;
         let count = self.fleet.nodes.iter().filter(|node| up(node)).count();
@@ -94,7 +95,7 @@
         }
     }
 
-    /// The platform's list: what works and does not leave.
+    /// Sets the fabric's list to the instances that are up and not leaving.
     fn list(&mut self) {
         let nodes = self.fleet.nodes.iter().enumerate();
         let up = nodes.filter(|(_, node)| node.state == State::Up).map(|(ix, _)| ix);
@@ -123,8 +124,8 @@
     }
 }
 
-/// Plays changes one after another under new flows, then two keep-alives of
-/// all flows, and counts the broken ones.
+/// Applies changes one after another while flows are opened, then sends two
+/// keep-alives of all flows. Returns the number of broken flows.
 fn play(changes: &[(Change, u64)], packets: bool, seed: u64) -> usize {
     let distribution = if packets { Distribution::PerPacket } else { Distribution::PerFlow };
     let mut world = World::new(distribution, Network { seed, ..Network::default() });
@@ -143,12 +144,13 @@
     world.traffic.count_broken()
 }
 
-/// Changes with the pause after each, whether the fabric sprays, and a seed.
+/// Changes with the pause in milliseconds after each, whether the fabric sprays,
+/// and a seed.
 type Case = (&'static [(Change, u64)], bool, u64);
 
-/// Each of these broke one flow or more once, for a cause of its own; the
-/// commits of the packet path tell them. A user saw a silent feed after changes
-/// that were all planned.
+/// Each case broke at least one flow in an earlier version, each for a different
+/// cause, which the commits of the packet path describe. Users had silent feeds
+/// after changes that were all planned.
 #[test]
 fn earlier_failures_break_no_flow() {
     use Change::{Grow, Join, Leave, Retire, Return};
@@ -177,9 +179,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Operators publish bundles faster than they spread, instances are
-    /// replaced meanwhile, and some questions between instances are lost. A
-    /// user's feed that breaks by a planned change is a silent feed for nothing.
+    /// Bundles are published faster than they spread while instances are
+    /// replaced. A flow that breaks by such a planned change is a user's feed
+    /// that becomes silent without a failure.
     #[test]
     fn planned_changes_break_no_flow(
         changes in prop::collection::vec((change(), 50..4_000u64), 1..7),
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -1,4 +1,4 @@
-//! Flows survive the moves of their buckets, whichever instance gets their
+//! Tests that flows survive moves of their buckets, whichever instance gets their
 //! packets.
 
 use medlarspur_lib::{
@@ -17,16 +17,16 @@
 
 const KEEPALIVE: Millis = Millis::secs(30);
 
-/// Eight instances in four failure domains before the first site's targets.
+/// Starts eight instances in four failure domains.
 fn fleet(site: &SiteBuilder) -> Fleet {
     Fleet::new(8, 4, &site.bundle(), Network::default())
 }
 
-/// How many flows are opened at one moment.
+/// Number of flows opened at the same time.
 const BATCH: usize = 10;
 
-/// Opens `count` flows, some every few milliseconds, a second packet right
-/// after each.
+/// Opens `count` flows in batches, one batch every 5 ms, and sends the second
+/// packet of each flow 5 ms after its first.
 fn open_flows(fleet: &mut Fleet, traffic: &mut Traffic, count: usize) {
     for first in (0..count).step_by(BATCH) {
         let numbers = first..(first + BATCH).min(count);
@@ -41,13 +41,13 @@
     settle(fleet, traffic);
 }
 
-/// Sends a packet of every flow, spread over a keep-alive's time.
+/// Sends a packet of every flow, spread over [`KEEPALIVE`].
 fn keep_alive(fleet: &mut Fleet, traffic: &mut Traffic) {
     keep_all_alive(fleet, std::slice::from_mut(traffic));
     settle(fleet, traffic);
 }
 
-/// Sends a packet of every flow of several traffics within a keep-alive.
+/// Sends a packet of every flow of several traffics, spread over [`KEEPALIVE`].
 fn keep_all_alive(fleet: &mut Fleet, traffics: &mut [Traffic]) {
     let most = traffics.iter().map(|traffic| traffic.flows.len()).max().unwrap_or(0);
     let pause = Millis(KEEPALIVE.0 / most.max(1) as u64);
@@ -64,10 +64,9 @@
     traffic.record_arrivals(fleet);
 }
 
-/// A target is drained for maintenance by a new bundle. Its feeds go on, their
-/// packets reaching any instance, also those that never saw them. A user whose
-/// feed is sent to another target gets a reset and loses alerts until it has
-/// connected again.
+/// A new bundle drains a target for maintenance. Packets of its feeds reach any
+/// instance, also instances that do not know the feed. If one sends a packet to
+/// another target, the user gets a reset and loses alerts until it has reconnected.
 #[test]
 fn a_leaving_target_keeps_its_flows() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -87,8 +86,8 @@
     }
 }
 
-/// Two seconds after the news that a target leaves, new flows still reach it.
-/// Work that it takes on so late is cut when its host goes down.
+/// If new flows reached a target later than two seconds after the bundle in which
+/// it leaves, their work would be interrupted when its host goes down.
 #[test]
 fn a_leaving_target_gets_no_new_flow_after_two_seconds() {
     let site = SiteBuilder::new(14, 4);
@@ -103,10 +102,10 @@
     assert!(traffic.flows.iter().all(|flow| flow.target != Some(leaving)));
 }
 
-/// The instance that plans moves the buckets of an ill target. One instance
-/// hears of it 400 ms before another, opens a flow at the new owner, and the
-/// flow's next packet reaches the one that is behind. A user's new feed breaks
-/// right after it was opened.
+/// A plan moves the buckets of an unhealthy target. One instance gets the plan
+/// 400 ms before another and opens a flow at the new owner; the flow's next packet
+/// reaches the other instance. If that sends it to the old owner, a user's feed
+/// breaks right after it was opened.
 #[test]
 fn a_planned_move_breaks_no_flow_while_it_spreads() {
     let site = SiteBuilder::new(14, 4);
@@ -116,7 +115,8 @@
 
     let service = site.bundle().services[0].clone();
     let bad = [TargetName::new("alertdesk-5")].into_iter().collect();
-    let moves = planner::avoid_targets(&service, &bad).expect("one target is not most");
+    let moves =
+        planner::avoid_targets(&service, &bad).expect("a single unhealthy target can be avoided");
     fleet.publish_plan(&ServicePlan {
         service: service.name.clone(),
         sequence: 1,
@@ -129,9 +129,9 @@
     assert_eq!(traffic.count_broken(), 0);
 }
 
-/// An instance is replaced while a target drains: another joins with an empty
-/// memory and gets packets of flows that it never saw, the old one leaves the
-/// fabric's list late. Users notice feeds that break when nothing failed.
+/// An instance is replaced while a target drains. The new one has an empty flow
+/// table and gets packets of unknown flows, and the old one stays in the fabric's
+/// list for a while. A misdirected packet breaks a feed although nothing failed.
 #[test]
 fn replacing_an_instance_while_a_target_drains_breaks_no_flow() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -155,10 +155,9 @@
     }
 }
 
-/// An instance is paused by its host, a target leaves meanwhile, and it wakes
-/// with packets waiting and the old table. It must not take its old picture
-/// for the present one: a user's packet would go to a target that never knew
-/// the flow.
+/// The host of an instance suspends it, a target leaves meanwhile, and the instance
+/// wakes up with queued packets and its old table. If it used that table without
+/// asking peers, packets would go to a target that does not know their flow.
 #[test]
 fn an_instance_that_slept_asks_peers_before_it_forwards() {
     let site = SiteBuilder::new(14, 4);
@@ -182,8 +181,8 @@
     assert_eq!(traffic.count_broken(), 0);
 }
 
-/// Operators call a target's leaving off two seconds after they published it.
-/// Flows of both times must stay where they are.
+/// Operators cancel the leaving of a target soon after they published it. Flows
+/// opened before and after the cancellation must stay at their targets.
 #[test]
 fn a_cancelled_move_breaks_no_flow() {
     for pause in [100, 700, 1500, 5000] {
@@ -203,9 +202,9 @@
     }
 }
 
-/// A killed instance's flows go on: under a fabric that sprays packets the
-/// others know them, under one that hashes flows they are found by their
-/// bucket's owner as long as it has not moved.
+/// The flows of a killed instance must survive. Under a fabric that sprays packets
+/// other instances know them. Under one that hashes flows their target is the
+/// owner of their bucket, as long as the bucket has not moved.
 #[test]
 fn a_killed_instance_breaks_no_flow_while_no_bucket_moves() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -223,11 +222,11 @@
     }
 }
 
-/// Two of four failure domains are cut off for a minute. Each side goes on
-/// serving its callers; only one side can read the bundles in which a target
-/// leaves and takes work again, so the other never hears of the move. After the
-/// cut any packet may reach any instance again, and a feed that was opened
-/// during the move must not be sent elsewhere by an instance of the other side.
+/// A network partition separates two of four failure domains for a minute. Each
+/// side serves its callers, but only one side receives the bundles in which a target
+/// leaves and becomes active again, so the other never learns of the move. After the
+/// partition a packet may reach any instance. A feed that was opened during the move
+/// must not be sent to another target by an instance of the other side.
 #[test]
 fn a_healed_partition_breaks_no_flow() {
     let sides = [vec![0, 1, 4, 5], vec![2, 3, 6, 7]];
@@ -268,9 +267,9 @@
     assert_eq!(traffic.map(|traffic| traffic.count_broken()), [0, 0]);
 }
 
-/// A caller's system uses TCP Fast Open and sends its request along with the
-/// first packet. The answer is lost, the packet is repeated while its bucket
-/// moves, and another target gets it: a booking would be committed twice.
+/// A caller uses TCP Fast Open, which sends its request with the SYN. If the answer
+/// is lost and the SYN is retransmitted while its bucket moves, a second target would
+/// get it, and a booking would be committed twice.
 #[test]
 fn a_syn_with_data_reaches_no_target() {
     let site = SiteBuilder::new(14, 4);
@@ -288,10 +287,10 @@
     assert_eq!(fleet.nodes[0].forwarder.counters().syn_with_data, 1);
 }
 
-/// A target left some minutes ago and nothing has changed since. The feeds that
-/// stay with it are each known to one instance and to their keepers. When that
-/// instance dies, a keeper that has forgotten them denies them, and they are
-/// sent to the present owner: long feeds break that everybody took for safe.
+/// A target began to leave some minutes ago and nothing has changed since. Each feed
+/// that stays with it is known to one instance and to its keepers. If that instance
+/// dies and a keeper has forgotten the feeds, the keeper denies them, and they are sent
+/// to the present owner of their bucket, which breaks them.
 #[test]
 fn keepers_remember_flows_while_nothing_changes() {
     let site = SiteBuilder::new(14, 4);
--- a/tests/tests/test_processes.rs
+++ b/tests/tests/test_processes.rs
@@ -1,4 +1,4 @@
-//! Faults of whole processes, with instances in processes of their own.
+//! Tests of failures of whole processes, with instances as child processes.
 
 use medlarspur_lib::{
     bundle::{Class, TargetState},
@@ -23,24 +23,25 @@
     time::{Duration, Instant},
 };
 
-/// Far longer than anything here takes on a busy machine.
+/// Timeout of every wait; far longer than needed on a busy machine.
 const TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long the fabric goes on sending to an instance that is gone.
+/// Time in which the fabric still sends to an instance that is gone.
 const LIST_LAG: Duration = Duration::from_millis(500);
-/// Long enough for every feed to carry some lines and their acknowledgements.
+/// Time in which every feed carries some lines and their acknowledgements.
 const FEED_TIME: Duration = Duration::from_secs(2);
-/// How long after the news that it leaves a target must still take openings.
+/// Time in which a target must still accept connections after the bundle in which it leaves.
 const DRAIN_TIME: Duration = Duration::from_secs(2);
 const FEEDS: u64 = 60;
 
-/// A site under a fabric that sprays packets, and its callers.
+/// A site with a fabric that sprays packets, and its callers.
 struct Trial {
     site: Site,
     callers: Callers,
 }
 
-/// The daemon, which `cargo test --workspace` builds beside the tests' folder.
+/// Returns the path of the daemon, which `cargo test --workspace` builds into the
+/// parent of the tests' folder.
 fn program() -> PathBuf {
     let own = env::current_exe().expect("the path of the test");
     let folder = own.ancestors().nth(2).expect("the folder of the build");
@@ -54,7 +55,7 @@
     Stream { service, class, remote, rate, total, size: 50_000, hold: 3_600_000 }
 }
 
-/// Starts the instances and the callers, and waits until all feeds are begun.
+/// Starts the instances and the callers, and waits until all feeds were started.
 fn trial(instances: usize) -> Trial {
     web::silence_logs();
     let mut site =
@@ -70,14 +71,14 @@
     let callers = Callers::start(Settings::new(site.fabric.callers), streams).expect("callers");
     let started =
         || callers.report().iter().any(|(_, class, row)| class == "feed" && row.opened == FEEDS);
-    wait_until("the feeds begin", started);
+    wait_until("all feeds are started", started);
     Trial { site, callers }
 }
 
 impl Trial {
-    /// Ends the callers and checks what holds after every fault: each feed and
-    /// upload came to its good end, nothing ran twice, no packet reached a target
-    /// of the other service, and no opening one that has left.
+    /// Stops the callers and checks what must hold after every failure: each feed and
+    /// upload was completed, nothing ran twice, no packet reached a target of the other
+    /// service, and no SYN reached a target that has left.
     fn conclude(self) {
         let report = self.callers.stop(TIMEOUT);
         for (service, class, row) in report.iter() {
@@ -112,7 +113,7 @@
 fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < TIMEOUT, "in vain: {what}");
+        assert!(start.elapsed() < TIMEOUT, "timed out waiting until {what}");
         thread::sleep(POLL_INTERVAL);
     }
 }
@@ -125,10 +126,12 @@
 }
 
 fn wait_for_version(operators: &[SocketAddrV4], version: u64) {
-    wait_until("the version", || operators.iter().all(|it| bundle(*it).version.0 == version));
+    wait_until("all instances have the version", || {
+        operators.iter().all(|it| bundle(*it).version.0 == version)
+    });
 }
 
-/// Looks for a while whether an instance leaves the version.
+/// Checks for some time that all instances keep the version.
 fn assert_version_stays(operators: &[SocketAddrV4], version: u64) {
     let start = Instant::now();
     while start.elapsed() < FEED_TIME {
@@ -139,16 +142,16 @@
     }
 }
 
-/// The host of an instance loses power. The fabric goes on sending it a third
-/// of all packets for a while, and what only that instance knew is gone. A
-/// user whose flow is then guessed wrong gets a reset and loses the feed.
+/// The host of an instance loses power. The fabric still sends it a third of all
+/// packets for a while, and what only that instance knew is lost. If another one
+/// guesses a flow's target wrong, the user gets a reset and loses the feed.
 #[test]
 fn a_killed_instance_breaks_no_feed() {
     let mut trial = trial(3);
 
-    trial.site.kill().expect("it is killed");
+    trial.site.kill().expect("the instance is killed");
     thread::sleep(LIST_LAG);
-    wait_until("it is gone", || {
+    wait_until("the killed instance is gone", || {
         trial.site.remove_ended();
         trial.site.instances.len() == 2
     });
@@ -157,31 +160,31 @@
     trial.conclude();
 }
 
-/// The host of an instance pauses it, and a target leaves meanwhile. It wakes
-/// with an old bundle and with old packets in its socket. If it acted on the
-/// old bundle, feeds would break, or a request that another instance has
-/// placed already would run a second time.
+/// The host of an instance suspends it, and a target leaves meanwhile. It wakes up
+/// with an old bundle and with old packets in its socket. If it used the old bundle,
+/// feeds would break, or a request that another instance has already sent to a target
+/// would run a second time.
 #[test]
 fn a_frozen_instance_takes_the_newer_bundle() {
     let mut trial = trial(3);
     let operators = trial.operators();
 
-    trial.site.instances[1].signal(Signal::SIGSTOP).expect("it is frozen");
+    trial.site.instances[1].signal(Signal::SIGSTOP).expect("the instance is suspended");
     trial.site.publish_leaving("alertdesk-1");
     wait_for_version(&[operators[0], operators[2]], 2);
     thread::sleep(DRAIN_TIME);
     trial.site.drain("alertdesk-1");
-    trial.site.instances[1].signal(Signal::SIGCONT).expect("it is woken");
+    trial.site.instances[1].signal(Signal::SIGCONT).expect("the instance is resumed");
 
     wait_for_version(&operators, 2);
     assert_version_stays(&operators, 2);
     trial.conclude();
 }
 
-/// The platform's configuration service is down for long, and comes back from
-/// an old copy. An instance that starts meanwhile has only its peers to ask.
-/// If one took the old bundle for the present one, a target that has left
-/// would get new work, and flows of its buckets would break.
+/// The platform's configuration service has an outage and is restored from an old
+/// copy. An instance that starts meanwhile can get the bundle only from its peers.
+/// If an instance accepted the old bundle, a target that has left would get new
+/// work, and flows of its buckets would break.
 #[test]
 fn an_outage_of_the_platform_changes_nothing() {
     let mut trial = trial(2);
@@ -192,7 +195,7 @@
     trial.site.drain("alertdesk-1");
 
     trial.site.platform.set_fault(Fault { down: true, ..Fault::default() });
-    trial.site.join().expect("it gets ready by its peers");
+    trial.site.join().expect("the instance gets the bundle from its peers");
     let operators = trial.operators();
     assert_version_stays(&operators, 2);
     trial.site.platform.publish(&old);
@@ -204,10 +207,10 @@
     trial.conclude();
 }
 
-/// Two operators publish at once and both count up from the same version. The
-/// platform hands one bundle to some readers and the other to the rest.
-/// Instances that stayed apart would send one flow to two targets; operators
-/// have to see that there was a race, since one of the changes is not in force.
+/// Two operators publish at once and both increment the same version. The platform
+/// gives one bundle to some readers and the other to the rest. If the instances did
+/// not agree, they would send one flow to two targets. Operators must see the
+/// conflict, because one of their changes is not in force.
 #[test]
 fn concurrent_publications_converge_on_one_bundle() {
     let mut trial = trial(3);
@@ -233,14 +236,14 @@
     trial.conclude();
 }
 
-/// An instance is taken out for an update while uploads run through it. Users
-/// notice uploads that are cut and have to be sent again.
+/// An instance leaves for an update while uploads pass through it. Users notice
+/// uploads that break and have to be sent again.
 #[test]
 fn a_leaving_instance_breaks_no_upload() {
     let mut trial = trial(3);
 
-    trial.site.leave().expect("it is asked to leave");
-    wait_until("it ends", || {
+    trial.site.leave().expect("the instance gets the signal");
+    wait_until("the leaving instance has ended", || {
         trial.site.remove_ended();
         trial.site.instances.len() == 2
     });
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -1,4 +1,4 @@
-//! Callers that are turned away hear it at once, over a real TCP stack.
+//! Tests that refused callers are informed at once, with a real TCP stack.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -19,7 +19,7 @@
 const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nRetry-After: {seconds}\r\n\r\n";
 const EXPECTED: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 007\r\n\r\n";
 
-/// Turns everybody away for seven seconds.
+/// A gate that refuses all callers for seven seconds.
 struct RefuseAll;
 
 impl Gate for RefuseAll {
@@ -62,7 +62,7 @@
     fn send_advert(&mut self, _: &InstanceName, _: Advert) {}
 }
 
-/// Two instances before a closed gate, and a caller whose packets reach them
+/// Two instances that refuse all callers, and a caller whose packets reach them
 /// in turn.
 struct Scene {
     instances: [Forwarder<RefuseAll>; 2],
@@ -78,7 +78,7 @@
         Scene { instances, caller, sent: Sent::default(), turn: 0 }
     }
 
-    /// Lets packets go to and fro for a second.
+    /// Exchanges packets between caller and instances for a second.
     fn run(&mut self) {
         for now in (0..1_000).step_by(5).map(Millis) {
             for packet in self.caller.poll(now) {
@@ -107,10 +107,10 @@
     forwarder
 }
 
-/// The site is overloaded and the bundle signs off words for that. Each packet
-/// of the caller reaches another instance, none of which remembers it. Without
-/// a common cookie the second would take the caller's packet for a flow of a
-/// target, and the caller would get a reset in place of when to come back.
+/// The site is overloaded and its bundle has a refusal text. The caller's packets
+/// reach different instances, none of which keeps state of a refused caller. Without
+/// a common SYN cookie the second instance would treat the packet as part of a flow
+/// at a target, and the caller would get a reset instead of the time to retry.
 #[test]
 fn a_refused_caller_gets_the_refusal_text() {
     let mut scene = Scene::new(&SiteBuilder::new(4, 2).refusal(REFUSAL));
@@ -127,8 +127,8 @@
     assert_eq!(scene.sent.forwarded, 0);
 }
 
-/// Without words a reset says at once that nothing was run; a caller that only
-/// heard silence would wait for its own time limit.
+/// Without a refusal text a reset must show at once that nothing was run. A caller
+/// without any answer would wait for its own timeout.
 #[test]
 fn a_refused_caller_gets_a_reset_without_refusal_text() {
     let mut scene = Scene::new(&SiteBuilder::new(4, 2));
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -1,4 +1,4 @@
-//! No packet reaches a target of another service.
+//! Tests that no packet reaches a target of another service.
 
 use medlarspur_lib::{
     bundle::Protocol,
@@ -15,7 +15,7 @@
 };
 use std::net::SocketAddrV4;
 
-/// What an instance sends.
+/// Packets and questions that an instance has sent.
 #[derive(Debug, Default)]
 struct Sent {
     packets: Vec<SocketAddrV4>,
@@ -43,9 +43,9 @@
     FlowKey { protocol: Protocol::Tcp, caller, service: FEEDS }
 }
 
-/// An instance that has slept asks where a feed goes, and a peer with a fault
-/// names a target of ingestion. Followed, a subscriber's acknowledgement would
-/// reach a host that takes it for a part of an upload.
+/// An instance that has slept asks for the target of a feed, and a faulty peer
+/// answers with a target of the ingest service. If the instance used the answer, a
+/// subscriber's acknowledgement would reach a host that takes it for part of an upload.
 #[test]
 fn a_wrong_answer_leads_to_no_target_of_another_service() {
     let mut fleet = Fleet::new(4, 2, &SiteBuilder::new(4, 4).bundle(), Network::default());
--- a/tests/tests/test_udp.rs
+++ b/tests/tests/test_udp.rs
@@ -1,4 +1,4 @@
-//! Flows of UDP services, which have no mark of a first or a last packet.
+//! Tests of flows of UDP services, whose first and last packets are not marked.
 
 use medlarspur_lib::{
     bundle::{Bundle, Protocol},
@@ -17,7 +17,7 @@
 
 const FLOWS: u16 = 400;
 
-/// The bundle of a site whose services all use UDP.
+/// Returns the bundle of a site whose services all use UDP.
 fn bundle(site: &SiteBuilder) -> Arc<Bundle> {
     let mut bundle = Arc::unwrap_or_clone(site.bundle());
     for service in &mut bundle.services {
@@ -40,8 +40,8 @@
     bytes
 }
 
-/// Sends a datagram of each flow to any instance, some at a time, and says
-/// where they went.
+/// Sends a datagram of each flow to a random instance, one every 10 ms, and returns
+/// the target that each reached.
 fn send(fleet: &mut Fleet, flows: std::ops::Range<u16>) -> Map<FlowKey, SocketAddrV4> {
     let mut targets = Map::default();
     for number in flows {
@@ -58,8 +58,8 @@
     targets
 }
 
-/// Whether an instance that works knows the flow. One that only a dead instance
-/// knew can't be told from a new one.
+/// Whether a running instance knows the flow. A flow that only a dead instance knew
+/// can't be distinguished from a new one.
 fn is_known(fleet: &Fleet, key: &FlowKey) -> bool {
     let nodes = fleet.nodes.iter().enumerate().filter(|(ix, _)| fleet.is_awake(*ix));
     nodes.map(|(_, node)| &node.forwarder).any(|forwarder| {
@@ -68,10 +68,10 @@
     })
 }
 
-/// A target leaves while callers send datagrams through any instance, with and
-/// without an instance that died just before, after which no keeper vouches for
-/// a while. A flow that goes on at another target loses what the first one knew
-/// of it; a new flow at the leaving target is cut when its host goes down.
+/// A target leaves while callers send datagrams through any instance, with and without
+/// an instance that died just before, after which keepers do not deny flows for a while.
+/// A flow that moves to another target loses its state at the first one; a new flow at
+/// the leaving target is interrupted when its host goes down.
 #[test]
 fn datagrams_stay_at_their_target_and_new_ones_avoid_a_leaving_one() {
     for dies in [false, true] {
--- a/testutils/src/bin/capacity/curves.rs
+++ b/testutils/src/bin/capacity/curves.rs
@@ -1,4 +1,4 @@
-//! The slopes as one drawing of small panels.
+//! Draws the slopes as one SVG image with a panel for each.
 
 use crate::slopes::{Slope, Slopes};
 use std::fmt::Write;
@@ -6,7 +6,7 @@
 const COLUMNS: usize = 3;
 const WIDTH: f64 = 300.0;
 const HEIGHT: f64 = 190.0;
-/// The room for a panel's title and labels.
+/// Margin of a panel for its title and labels.
 const MARGIN: f64 = 34.0;
 
 /// Draws all slopes as SVG.
--- a/testutils/src/bin/capacity/main.rs
+++ b/testutils/src/bin/capacity/main.rs
@@ -1,7 +1,7 @@
-//! Works out what each role costs at the size of letter 1 from measured slopes.
+//! Computes the cost of each role at the target size from measured slopes.
 //!
 //! It reads `docs/measures/slopes.yaml`, prints the table of `docs/measures/roles.md`
-//! and draws the slopes beside it, so that both can be made again after the
+//! and draws the slopes into `docs/measures/slopes.svg`. Run it again whenever the
 //! slopes were measured again:
 //!
 //! ```text
@@ -19,13 +19,13 @@
 const SLOPES: &str = "docs/measures/slopes.yaml";
 const CURVES: &str = "docs/measures/slopes.svg";
 
-/// Why there is no table.
+/// Why the costs can't be computed.
 #[derive(Debug, Snafu)]
 enum CapacityError {
     /// A file can't be read or written.
     #[snafu(display("cannot use {path}; run this at the root of the repository"))]
     File { path: &'static str, source: io::Error },
-    /// The slopes make no sense.
+    /// The slopes are invalid.
     #[snafu(display("cannot use {SLOPES}"))]
     Content { source: SlopesError },
 }
--- a/testutils/src/bin/capacity/roles.rs
+++ b/testutils/src/bin/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! What the slopes mean for each role at the size of letter 1.
+//! Costs of each role at the target size, computed from the slopes.
 
 use crate::slopes::{Slopes, SlopesError};
 use std::fmt::Write;
@@ -10,32 +10,31 @@
 const FLOWS: f64 = 18e6;
 const CHANGES: f64 = 4_000.0;
 const DAY: f64 = 86_400.0;
-/// Members that come or go on an ordinary day: 28 die and are replaced, 660
-/// leave and come back.
+/// Members that join or leave on an ordinary day: 28 die and are replaced, 660
+/// leave and return.
 const TURNOVER: f64 = 2.0 * (28.0 + 660.0);
-/// Keepers of a service, and of a bucket.
+/// Number of keepers of a service, and of a bucket.
 const KEEPERS: (f64, f64) = (4.0, 2.0);
-/// Readers and probers in each failure domain.
+/// Number of readers and of probers in each failure domain.
 const PER_DOMAIN: f64 = 2.0;
-/// The time between two probes of a target, and the wait of a watch, in
-/// seconds.
+/// Time between two probes of a target, and duration of a watch, in seconds.
 const PROBE_PERIOD: f64 = 2.0;
 const WATCH_WAIT: f64 = 25.0;
 /// Bytes that gRPC and mutual TLS add to a message, from the example
 /// `call_cost` of `medlarspur-peer`.
 const CALL_OVERHEAD: f64 = 181.0;
-/// The text of a service with two targets in a bundle, in bytes.
+/// Size in bytes of a bundle's text for a service with two targets.
 const SERVICE_TEXT: f64 = 247.0;
 
-/// What carries the repair after a partition; no part of an ordinary second.
+/// Carrier of the repair after a partition, which is not part of the steady traffic.
 const REPAIR: &str = "bounded rumours";
 
-/// The limits of letter 1 for control on a node.
+/// Required limits of the control work on a node.
 const CORE: Limit = Limit { max: 1.8, unit: Unit::Core };
 const MEMORY: Limit = Limit { max: 256e6, unit: Unit::Bytes };
 const TRAFFIC: Limit = Limit { max: 8e3, unit: Unit::Rate };
 const LATENCY: Limit = Limit { max: 4_000.0, unit: Unit::Millis };
-/// The platform's calls a second, of all readers.
+/// Required limit of the platform's calls per second, for all readers together.
 const CALLS: Limit = Limit { max: 2_000.0, unit: Unit::Calls };
 
 #[derive(Debug, Clone, Copy)]
@@ -65,7 +64,7 @@
     }
 }
 
-/// One cost of one role.
+/// A cost of a role.
 pub struct Row {
     role: &'static str,
     cost: &'static str,
@@ -74,12 +73,12 @@
     carrier: &'static str,
 }
 
-/// A day's work in microseconds as a share of a core.
+/// Converts a day's work in microseconds to a percentage of a core.
 fn core_share(micros: f64) -> f64 {
     micros / 1e6 / DAY * 100.0
 }
 
-/// All costs by role.
+/// Returns the costs of all roles.
 pub fn rows(slopes: &Slopes) -> Result<Vec<Row>, SlopesError> {
     let parts = [forwarder, keeper, reader, bundle, member, target, totals];
     let rows: Result<Vec<_>, _> = parts.iter().map(|part| part(slopes)).collect();
@@ -197,7 +196,7 @@
     ])
 }
 
-/// The share of a core for putting a day's changes in force.
+/// Percentage of a core for putting a day's changes in force.
 fn install(s: &Slopes) -> Result<f64, SlopesError> {
     let micros = s.at("install-micros", ADDRESSES)? + s.at("follow-micros", ADDRESSES)?;
     Ok(core_share(CHANGES * micros))
@@ -244,7 +243,7 @@
     ])
 }
 
-/// How many probes a node makes in a second.
+/// Number of probes that a node makes per second.
 fn probes() -> f64 {
     HOSTS * PER_DOMAIN / (NODES / DOMAINS) / PROBE_PERIOD
 }
@@ -264,8 +263,8 @@
     ])
 }
 
-/// The sums for a node that is no reader, when packets are sprayed over the
-/// instances of a failure domain.
+/// Returns the total costs of a node that is not a reader, with packets sprayed over
+/// the instances of a failure domain.
 fn totals(s: &Slopes) -> Result<Vec<Row>, SlopesError> {
     let rows = [bundle(s)?, member(s)?, target(s)?].into_iter().flatten();
     let (mut core, mut traffic) = (0.0, 0.0);
@@ -286,7 +285,7 @@
     ])
 }
 
-/// The costs as a table in Markdown. One above its limit is marked.
+/// Returns the costs as a Markdown table, in which costs above their limit are marked.
 pub fn table(rows: &[Row]) -> String {
     let mut text = "| role | cost at the target size | value | limit | | carried by |\n|---|---|---|---|---|---|\n".to_owned();
     for Row { role, cost, value, limit, carrier } in rows {
--- a/testutils/src/bin/capacity/slopes.rs
+++ b/testutils/src/bin/capacity/slopes.rs
@@ -1,28 +1,28 @@
-//! Measured points and the lines through them.
+//! Measured points and straight lines fitted to them.
 
 use medlarspur_lib::collections::Map;
 use serde::Deserialize;
 use snafu::{OptionExt, ResultExt, Snafu, ensure};
 use std::fmt::Write;
 
-/// The fewest sizes that make a slope.
+/// Minimum number of measured sizes of a slope.
 const MIN_POINTS: usize = 4;
 
-/// Why slopes can't be used.
+/// Why the slopes can't be used.
 #[derive(Debug, Snafu)]
 pub enum SlopesError {
-    /// The text is not what it should be.
+    /// The text is not valid YAML or not a list of slopes.
     #[snafu(display("the slopes cannot be parsed"))]
     Parse { source: serde_norway::Error },
-    /// Too few sizes tell nothing of the way between them.
+    /// A slope has too few sizes for a line.
     #[snafu(display("slope `{name}` has fewer than {MIN_POINTS} sizes"))]
     Points { name: String },
-    /// The roles need a slope that is not there.
+    /// A slope that the roles need is missing.
     #[snafu(display("slope `{name}` was not measured"))]
     Missing { name: String },
 }
 
-/// What was measured against one size.
+/// A quantity that was measured at several sizes.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Slope {
@@ -34,24 +34,24 @@
     pub points: Vec<(f64, f64)>,
 }
 
-/// All slopes by name, in the order of the text.
+/// All slopes, in the order of the text.
 #[derive(Debug)]
 pub struct Slopes {
     list: Vec<Slope>,
     positions: Map<String, usize>,
 }
 
-/// The straight line nearest to the points, by least squares.
+/// Straight line fitted to the points by least squares.
 #[derive(Debug, Clone, Copy)]
 pub struct Line {
     pub intercept: f64,
     pub gradient: f64,
-    /// The share of the points' variance that it explains.
+    /// Share of the points' variance that the line explains (r²).
     pub fit: f64,
 }
 
 impl Line {
-    /// The value of the line at a size, never below zero.
+    /// Returns the value of the line at a size; never below zero.
     pub fn at(&self, x: f64) -> f64 {
         (self.intercept + self.gradient * x).max(0.0)
     }
@@ -87,13 +87,13 @@
         self.list.iter()
     }
 
-    /// The value of a slope's line at a size.
+    /// Returns the value of a slope's line at a size.
     pub fn at(&self, name: &str, x: f64) -> Result<f64, SlopesError> {
         let position = self.positions.get(name).context(MissingSnafu { name })?;
         Ok(self.list[*position].line().at(x))
     }
 
-    /// The slopes as a table in Markdown.
+    /// Returns the slopes as a Markdown table, followed by their commands.
     pub fn table(&self) -> String {
         let mut text =
             "| slope | what | sizes | line | fit r² |\n|---|---|---|---|---|\n".to_owned();
@@ -111,7 +111,7 @@
         text + &self.commands()
     }
 
-    /// The commands that gave the slopes, each once.
+    /// Returns a list of the different commands that measured the slopes.
     fn commands(&self) -> String {
         let general = |it: &Slope| it.command.replace(&it.name, "NAME");
         let mut commands: Vec<_> = self.list.iter().map(general).collect();
--- a/testutils/src/bin/site.rs
+++ b/testutils/src/bin/site.rs
@@ -1,5 +1,7 @@
-//! Brings up a whole small site, changes it under load and prints what callers
-//! saw. Ends with 1 if a flow broke or an answer was wrong.
+//! Starts a small site, changes it under load and prints the callers' results.
+//!
+//! The exit status is 1 if a flow broke, an answer was wrong or another check
+//! failed, and 2 if the trial could not be run.
 
 use medlarspur_lib::bundle::Class;
 use medlarspur_testutils::{
@@ -24,31 +26,33 @@
     time::{Duration, Instant},
 };
 
-/// Why the trial came to no result.
+/// Why the trial has no result.
 #[derive(Debug, Snafu)]
 enum Error {
-    /// The site did not come up or did not follow.
+    /// The site can't be started or changed.
     #[snafu(display("the site failed"))]
     Site { source: SiteError },
-    /// The callers did not start, or the signals can't be caught.
+    /// The callers can't be started, or the signals can't be handled.
     #[snafu(display("the callers can't be started"))]
     Start { source: io::Error },
-    /// Somebody ended the trial.
+    /// A signal ended the trial.
     #[snafu(display("interrupted"))]
     Interrupted,
 }
 
-/// Ends the wait for work under way once the callers stop.
+/// Maximum time to wait for work in progress after the callers are stopped.
 const GRACE: Duration = Duration::from_secs(10);
-/// How often the site is looked after.
+/// Time between two checks of the site for ended instances.
 const TICK: Duration = Duration::from_millis(50);
-/// Parts of the trial, in percent of its seconds, at which things change.
+/// Times of the replacement of an instance, of the leaving of a target and of the
+/// killing of instances, in percent of the trial's duration.
 const REPLACE_AT: u32 = 30;
 const LEAVE_AT: u32 = 50;
 const KILL_AT: u32 = 70;
-/// From the bundle that says that a target leaves until it refuses openings.
+/// Time from the bundle in which a target is leaving until the target refuses new
+/// connections.
 const DRAIN_AFTER: Duration = Duration::from_secs(2);
-/// The target that leaves.
+/// Name of the target that leaves.
 const LEAVING: &str = "alertdesk-1";
 
 struct Flags {
@@ -123,7 +127,7 @@
     Ok(conclude(flags, &site, &report))
 }
 
-/// The daemon, which lies beside this program.
+/// Returns the path of the daemon, which is in the folder of this program.
 fn program() -> PathBuf {
     let own = env::current_exe().unwrap_or_default();
     own.with_file_name("medlarspurd")
@@ -147,7 +151,8 @@
     ]
 }
 
-/// Replaces an instance, lets a target leave and kills what was asked for.
+/// Replaces an instance, lets a target leave, and kills as many instances as the
+/// flags say.
 fn change(site: &mut Site, flags: &Flags, interrupted: &AtomicBool) -> Result<(), Error> {
     let start = Instant::now();
     let whole = Duration::from_secs(flags.seconds.into());
@@ -184,7 +189,7 @@
     Ok(())
 }
 
-/// Prints the result and says whether it is a good one.
+/// Prints the result and returns whether all checks passed.
 fn conclude(flags: &Flags, site: &Site, report: &Report) -> bool {
     if flags.json {
         println!("{}", serde_json::to_string(report).unwrap_or_default());
--- a/testutils/src/bin/standin.rs
+++ b/testutils/src/bin/standin.rs
@@ -1,7 +1,7 @@
-//! The stand-ins as processes: platform, fabric, targets and callers.
+//! Runs a stand-in as a process: platform, fabric, targets or callers.
 //!
-//! Each prints one line of JSON with its addresses and runs until it is ended;
-//! the callers run for their seconds and print their report.
+//! Platform, fabric and targets print their addresses as one line of JSON and run
+//! until they are ended. Callers run for a number of seconds and print their report.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
@@ -85,7 +85,7 @@
 
 use flags::MedlarspurStandinCmd;
 
-/// How long work under way is awaited at the end.
+/// Maximum time to wait for work in progress at the end.
 const GRACE: Duration = Duration::from_secs(10);
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -154,7 +154,7 @@
     Ok(())
 }
 
-/// Runs until somebody ends the process.
+/// Waits until the process is ended.
 fn run() -> Result<(), Box<dyn Error>> {
     loop {
         thread::park();
--- a/testutils/src/bundles.rs
+++ b/testutils/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Checked bundles for tests, built without text.
+//! Builds bundles for tests, without writing and parsing text.
 
 use medlarspur_lib::{
     bundle::{Bundle, Class, Limits, Port, Protocol, Seed, Service, Target, TargetState},
@@ -10,14 +10,14 @@
     sync::Arc,
 };
 
-/// The address and port of the first service's feeds.
+/// Address and port of the first service's feeds.
 pub const FEEDS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 1), 7001);
-/// The address and port of the first service's requests.
+/// Address and port of the first service's requests.
 pub const REQUESTS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 1), 7002);
-/// The address and port of the second service's uploads.
+/// Address and port of the second service's uploads.
 pub const UPLOADS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 2), 7003);
 
-/// A site with two services, like the two first sites.
+/// Builds the bundles of a site with two services.
 #[derive(Debug, Clone)]
 pub struct SiteBuilder {
     version: u64,
@@ -29,7 +29,7 @@
 }
 
 impl SiteBuilder {
-    /// A site with this many targets for the first and the second service.
+    /// Creates a site with `first` targets of the first service and `second` of the second.
     pub fn new(first: usize, second: usize) -> SiteBuilder {
         SiteBuilder {
             version: 1,
@@ -41,41 +41,41 @@
         }
     }
 
-    /// The next version, in which a target leaves.
+    /// Returns the next version, in which a target is leaving.
     pub fn leaving(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.leaving.push(name.to_owned());
         self
     }
 
-    /// The next version, in which a target is not named any more.
+    /// Returns the next version, in which a target is no longer listed.
     pub fn removed(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.removed.push(name.to_owned());
         self
     }
 
-    /// The next version, in which a target that left takes work again.
+    /// Returns the next version, in which a leaving target is active again.
     pub fn returning(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.leaving.retain(|other| other != name);
         self
     }
 
-    /// The next version, in which each service has one target more.
+    /// Returns the next version, in which each service has one more target.
     pub fn grown(mut self) -> SiteBuilder {
         self.version += 1;
         self.targets = self.targets.map(|count| count + 1);
         self
     }
 
-    /// Turns callers away with this text.
+    /// Sets the text for refused callers.
     pub fn refusal(mut self, text: &str) -> SiteBuilder {
         self.refusal = Some(text.into());
         self
     }
 
-    /// Its bundle.
+    /// Builds the bundle.
     pub fn bundle(&self) -> Arc<Bundle> {
         let ports = |numbers: &[(u16, Class)]| {
             let port = |&(number, class)| Port { number, protocol: Protocol::Tcp, class };
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -1,4 +1,4 @@
-//! Many callers over one UDP socket, with steady streams of work.
+//! Callers that share one UDP socket and start work at steady rates.
 
 use crate::{
     client::{Client, Timeouts},
@@ -20,64 +20,64 @@
     time::Duration,
 };
 
-/// A steady stream of work of one kind.
+/// A stream of similar work at a steady rate.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct Stream {
     /// The service that has to answer.
     pub service: String,
-    /// The kind of work.
+    /// Class of the work.
     pub class: Class,
-    /// Where the service is reached.
+    /// Address and port of the service.
     pub remote: SocketAddrV4,
-    /// How much work starts a second.
+    /// Pieces of work started per second.
     pub rate: f64,
-    /// How much work starts in all; 0 sets no end.
+    /// Total number of pieces of work; 0 for no limit.
     pub total: u64,
-    /// The bytes of an upload.
+    /// Size of an upload in bytes.
     pub size: usize,
-    /// How long a feed is held, in milliseconds.
+    /// Time in milliseconds after which the caller closes a feed.
     pub hold: u64,
 }
 
-/// Who calls.
+/// Settings of the callers.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where the fabric takes callers' packets.
+    /// Address of the fabric for callers' packets.
     pub fabric: SocketAddrV4,
-    /// The first address of the callers; the others follow it.
+    /// Address of the first caller; the others follow in steps of 257.
     pub first: Ipv4Addr,
-    /// How many addresses call.
+    /// Number of callers, each with its own address.
     pub count: u32,
-    /// How long they wait.
+    /// Timeouts of the callers.
     pub timeouts: Timeouts,
 }
 
 impl Settings {
-    /// A few callers with ordinary patience.
+    /// Returns the settings of 32 callers with default timeouts.
     pub fn new(fabric: SocketAddrV4) -> Self {
         let first = Ipv4Addr::new(10, 64, 0, 1);
         Self { fabric, first, count: 32, timeouts: Timeouts::default() }
     }
 }
 
-/// The step from one caller's address to the next: ordinary callers come from
-/// networks of their own, and what one network may take is limited.
+/// Step from one caller's address to the next. It puts the callers into different
+/// networks, as real callers are, because a limit applies to each network.
 const ADDRESS_STRIDE: u32 = 257;
 
-/// Work goes on being opened.
+/// Phase in which work is started.
 const OPENING: u8 = 0;
-/// No more work is opened; feeds go on.
+/// Phase in which no work is started and feeds stay open.
 const HOLDING: u8 = 1;
-/// Feeds are ended and the rest is awaited.
+/// Phase in which feeds are closed and other work is finished.
 const ENDING: u8 = 2;
 
-/// How long the socket is waited for at most.
+/// Receive timeout of the socket.
 const TICK: Duration = Duration::from_millis(1);
-/// How many feeds of a caller end in one millisecond. Thousands that end at
-/// once overflow the sockets on their way, and their repeats do so again.
+/// Maximum number of feeds closed in one millisecond. Thousands closed at once
+/// would overflow the sockets on their path, and so would their retransmissions.
 const MAX_CLOSED_FEEDS: usize = 2;
 
-/// Callers that run in a thread of their own.
+/// Callers that run in a thread.
 pub struct Callers {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
@@ -92,7 +92,7 @@
 }
 
 impl Callers {
-    /// Starts calling.
+    /// Starts the callers.
     pub fn start(settings: Settings, streams: Vec<Stream>) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.connect(settings.fabric)?;
@@ -102,38 +102,38 @@
         Ok(Self { shared, thread })
     }
 
-    /// What the callers have seen so far.
+    /// Returns the results so far.
     pub fn report(&self) -> Report {
         lock(&self.shared.report).with_totals()
     }
 
-    /// How much work is under way.
+    /// Number of pieces of work in progress.
     pub fn pending(&self) -> usize {
         self.shared.pending.load(Ordering::Relaxed)
     }
 
-    /// Opens nothing more; what is open goes on.
+    /// Stops starting work; work in progress continues.
     pub fn hold(&self) {
         self.shared.phase.store(HOLDING, Ordering::Relaxed);
     }
 
-    /// Ends the feeds, awaits the rest for `grace` and reports.
+    /// Closes the feeds, waits up to `grace` for the other work and returns the results.
     pub fn stop(self, grace: Duration) -> Report {
         self.shared.phase.store(ENDING, Ordering::Relaxed);
         let clock = Clock::start();
-        // The first ticks settle the count of what is under way.
+        // The first ticks bring the count of work in progress up to date.
         thread::sleep(10 * TICK);
         while self.pending() > 0 && clock.now() < grace.into() {
             thread::sleep(TICK);
         }
         self.shared.stopped.store(true, Ordering::Relaxed);
-        // A thread that panicked has nothing left to say.
+        // If the thread panicked, the results until then are returned.
         let _ = self.thread.join();
         lock(&self.shared.report).with_totals()
     }
 }
 
-/// The callers as their thread has them.
+/// State of the callers' thread.
 struct CallerLoop {
     clients: Vec<Client>,
     by_addr: Map<Ipv4Addr, usize>,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Starts what the streams' rates say is due by now.
+    /// Starts the work that is due at `now` by the rates of the streams.
     fn open(&mut self, now: Millis) {
         for ix in 0..self.streams.len() {
             let (stream, started) = &self.streams[ix];
@@ -205,7 +205,7 @@
         self.clients[self.current].open(now, work);
     }
 
-    /// Ends a few feeds of the next caller.
+    /// Closes a few feeds of the next caller.
     fn close_some_feeds(&mut self, now: Millis) {
         self.current = (self.current + 1) % self.clients.len();
         self.clients[self.current].close_feeds(MAX_CLOSED_FEEDS);
--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -1,7 +1,7 @@
-//! The work of a caller, on a [`Host`] and without I/O.
+//! A caller on a [`Host`], without I/O.
 //!
-//! It checks every byte that it gets: an answer to somebody else, a gap in a
-//! feed and a cut answer are told apart from an orderly end.
+//! It checks every byte that it receives, and distinguishes an answer to other
+//! work, a gap in a feed and a truncated answer from an orderly end.
 
 use crate::{
     host::{Conn, Host, Stage},
@@ -10,27 +10,27 @@
 use medlarspur_lib::{bundle::Class, collections::Map, time::Millis};
 use std::{collections::BTreeSet, net::Ipv4Addr};
 
-/// What became of a piece of work.
+/// Result of a piece of work.
 #[derive(Debug, Clone)]
 pub struct Outcome {
     /// The work.
     pub work: Work,
-    /// How it ended.
+    /// How the work ended.
     pub end: End,
-    /// The target that answered, once one has.
+    /// Name of the target that answered, if any.
     pub target: Option<String>,
-    /// When it ended.
+    /// Time of the end.
     pub at: Millis,
-    /// From the opening to the first line of a feed or the whole answer.
+    /// Time from the opening to the first line of a feed, or to the complete answer.
     pub latency: Option<Millis>,
 }
 
-/// How long a caller waits.
+/// Timeouts of a caller.
 #[derive(Debug, Clone, Copy)]
 pub struct Timeouts {
-    /// For the handshake.
+    /// Maximum time until the handshake is complete.
     pub handshake: Millis,
-    /// For the next byte once established.
+    /// Maximum time without progress on an established connection.
     pub idle: Millis,
 }
 
@@ -40,10 +40,10 @@
     }
 }
 
-/// The first port of a caller's own.
+/// First local port of a caller.
 const FIRST_PORT: u16 = 20_000;
 
-/// A caller with any number of connections.
+/// A caller with its connections.
 pub struct Client {
     host: Host,
     timeouts: Timeouts,
@@ -55,7 +55,7 @@
 }
 
 impl Client {
-    /// Makes a caller with the address `addr`.
+    /// Creates a caller with the address `addr`.
     pub fn new(addr: Ipv4Addr, timeouts: Timeouts) -> Self {
         Self {
             host: Host::new(addr),
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Starts a piece of work.
+    /// Starts a piece of work on a new connection.
     pub fn open(&mut self, now: Millis, work: Work) -> Conn {
         self.now = self.now.max(now);
         let port = self.port;
@@ -79,12 +79,12 @@
         conn
     }
 
-    /// Takes in a packet for this caller.
+    /// Handles a packet for this caller.
     pub fn receive(&mut self, packet: &[u8]) {
         self.host.receive(packet);
     }
 
-    /// Does what is due at `now` and takes the packets for the fabric.
+    /// Does the work that is due at `now` and returns the packets for the fabric.
     pub fn poll(&mut self, now: Millis) -> Vec<Vec<u8>> {
         self.now = self.now.max(now);
         let mut packets = self.host.poll(self.now);
@@ -101,30 +101,29 @@
         packets
     }
 
-    /// When the next poll has work, if nothing is received before.
+    /// Returns the time of the next poll, if nothing is received before.
     pub fn next_poll(&self) -> Option<Millis> {
         let timer = self.timers.first().map(|&(due, _)| due);
         [timer, self.host.next_poll()].into_iter().flatten().min()
     }
 
-    /// Takes what has ended since the last call.
+    /// Takes the outcomes of the work that has ended since the last call.
     pub fn take_outcomes(&mut self) -> Vec<Outcome> {
         std::mem::take(&mut self.outcomes)
     }
 
-    /// How many pieces of work are under way.
+    /// Number of pieces of work in progress.
     pub fn pending(&self) -> usize {
         self.tasks.len()
     }
 
-    /// Ends up to `count` feeds in an orderly way, as a caller does that goes
-    /// home.
+    /// Closes up to `count` feeds in an orderly way.
     pub fn close_feeds(&mut self, count: usize) {
         let held = |task: &Task| task.work.class == Class::Feed && task.work.hold > Millis(0);
         let feeds = self.tasks.iter().filter(|(_, task)| held(task)).take(count);
         let conns = feeds.map(|(&conn, _)| conn).collect::<Vec<_>>();
         for conn in conns {
-            // One without its first line yet ends as soon as it has it.
+            // A feed that has not got its first line yet is closed when that arrives.
             self.tasks.entry(conn).and_modify(|task| task.work.hold = Millis(0));
             self.end_feed(conn);
         }
@@ -154,7 +153,7 @@
         let verdict = task.read(self.now);
         let sent = self.host.send(conn, &task.output);
         task.output.drain(..sent);
-        // Room for more bytes of an upload is a sign of life, as an answer is.
+        // Progress of an upload counts as activity of the target, like an answer.
         if received + sent > 0 {
             task.last_activity = self.now;
         }
@@ -190,8 +189,8 @@
         }
     }
 
-    /// Closes a feed that has worked until now. One that never got its first
-    /// line is left to its silence.
+    /// Closes a feed. One that has not got its first line stays open until that
+    /// arrives or the idle timeout ends it.
     fn end_feed(&mut self, conn: Conn) {
         let Some(task) = self.tasks.get_mut(&conn) else {
             return;
--- a/testutils/src/clock.rs
+++ b/testutils/src/clock.rs
@@ -1,19 +1,19 @@
-//! The real clock of the stand-ins that run over sockets.
+//! The clock of the stand-ins that use sockets.
 
 use medlarspur_lib::time::Millis;
 use std::time::Instant;
 
-/// Counts milliseconds since its start.
+/// A clock that counts milliseconds since its start.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts at zero.
+    /// Starts a clock at zero.
     pub fn start() -> Self {
         Self(Instant::now())
     }
 
-    /// The time since the start.
+    /// Time since the start.
     pub fn now(&self) -> Millis {
         self.0.elapsed().into()
     }
--- a/testutils/src/fabric.rs
+++ b/testutils/src/fabric.rs
@@ -1,7 +1,8 @@
-//! The fabric over UDP: callers' packets to instances, answers to callers.
+//! A fabric over UDP, which carries callers' packets to instances and answers to
+//! callers.
 //!
-//! Two sockets stand for it. Callers send to `callers`, which learns where
-//! each source address lives; targets and instances send to `returns`.
+//! It has two sockets. Callers send to `callers`, where the fabric learns the
+//! socket behind each source address. Targets and instances send to `returns`.
 
 use crate::{
     clock::Clock,
@@ -26,27 +27,29 @@
     time::Duration,
 };
 
-/// How a fabric behaves.
+/// Settings of a fabric.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where callers send; port 0 lets the system choose.
+    /// Address for callers' packets; with port 0 the operating system chooses a port.
     pub callers: SocketAddrV4,
-    /// Where targets and instances send their answers.
+    /// Address for answers of targets and instances.
     pub returns: SocketAddrV4,
     /// How packets are spread.
     pub mode: Mode,
-    /// Makes the spread repeat itself.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// How long each packet takes in each direction.
+    /// Delay of each packet, in each direction.
     pub delay: Millis,
-    /// How long a leaving instance still gets packets.
+    /// Time in which a leaving instance still gets packets.
     pub lag: Millis,
-    /// The platform to read the list from, if it isn't set directly.
+    /// Platform to read the list of instances from; `None` if the list is set by
+    /// [`Fabric::set_list`].
     pub platform: Option<SocketAddrV4>,
 }
 
 impl Settings {
-    /// A fabric without delay on ports of the system's choice.
+    /// Returns the settings of a fabric without delay, on ports that the operating
+    /// system chooses.
     pub fn new(mode: Mode) -> Self {
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         Self {
@@ -61,18 +64,18 @@
     }
 }
 
-/// How often the list is read; real lists lag by about as much.
+/// Time between two reads of the list; lists of real fabrics lag by about as much.
 const LIST_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a socket waits before it looks for delayed packets.
+/// Receive timeout while packets are delayed.
 const TICK: Duration = Duration::from_millis(1);
-/// The largest datagram.
+/// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM: usize = 65_536;
 
-/// A running fabric. Its threads end with the process.
+/// A running fabric. Its threads run until the process ends.
 pub struct Fabric {
-    /// Where callers send.
+    /// Address for callers' packets.
     pub callers: SocketAddrV4,
-    /// Where targets and instances send their answers.
+    /// Address for answers of targets and instances.
     pub returns: SocketAddrV4,
     shared: Arc<Shared>,
 }
@@ -119,7 +122,7 @@
         Ok(fabric)
     }
 
-    /// Sets the list directly.
+    /// Sets the list of instances.
     pub fn set_list(&self, entries: Vec<ListedInstance>) {
         self.shared.set_list(entries);
     }
@@ -130,7 +133,7 @@
         lock(&self.shared.routes).blocked = names.collect();
     }
 
-    /// How many packets found no instance or no caller.
+    /// Number of packets that were dropped because no instance or caller was known.
     pub fn lost(&self) -> u64 {
         self.shared.lost.load(Ordering::Relaxed)
     }
@@ -147,7 +150,7 @@
         routes.entries = entries;
     }
 
-    /// Reads the list again and again; the last one holds while it can't.
+    /// Reads the list periodically. If a read fails, the last list stays in use.
     fn poll_list(&self, platform: SocketAddrV4) {
         loop {
             if let Ok(entries) = platform::read_list(platform) {
@@ -194,7 +197,7 @@
 }
 
 impl Routes {
-    /// The instances that get packets now, in the order of the list.
+    /// Returns the instances that get packets at `now`, in the order of the list.
     fn receivers(&self, now: Millis, lag: Millis) -> Vec<&ListedInstance> {
         let within_lag = |name| self.leaving.get(name).is_none_or(|&since| now.since(since) < lag);
         let entries = self.entries.iter();
@@ -204,7 +207,7 @@
     }
 }
 
-/// Packets on their way in one direction, which all take the same time.
+/// Queue of the packets in one direction, which all have the same delay.
 struct DelayLine {
     delay: Millis,
     queue: VecDeque<(Millis, SocketAddr, Vec<u8>)>,
@@ -215,7 +218,8 @@
         Self { delay, queue: VecDeque::new() }
     }
 
-    /// Carries packets for ever to where `route` says.
+    /// Receives packets and sends each, after the delay, to the address that `route`
+    /// returns. Runs until the socket fails.
     fn run(
         &mut self,
         from: &UdpSocket,
@@ -225,7 +229,7 @@
     ) {
         let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
-            // With nothing delayed there is no reason to wake up.
+            // No timeout is needed while no packet is delayed.
             let wait = (!self.queue.is_empty()).then_some(TICK);
             if from.set_read_timeout(wait).is_err() {
                 return;
@@ -242,15 +246,15 @@
             while let Some((_, destination, packet)) =
                 self.queue.pop_front_if(|(due, _, _)| *due <= clock.now())
             {
-                // A closed port reports itself on the socket; the packet is lost
-                // as it would be in a real network.
+                // An earlier packet to a closed port makes a send fail; the packet
+                // is lost, as in a real network.
                 let _ = to.send_to(&packet, destination);
             }
         }
     }
 }
 
-/// The IPv4 form of an address; the stand-ins speak no other.
+/// Converts an address to IPv4, the only protocol of the stand-ins.
 pub(crate) fn v4(addr: SocketAddr) -> io::Result<SocketAddrV4> {
     match addr {
         SocketAddr::V4(addr) => Ok(addr),
@@ -258,7 +262,8 @@
     }
 }
 
-/// Locks state whose holder cannot leave it half changed.
+/// Locks a mutex, also if a thread panicked while holding it. No holder leaves the
+/// state half changed.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Several packet paths in one process and in virtual time, for tests of what
-//! they do together. Bundles, members and adverts reach each instance with a
-//! delay of its own; the protocols that carry them are tested by themselves.
+//! Simulates several instances in one process and in virtual time, to test how
+//! their packet paths work together. Bundles, members and adverts reach each
+//! instance after a simulated delay; the protocols that carry them are tested
+//! elsewhere.
 
 use medlarspur_lib::{
     bundle::Bundle,
@@ -19,28 +20,30 @@
     sync::Arc,
 };
 
-/// How often an instance does what is due.
+/// Time between two ticks of an instance.
 const TICK: Millis = Millis(5);
 
-/// How often histories are compared, like the heartbeats that carry digests.
+/// Time between two comparisons of histories; equal to the interval of the
+/// heartbeats, which carry digests.
 const ANTI_ENTROPY: Millis = Millis(1_000);
 
-/// How long a fleet has run when a test begins: longer than an instance is new
-/// to its peers.
+/// Time that a fleet runs before a test begins; longer than peers treat an
+/// instance as new.
 const WARM_UP: Millis = Millis(50_000);
 
-/// How the instances reach each other.
+/// Properties of the simulated network between instances.
 #[derive(Debug, Clone)]
 pub struct Network {
-    /// The time that a datagram or message takes.
+    /// Delay of datagrams and adverts.
     pub delay: Millis,
-    /// Of a thousand datagrams, how many are lost.
+    /// Number of datagrams lost per thousand.
     pub loss: u64,
-    /// How long it takes until the others know that an instance has gone.
+    /// Time until the other instances notice that an instance is gone.
     pub detection: Millis,
-    /// How long news of a bundle takes to an instance, at most.
+    /// Maximum time until an instance receives a new bundle or plan, and time until
+    /// it receives a change of members or a history.
     pub update_delay: Millis,
-    /// Seeds what is random.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
@@ -56,7 +59,7 @@
     }
 }
 
-/// What travels between instances.
+/// A message to an instance.
 #[derive(Debug)]
 enum Message {
     Datagram(SocketAddrV4, Datagram),
@@ -95,34 +98,34 @@
     }
 }
 
-/// How an instance fares.
+/// State of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It works.
+    /// It is running.
     Up,
-    /// It works and has said that it leaves.
+    /// It is running and has announced that it leaves.
     Leaving,
-    /// It does nothing, and wakes later with what it knew.
+    /// It is suspended, and continues later with its old state.
     Frozen,
-    /// It is gone.
+    /// It has ended.
     Gone,
 }
 
-/// One instance.
+/// An instance.
 pub struct Node {
     /// Its packet path.
     pub forwarder: Forwarder<AdmitAll>,
-    /// Its control path, once it has a bundle.
+    /// Its control path; `None` before its first bundle.
     pub draft: Option<Draft>,
-    /// How it fares.
+    /// Its state.
     pub state: State,
-    /// In which side of a partition it is.
+    /// Side of a network partition that it is on.
     pub side: u8,
     member: Member,
     just_woken: bool,
 }
 
-/// What one round of an instance sends.
+/// Everything that one call to an instance sends.
 #[derive(Debug, Default)]
 struct Sent {
     packets: Vec<(SocketAddrV4, Vec<u8>)>,
@@ -149,17 +152,18 @@
     }
 }
 
-/// The instances of a site.
+/// The simulated instances of a site.
 pub struct Fleet {
-    /// The instances, by the order in which they came.
+    /// The instances, in the order in which they were started.
     pub nodes: Vec<Node>,
     /// The virtual time.
     pub now: Millis,
-    /// Packets for targets since they were last taken.
+    /// Packets that instances sent to targets, until a test takes them.
     pub packets: Vec<(SocketAddrV4, Vec<u8>)>,
-    /// Packets made by instances for callers since they were last taken.
+    /// Packets that instances sent to callers, until a test takes them.
     pub answers: Vec<Vec<u8>>,
-    /// Bytes of questions, answers and adverts, with 28 for each UDP datagram.
+    /// Total bytes of questions, answers and adverts, with 28 bytes of headers for
+    /// each UDP datagram.
     pub control_bytes: u64,
     network: Network,
     domains: u64,
@@ -196,7 +200,7 @@
         fleet
     }
 
-    /// Starts another instance; it learns bundle, members and history.
+    /// Starts another instance, which gets the bundle, members and histories. Returns its index.
     pub fn join(&mut self) -> usize {
         let ix = self.add();
         self.install(ix, self.bundle.clone());
@@ -228,7 +232,7 @@
         ix
     }
 
-    /// Publishes a bundle; each instance hears of it at a moment of its own.
+    /// Publishes a bundle, which each instance receives after a random delay.
     pub fn publish(&mut self, bundle: &Arc<Bundle>) {
         self.bundle = bundle.clone();
         for ix in 0..self.nodes.len() {
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Publishes a bundle that only the instances on one side can read.
+    /// Publishes a bundle that only the instances on one side receive.
     pub fn publish_on(&mut self, side: u8, bundle: &Arc<Bundle>) {
         for ix in
             (0..self.nodes.len()).filter(|&ix| self.nodes[ix].side == side).collect::<Vec<_>>()
@@ -247,8 +251,8 @@
         }
     }
 
-    /// Publishes a plan; each instance on the side of its author hears of it
-    /// at a moment of its own.
+    /// Publishes a plan, which each instance on the side of its author receives
+    /// after a random delay.
     pub fn publish_plan(&mut self, plan: &ServicePlan) {
         let author = self.nodes.iter().find(|node| node.member.name == plan.author);
         let side = author.map_or(0, |node| node.side);
@@ -260,19 +264,19 @@
         }
     }
 
-    /// Kills an instance without a word.
+    /// Kills an instance, which announces nothing.
     pub fn kill(&mut self, ix: usize) {
         self.nodes[ix].state = State::Gone;
         self.announce_members(self.network.detection);
     }
 
-    /// Tells an instance to leave; it works on until it is killed.
+    /// Makes an instance leave; it keeps running until it is killed.
     pub fn leave(&mut self, ix: usize) {
         self.nodes[ix].state = State::Leaving;
         self.announce_members(self.network.update_delay);
     }
 
-    /// Ends an instance that leaves, as soon as it has told its keepers all.
+    /// Ends a leaving instance as soon as it has advertised all its exceptions.
     pub fn retire(&mut self, ix: usize) {
         while !self.nodes[ix].forwarder.has_advertised_all() {
             self.advance(Millis(50));
@@ -281,15 +285,15 @@
         self.kill(ix);
     }
 
-    /// Freezes an instance, or wakes it up.
+    /// Suspends or resumes an instance.
     pub fn freeze(&mut self, ix: usize, frozen: bool) {
         self.nodes[ix].state = if frozen { State::Frozen } else { State::Up };
         self.nodes[ix].just_woken = !frozen;
         self.announce_members(self.network.detection);
     }
 
-    /// Anti-entropy: instances whose history differs from another's on their
-    /// side are told it.
+    /// Runs a round of anti-entropy: an instance whose history differs from that of
+    /// another on its side is sent the other's.
     fn exchange_history(&mut self) {
         let now = self.now;
         let known: Vec<_> = self
@@ -309,7 +313,8 @@
         }
     }
 
-    /// Puts the instances on the sides that `side` names.
+    /// Partitions the network: puts each instance on the side that `side` returns
+    /// for its index.
     pub fn partition(&mut self, side: impl Fn(usize) -> u8) {
         for (ix, node) in self.nodes.iter_mut().enumerate() {
             node.side = side(ix);
@@ -317,13 +322,13 @@
         self.announce_members(self.network.detection);
     }
 
-    /// Ends all cuts; the sides find each other as fast as other news spreads.
+    /// Ends all partitions. The instances notice it after the network's `update_delay`.
     pub fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.side = 0);
         self.announce_members(self.network.update_delay);
     }
 
-    /// Lets one instance have a packet from the fabric.
+    /// Delivers a packet from the fabric to an instance.
     pub fn receive(&mut self, ix: usize, packet: &[u8]) {
         let now = self.now;
         if !self.is_awake(ix) {
@@ -332,12 +337,12 @@
         self.run(ix, |node, sent| node.forwarder.handle_packet(now, packet, sent));
     }
 
-    /// Whether the instance takes packets.
+    /// Whether the instance handles packets.
     pub fn is_awake(&self, ix: usize) -> bool {
         matches!(self.nodes[ix].state, State::Up | State::Leaving)
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn advance(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
@@ -378,7 +383,7 @@
             return;
         }
         if self.nodes[ix].state == State::Frozen {
-            // News is told again by anti-entropy; the rest is lost.
+            // Anti-entropy sends these again; other messages are lost.
             if matches!(
                 delivery.message,
                 Message::Bundle(_) | Message::Plan(_) | Message::Members | Message::History(_)
@@ -426,7 +431,7 @@
         self.commit(ix);
     }
 
-    /// The members as an instance sees them now.
+    /// Sets the members of an instance to those that it can reach.
     fn update_members(&mut self, ix: usize) {
         let side = self.nodes[ix].side;
         let members = self
@@ -495,7 +500,7 @@
         self.deliveries.push(Reverse(delivery));
     }
 
-    /// A number below `bound`, the same in every run with the same seed.
+    /// Returns a random number below `bound`; the sequence depends only on the seed.
     pub fn random(&mut self, bound: u64) -> u64 {
         self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         (self.random >> 33) % bound.max(1)
--- a/testutils/src/host.rs
+++ b/testutils/src/host.rs
@@ -1,9 +1,9 @@
-//! A TCP endpoint that knows no socket and no clock.
+//! A TCP endpoint without sockets and without a clock.
 //!
-//! Packets go in and come out as bytes and time is an argument, so that the
-//! stand-in programs and the property tests in virtual time run one and the
-//! same TCP stack. Each connection is polled on its own: a host with thousands
-//! of silent feeds then costs no more a packet than one with a single feed.
+//! Packets are passed as bytes and time as an argument, so that the stand-in
+//! programs and the property tests in virtual time use the same TCP stack. Each
+//! connection is polled by itself, so that a packet costs no more on a host with
+//! thousands of idle feeds than on a host with one.
 
 use crate::{
     link::Link,
@@ -21,36 +21,37 @@
     net::{Ipv4Addr, SocketAddrV4},
 };
 
-/// Room for each direction of a connection, small so that many fit in memory.
+/// Buffer size in bytes for each direction of a connection; small, so that many
+/// connections fit in memory.
 const BUFFER_SIZE: usize = 4096;
 
-/// One connection of a host: its own port and the other end.
+/// A connection of a host: its own port, and address and port of its peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Conn {
-    /// The port on the host's own side.
+    /// Port on the host's side.
     pub port: u16,
-    /// The address and port of the other side.
+    /// Address and port of the peer.
     pub peer: SocketAddrV4,
 }
 
-/// How far a connection has come, as its own end sees it.
+/// Stage of a connection, as its host knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
     /// The handshake is not finished.
     Opening,
-    /// Both ends may send.
+    /// Both ends can send.
     Open,
-    /// The other end has closed its direction; everything it sent has arrived.
+    /// The peer has closed its direction, and all that it sent has arrived.
     Finished,
-    /// The connection was turned away before it was established.
+    /// The connection was reset before it was established.
     Refused,
-    /// The connection was reset, or timed out, after it was established.
+    /// The connection was reset or timed out after it was established.
     Broken,
 }
 
 /// An IPv4 host with TCP connections.
 pub struct Host {
-    /// The one address of the host.
+    /// The only address of the host.
     addr: Ipv4Addr,
     iface: Interface,
     link: Link,
@@ -70,14 +71,14 @@
 }
 
 impl Host {
-    /// Makes a host with one address and no connection.
+    /// Creates a host with one address and no connections.
     pub fn new(addr: Ipv4Addr) -> Self {
         let mut link = Link::default();
         let mut config = Config::new(HardwareAddress::Ip);
         config.random_seed = u64::from(addr.to_bits());
         let mut iface = Interface::new(config, &mut link, Instant::ZERO);
         iface.update_ip_addrs(|addrs| {
-            // The list is empty and holds at least one address.
+            // The list is empty and has capacity for at least one address.
             let _ = addrs.push(IpCidr::new(IpAddress::Ipv4(addr), 0));
         });
         Self {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Gives later connections `bytes` of room in each direction.
+    /// Sets the buffer size in bytes for each direction of later connections.
     pub fn with_buffer(mut self, bytes: usize) -> Self {
         self.buffer = bytes;
         self
@@ -104,17 +105,17 @@
         self.addr
     }
 
-    /// Accepts connections to `port` from now on.
+    /// Starts to accept connections to `port`.
     pub fn listen(&mut self, port: u16) {
         self.ports.insert(port);
     }
 
-    /// Answers later openings to `port` with a reset; open connections stay.
+    /// Stops accepting connections to `port`: later SYNs are reset, open connections stay.
     pub fn unlisten(&mut self, port: u16) {
         self.ports.remove(&port);
     }
 
-    /// Starts a connection from `port` to `peer`; the next poll sends its SYN.
+    /// Opens a connection from `port` to `peer`. The next poll sends its SYN.
     pub fn connect(&mut self, port: u16, peer: SocketAddrV4) -> Conn {
         let conn = Conn { port, peer };
         let mut socket = self.socket();
@@ -125,7 +126,7 @@
         conn
     }
 
-    /// Takes a packet in; answers come from the next poll.
+    /// Handles a received packet. The next poll returns the answers.
     pub fn receive(&mut self, packet: &[u8]) {
         let Some(header) = PacketHeader::parse(packet) else {
             return;
@@ -146,7 +147,7 @@
         }
     }
 
-    /// Runs every connection that is due at `now` and takes the packets to send.
+    /// Advances every connection that is due at `now` and returns the packets to send.
     pub fn poll(&mut self, now: Millis) -> Vec<Vec<u8>> {
         self.now = self.now.max(now);
         while let Some(&(due, conn)) = self.due.first()
@@ -157,43 +158,43 @@
         self.link.outgoing.drain(..).collect()
     }
 
-    /// When the next poll has work, if nothing is received before.
+    /// Returns the time of the next poll, if nothing is received before.
     pub fn next_poll(&self) -> Option<Millis> {
-        // Whoever drives the host may have bytes for the room that an
-        // acknowledgement made, though the stack itself has nothing to do.
+        // An acknowledgement may have freed buffer space that the host's user can
+        // fill, although the stack itself has nothing to do.
         if !self.link.outgoing.is_empty() || !self.ready.is_empty() {
             return Some(self.now);
         }
         self.due.first().map(|&(due, _)| due)
     }
 
-    /// Takes the connections that were polled since the last call: those whose
-    /// stage, bytes or room may have changed. New inbound ones are among them.
+    /// Takes the connections that were polled since the last call, including new
+    /// inbound ones. Their stage, received bytes or free buffer space may have changed.
     pub fn take_ready(&mut self) -> BTreeSet<Conn> {
         std::mem::take(&mut self.ready)
     }
 
-    /// How far a connection has come; one that is unknown counts as broken.
+    /// Returns the stage of a connection; an unknown one is [`Stage::Broken`].
     pub fn stage(&self, conn: Conn) -> Stage {
         self.conns.get(&conn).map_or(Stage::Broken, |entry| entry.stage)
     }
 
-    /// Whether both directions are closed and nothing is left to send.
+    /// Whether both directions are closed and all data has been sent.
     pub fn is_over(&self, conn: Conn) -> bool {
         self.conns.get(&conn).is_none_or(Entry::is_over)
     }
 
-    /// How many connections the host holds.
+    /// Number of connections.
     pub fn len(&self) -> usize {
         self.conns.len()
     }
 
-    /// Whether the host holds no connection.
+    /// Whether the host has no connection.
     pub fn is_empty(&self) -> bool {
         self.conns.is_empty()
     }
 
-    /// Queues bytes and says how many had room.
+    /// Queues bytes for sending and returns how many fitted into the buffer.
     pub fn send(&mut self, conn: Conn, bytes: &[u8]) -> usize {
         let Some(entry) = self.conns.get_mut(&conn) else {
             return 0;
@@ -205,7 +206,7 @@
         sent
     }
 
-    /// Takes the bytes that have arrived in order.
+    /// Takes the bytes that have been received in order.
     pub fn recv(&mut self, conn: Conn) -> Vec<u8> {
         let Some(entry) = self.conns.get_mut(&conn) else {
             return Vec::new();
@@ -218,13 +219,13 @@
         }) && count > 0
         {}
         if !bytes.is_empty() {
-            // Taking bytes may reopen a closed window, which the peer has to hear.
+            // This may reopen a closed window, of which the peer has to be informed.
             self.schedule(conn, Some(self.now));
         }
         bytes
     }
 
-    /// Closes the sending direction after what is queued.
+    /// Closes the sending direction after the queued bytes.
     pub fn close(&mut self, conn: Conn) {
         if let Some(entry) = self.conns.get_mut(&conn) {
             entry.socket().close();
@@ -240,13 +241,13 @@
         }
     }
 
-    /// Forgets a connection without another packet.
+    /// Removes a connection without sending a packet.
     pub fn remove(&mut self, conn: Conn) {
         self.schedule(conn, None);
         self.conns.remove(&conn);
     }
 
-    /// Forgets a connection if it [`is_over`](Self::is_over).
+    /// Removes a connection if it [`is_over`](Self::is_over).
     pub fn remove_over(&mut self, conn: Conn) {
         if self.is_over(conn) {
             self.remove(conn);
@@ -277,7 +278,7 @@
         entry.stage = entry.next_stage();
         self.ready.insert(conn);
         let next = self.iface.poll_at(now, &entry.sockets).map(millis);
-        // A poll that leaves work for this very moment would never end.
+        // A connection that is due at the present time would be polled for ever.
         let next = next.map(|at| at.max(self.now + Millis(1)));
         self.schedule(conn, next);
     }
@@ -315,8 +316,8 @@
         matches!(self.state(), tcp::State::Closed | tcp::State::TimeWait | tcp::State::Listen)
     }
 
-    /// The stage after a poll. A reset and an orderly end both leave the stack
-    /// closed; only what came before tells them apart.
+    /// Returns the stage after a poll. The stack's state is `Closed` both after a
+    /// reset and after an orderly end; only the previous stage distinguishes them.
     fn next_stage(&self) -> Stage {
         use tcp::State;
         match (self.stage, self.state()) {
--- a/testutils/src/layout.rs
+++ b/testutils/src/layout.rs
@@ -1,4 +1,4 @@
-//! The services and targets of a test site, as the text of a bundle.
+//! Writes the bundle of a test site.
 
 use medlarspur_lib::bundle::{self, Class, SecretKey, TargetState};
 use std::{
@@ -6,12 +6,12 @@
     net::{Ipv4Addr, SocketAddrV4},
 };
 
-/// A site as its operators would author it.
+/// Content of a site's bundle.
 #[derive(Debug, Clone)]
 pub struct Layout {
-    /// The name of the site.
+    /// Name of the site.
     pub site: String,
-    /// The version of the bundle.
+    /// Version of the bundle.
     pub version: u64,
     /// The services.
     pub services: Vec<ServiceLayout>,
@@ -26,9 +26,9 @@
     pub address: Ipv4Addr,
     /// Its TCP ports.
     pub ports: Vec<(u16, Class)>,
-    /// The seconds of silence of a healthy flow.
+    /// Maximum silence of a healthy flow in seconds.
     pub keepalive: u64,
-    /// The answer for callers that are turned away, in place of a reset.
+    /// Answer to refused callers; `None` for a reset.
     pub refusal: Option<String>,
     /// Its targets.
     pub targets: Vec<TargetLayout>,
@@ -41,16 +41,16 @@
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// Where instances send packets.
+    /// Address for packets from instances.
     pub address: SocketAddrV4,
-    /// Where its health and load are read.
+    /// Address of its health and load endpoints.
     pub probe: Option<SocketAddrV4>,
-    /// Whether it takes new work.
+    /// Whether it takes new flows.
     pub state: TargetState,
 }
 
 impl Layout {
-    /// The text without a signature.
+    /// Returns the bundle's text without a signature.
     pub fn text(&self) -> String {
         let mut text = String::new();
         // Writing into a string can't fail.
@@ -58,12 +58,12 @@
         text
     }
 
-    /// The text, signed off by `key`.
+    /// Returns the bundle's text, signed with `key`.
     pub fn signed(&self, key: &SecretKey) -> String {
         bundle::sign(&self.text(), key)
     }
 
-    /// Sets the state of a target and counts the version up.
+    /// Sets the state of a target and increments the version.
     pub fn set_state(&mut self, target: &str, state: TargetState) {
         let targets = self.services.iter_mut().flat_map(|service| &mut service.targets);
         targets.filter(|other| other.name == target).for_each(|other| other.state = state);
--- a/testutils/src/lib.rs
+++ b/testutils/src/lib.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the systems around an instance, and fixtures for tests.
+//! Stand-ins for the systems around an instance (platform, fabric, targets and callers), and
+//! fixtures for tests.
 
 pub mod bundles;
 pub mod caller;
--- a/testutils/src/link.rs
+++ b/testutils/src/link.rs
@@ -1,4 +1,4 @@
-//! The device under a host's TCP stack: two queues of packets.
+//! Network device of a host's TCP stack, which consists of two packet queues.
 
 use smoltcp::{
     phy::{Device, DeviceCapabilities, Medium, RxToken, TxToken},
@@ -6,15 +6,15 @@
 };
 use std::collections::VecDeque;
 
-/// The largest packet; with the encapsulation it fits an Ethernet frame.
+/// Maximum packet size in bytes; an encapsulated packet still fits an Ethernet frame.
 const MTU: usize = 1400;
 
-/// The two packet queues that stand for the network.
+/// Packet queues between a host and the network.
 #[derive(Default)]
 pub(crate) struct Link {
-    /// Packets for the host.
+    /// Packets to the host.
     pub incoming: VecDeque<Vec<u8>>,
-    /// Packets of the host.
+    /// Packets from the host.
     pub outgoing: VecDeque<Vec<u8>>,
 }
 
--- a/testutils/src/list.rs
+++ b/testutils/src/list.rs
@@ -1,30 +1,30 @@
-//! The platform's list of instances, as it stands on the wire.
+//! The platform's list of instances in its JSON form.
 
 use std::net::SocketAddrV4;
 
-/// One line of the list.
+/// An entry of the list.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct ListedInstance {
-    /// The name of the instance.
+    /// Name of the instance.
     pub name: String,
     /// Its failure domain.
     pub domain: String,
-    /// Whether it is there to stay.
+    /// Whether it is leaving.
     pub state: ListedState,
-    /// Where the fabric sends packets.
+    /// Address for packets from the fabric.
     pub packets: SocketAddrV4,
-    /// Where peers send questions.
+    /// Address for peers' questions.
     pub questions: SocketAddrV4,
-    /// Where peers reach it for control.
+    /// Address for peers' control messages.
     pub control: SocketAddrV4,
 }
 
-/// What the list says of an instance.
+/// State of an instance in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
-    /// It takes packets.
+    /// It gets packets.
     Live,
-    /// It is being taken away; a fabric that lags still sends it packets.
+    /// It is leaving; the fabric still sends it packets until its lag is over.
     Leaving,
 }
--- a/testutils/src/packet.rs
+++ b/testutils/src/packet.rs
@@ -1,12 +1,12 @@
-//! The ends of an IPv4 packet, as far as the stand-ins need them.
+//! Addresses, ports and kind of an IPv4 packet, as needed by the stand-ins.
 //!
-//! The product has its own reader of packets; the stand-ins read with the
-//! stack's one, so that a fault in the product's can't hide in both.
+//! The stand-ins use smoltcp's parser and not the product's, so that a bug in
+//! the product's parser can't hide in both.
 
 use smoltcp::wire::{IpProtocol, Ipv4Packet, TcpPacket, UdpPacket};
 use std::net::SocketAddrV4;
 
-/// What a packet does for its flow.
+/// What a packet does to its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A TCP SYN without an acknowledgement.
@@ -19,19 +19,19 @@
     Datagram,
 }
 
-/// The two ends of a packet.
+/// Addresses, ports and kind of a packet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PacketHeader {
-    /// Who sent it.
+    /// Its source.
     pub src: SocketAddrV4,
-    /// Whom it is for.
+    /// Its destination.
     pub dst: SocketAddrV4,
-    /// What it does for its flow.
+    /// What it does to its flow.
     pub kind: Kind,
 }
 
 impl PacketHeader {
-    /// Reads the ends of a whole TCP or UDP packet.
+    /// Parses the headers of a complete TCP or UDP packet. Returns `None` for any other packet.
     pub fn parse(bytes: &[u8]) -> Option<Self> {
         let packet = Ipv4Packet::new_checked(bytes).ok()?;
         let (ports, kind) = match packet.next_header() {
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -1,5 +1,5 @@
-//! The platform's configuration service: a bundle and a list of instances to
-//! read and to watch, with the faults that the real one has.
+//! Stand-in of the platform's configuration service. Instances read and watch a
+//! bundle and a list of instances by HTTP. It simulates the faults of the real service.
 
 use crate::{
     fabric::lock,
@@ -20,26 +20,26 @@
 };
 use tokio::{sync::Notify, time::Instant};
 
-/// The faults of the service, all off at first.
+/// Simulated faults of the service; by default there are none.
 #[derive(Debug, Default, Clone, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Fault {
-    /// Answers every reader with 503.
+    /// Answers every read with status 503.
     pub down: bool,
-    /// Answers only after this time.
+    /// Delay of every answer in milliseconds.
     pub delay_ms: u64,
-    /// Goes on serving what it had when this was set.
+    /// Serves the bundle and list from the time at which this was set.
     pub stale: bool,
-    /// A bundle that every other reader gets in place of the right one.
+    /// A bundle that every other read gets in place of the right one.
     pub second: Option<String>,
 }
 
-/// How often each thing was read; a watch counts as one call.
+/// Number of reads and watches; a watch counts as one call.
 #[derive(Debug, Default, Clone, Copy, serde::Serialize, serde::Deserialize)]
 pub struct Calls {
-    /// Reads and watches of the bundle.
+    /// Number of reads and watches of the bundle.
     pub bundle: u64,
-    /// Reads and watches of the list.
+    /// Number of reads and watches of the list.
     pub instances: u64,
 }
 
@@ -61,25 +61,25 @@
 
 /// A running platform.
 pub struct Platform {
-    /// Where it is reached.
+    /// Its address.
     pub addr: SocketAddrV4,
     shared: Arc<Shared>,
     _served: HttpServers,
 }
 
-/// Why the list could not be read.
+/// Why the list of instances can't be read.
 #[derive(Debug, Snafu)]
 pub enum ListError {
-    /// The service did not answer with a list.
-    #[snafu(display("the platform gave no list of instances"))]
+    /// The request failed.
+    #[snafu(display("the platform's list of instances can't be read"))]
     Call {
-        /// What the call met.
+        /// Error of the request.
         source: Box<ureq::Error>,
     },
-    /// The list was not understood.
-    #[snafu(display("the platform's list of instances can't be read"))]
+    /// The list can't be parsed.
+    #[snafu(display("the platform's list of instances can't be parsed"))]
     Parse {
-        /// Where it broke.
+        /// Error of the parser.
         source: serde_json::Error,
     },
 }
@@ -118,7 +118,7 @@
         self.shared.change(|store| store.set_fault(fault));
     }
 
-    /// How often it was read.
+    /// Number of reads and watches so far.
     pub fn calls(&self) -> Calls {
         lock(&self.shared.store).calls
     }
@@ -134,7 +134,8 @@
         self.fault = fault;
     }
 
-    /// The bundle for a reader, the second one for every other if there is one.
+    /// Returns the bundle for the read with this number; with [`Fault::second`], odd
+    /// numbers get that bundle.
     fn bundle(&self, turn: u64) -> String {
         match (&self.fault.second, &self.frozen) {
             (Some(second), _) if turn % 2 == 1 => second.clone(),
@@ -154,14 +155,15 @@
         self.changed.notify_waiters();
     }
 
-    /// Answers a read at once and a watch when the text differs from `after`.
+    /// Answers a read at once. Answers a watch as soon as the entity tag of the text
+    /// differs from `after`, or with status 204 after `wait` seconds.
     async fn answer(
         &self,
         after: Option<&str>,
         wait: u64,
         read: impl Fn(&Store) -> String,
     ) -> Answer {
-        // Readers name the mark as the header has it, or without its quotes.
+        // The tag may be given with or without the quotes of the ETag header.
         let after = after.map(|tag| tag.trim_matches('"'));
         let until = Instant::now() + Duration::from_secs(wait);
         loop {
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -1,4 +1,4 @@
-//! Instances as processes of their own.
+//! Runs instances as child processes.
 
 use crate::list::{ListedInstance, ListedState};
 use medlarspur_lib::bundle::PublicKey;
@@ -18,100 +18,102 @@
     time::{Duration, Instant},
 };
 
-/// What the settings of every instance of a test site have in common.
+/// Settings that all instances of a test site share.
 #[derive(Debug, Clone)]
 pub struct CommonSettings {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub program: PathBuf,
-    /// Where settings and logs go.
+    /// Folder for settings files and logs.
     pub folder: PathBuf,
-    /// The name of the site.
+    /// Name of the site.
     pub site: String,
-    /// The fabric's address for packets to callers.
+    /// Address of the fabric for packets to callers.
     pub fabric: SocketAddrV4,
-    /// The platform's address.
+    /// Address of the platform.
     pub platform: SocketAddrV4,
-    /// The key that signs bundles.
+    /// Public key of the bundles' signatures.
     pub key: PublicKey,
 }
 
-/// Why an instance did not do what was asked.
+/// Failures of an instance's process.
 #[derive(Debug, Snafu)]
 pub enum ProcessError {
-    /// A file or the process could not be made.
-    #[snafu(display("the instance {name} can't be started"))]
+    /// A file or the process can't be created.
+    #[snafu(display("instance {name} can't be started"))]
     Start {
-        /// The instance.
+        /// Name of the instance.
         name: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The line with the addresses was not understood.
-    #[snafu(display("the instance {name} printed no addresses but {line:?}; see its log {log:?}"))]
+    /// The line with its addresses can't be parsed.
+    #[snafu(display(
+        "instance {name} printed {line:?} instead of its addresses; see its log {log:?}"
+    ))]
     Addresses {
-        /// The instance.
+        /// Name of the instance.
         name: String,
-        /// What it printed.
+        /// The line that it printed.
         line: String,
-        /// Where its log is.
+        /// Path of its log.
         log: PathBuf,
-        /// Where the line broke.
+        /// Error of the parser.
         source: serde_json::Error,
     },
-    /// It did not get ready in time.
+    /// It was not ready within [`READY_TIMEOUT`].
     #[snafu(display(
-        "the instance {name} was not ready in {READY_TIMEOUT:?}; see its log {log:?}"
+        "instance {name} was not ready within {READY_TIMEOUT:?}; see its log {log:?}"
     ))]
     NotReady {
-        /// The instance.
+        /// Name of the instance.
         name: String,
-        /// Where its log is.
+        /// Path of its log.
         log: PathBuf,
     },
-    /// A signal could not be sent.
-    #[snafu(display("the instance {name} can't be signalled"))]
+    /// A signal can't be sent to it.
+    #[snafu(display("no signal can be sent to instance {name}"))]
     Signalled {
-        /// The instance.
+        /// Name of the instance.
         name: String,
-        /// Why.
+        /// The cause.
         source: SignalError,
     },
 }
 
-/// Why a child process got no signal.
+/// Why no signal was sent to a child process.
 #[derive(Debug, Snafu)]
 pub enum SignalError {
-    /// It has ended.
-    #[snafu(display("it has ended: {status}"))]
+    /// The process has ended.
+    #[snafu(display("the process has ended: {status}"))]
     Ended {
-        /// How.
+        /// Its exit status.
         status: ExitStatus,
     },
-    /// It can't be told whether it has ended.
-    #[snafu(display("it can't be looked at"))]
+    /// The state of the process can't be read.
+    #[snafu(display("the state of the process can't be read"))]
     Status {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The system does not send the signal.
+    /// The operating system refuses to send the signal.
     #[snafu(display("the signal can't be sent"))]
     Send {
-        /// What the system said.
+        /// Error of the operating system.
         source: Errno,
     },
 }
 
 /// Sends a signal to a child process, unless it has ended.
 ///
-/// A child that was waited for has given its number back, and the system hands it to
-/// another process: of 32,768 numbers, within a minute on a machine that starts many.
-/// The signal would stop, freeze or kill a stranger, which shows as a test runner or
-/// shell that is gone for no reason. As long as nobody else can wait for the child, its
-/// number stays its own after this look.
+/// The process id of a child that was waited for is reused: of 32,768 ids, within a
+/// minute on a machine that starts many processes. The signal would stop or kill an
+/// unrelated process, such as a test runner or shell. The exclusive reference to the
+/// child ensures that nothing else waits for it between the check and the signal.
 ///
 /// # Errors
 ///
-/// Fails if the child has ended, or if the system says so.
+/// Fails if the child has ended, if its state can't be read or if the operating system
+/// refuses the signal.
 pub fn signal(child: &mut Child, signal: Signal) -> Result<(), SignalError> {
     if let Some(status) = child.try_wait().context(StatusSnafu)? {
         return EndedSnafu { status }.fail();
@@ -119,18 +121,18 @@
     signal::kill(Pid::from_raw(child.id().cast_signed()), signal).context(SendSnafu)
 }
 
-/// How long an instance may take to get ready.
+/// Maximum time from the start of an instance until it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
-/// How often it is asked.
+/// Time between two requests for the readiness of an instance.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// The secret of all test sites.
+/// Secret of all test sites.
 const SECRET: [u8; 32] = [7; 32];
 
-/// A process of an instance, which is killed when this is dropped.
+/// The process of an instance, which is killed on drop.
 pub struct Instance {
-    /// What the list says of it.
+    /// Its entry in the platform's list of instances.
     pub listed: ListedInstance,
-    /// Where operators read from it.
+    /// Address of its operators' interface.
     pub operator: SocketAddrV4,
     log: PathBuf,
     child: Child,
@@ -145,7 +147,7 @@
 }
 
 impl Instance {
-    /// Starts an instance and reads its addresses.
+    /// Starts an instance and reads the addresses that it prints.
     pub fn start(
         common: &CommonSettings,
         name: &str,
@@ -159,7 +161,7 @@
         let printed = match serde_json::from_str::<PrintedAddresses>(&line) {
             Ok(printed) => printed,
             Err(source) => {
-                // The process may have ended already.
+                // Both calls fail only if the process has ended already.
                 let _ = child.kill();
                 let _ = child.wait();
                 return Err(source).context(AddressesSnafu { name, line, log });
@@ -171,7 +173,7 @@
         Ok(Self { listed, operator, log, child })
     }
 
-    /// Waits until it says that it is ready.
+    /// Waits until the instance reports that it is ready.
     pub fn await_ready(&self) -> Result<(), ProcessError> {
         let url = format!("http://{}/readyz", self.operator);
         let start = Instant::now();
@@ -196,7 +198,7 @@
 
 impl Drop for Instance {
     fn drop(&mut self) {
-        // Both fail only if the process has ended already.
+        // Both calls fail only if the process has ended already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -237,12 +239,12 @@
     )
 }
 
-/// The first line of the output. The rest is read away, so that a process that
-/// prints more is not held up by a full pipe.
+/// Returns the first line of the output. A thread discards the rest, so that a
+/// process that prints more does not block on a full pipe.
 fn first_line(output: impl io::Read + Send + 'static) -> String {
     let mut reader = BufReader::new(output);
     let mut line = String::new();
-    // An empty line is reported as such by who parses it.
+    // On an error the line is empty, which the parser reports.
     let _ = reader.read_line(&mut line);
     thread::spawn(move || io::copy(&mut reader, &mut io::sink()));
     line
--- a/testutils/src/profile.rs
+++ b/testutils/src/profile.rs
@@ -1,37 +1,37 @@
-//! What a target is, and what it has seen.
+//! The configuration of a target, and its counters.
 
 use medlarspur_lib::{bundle::Class, collections::Map, time::Millis};
 use std::net::Ipv4Addr;
 
-/// What a target is and how it behaves.
+/// Configuration of a target.
 #[derive(Debug, Clone)]
 pub struct Profile {
-    /// Its name, which every answer tells.
+    /// Its name, which every answer contains.
     pub name: String,
-    /// The service that it serves, which every answer tells.
+    /// Name of its service, which every answer contains.
     pub service: String,
     /// The address of the service.
     pub address: Ipv4Addr,
-    /// The ports that it serves.
+    /// The ports of the service, each with the class of its flows.
     pub ports: Vec<(u16, Class)>,
-    /// How many requests and uploads it works on at once.
+    /// Number of requests and uploads processed at the same time.
     pub slots: usize,
-    /// How many connections it holds at once.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// The time between two lines of a feed.
+    /// Time between two lines of a feed.
     pub interval: Millis,
-    /// How long a request takes once it has a slot.
+    /// Time that a request or upload occupies its slot.
     pub work_time: Millis,
-    /// How long after its start a request takes ten times as long.
+    /// Time after its start in which requests and uploads take ten times as long.
     pub cold_time: Millis,
-    /// How many wait for a slot before it sheds the next one.
+    /// Maximum number of requests and uploads that wait for a slot; it resets further ones.
     pub queue_limit: usize,
-    /// The bytes of the answer to a request after its first line.
+    /// Size in bytes of the answer to a request, without its first line.
     pub answer_size: usize,
 }
 
 impl Profile {
-    /// A target with the sizes of the first sites and little work.
+    /// Creates the profile of a target with 2 slots and short requests.
     pub fn new(name: &str, service: &str, address: Ipv4Addr, ports: &[(u16, Class)]) -> Self {
         Self {
             name: name.into(),
@@ -49,19 +49,19 @@
     }
 }
 
-/// What a target has seen.
+/// Counters of a target.
 #[derive(Debug, Default, Clone, serde::Serialize)]
 pub struct TargetCounts {
-    /// How often each request id was started.
+    /// Number of times that each request was started, by its id.
     pub runs: Map<String, u32>,
-    /// How many uploads were stored whole.
+    /// Number of uploads that were completely received.
     pub stored: u64,
-    /// How many connections it accepted.
+    /// Number of accepted connections.
     pub opened: u64,
-    /// How many it shed.
+    /// Number of requests and uploads that were reset because the queue was full.
     pub shed: u64,
-    /// Openings that arrived while it was leaving.
+    /// Number of SYNs that arrived while it was draining.
     pub late: u64,
-    /// Packets for an address or port that is not its own.
+    /// Number of packets for another service's address or port.
     pub strays: u64,
 }
--- a/testutils/src/report.rs
+++ b/testutils/src/report.rs
@@ -1,4 +1,4 @@
-//! What callers saw, counted for each service and class.
+//! Results of the callers' work, by service and class.
 
 use crate::{
     client::Outcome,
@@ -7,66 +7,66 @@
 use medlarspur_lib::{bundle::Class, time::Millis};
 use std::collections::BTreeMap;
 
-/// The counts of one service and class.
+/// Results for one service and class.
 #[derive(Debug, Default, Clone, serde::Serialize)]
 pub struct Row {
-    /// The pieces of work that were started.
+    /// Number of pieces of work that were started.
     pub opened: u64,
-    /// Those with the whole right answer, and feeds that the caller ended.
+    /// Number with a complete and correct answer, and of feeds that the caller ended.
     pub completed: u64,
-    /// Those reset, silent or cut short once established.
+    /// Number that were reset, silent or truncated after they were established.
     pub broken: u64,
-    /// Those turned away.
+    /// Number that were refused.
     pub refused: u64,
-    /// Those whose opening nobody answered.
+    /// Number whose SYN was not answered.
     pub unanswered: u64,
-    /// Those with an answer that belongs to others.
+    /// Number with an answer that belongs to other work, or with wrong content.
     pub wrong: u64,
-    /// Those that had not ended when the callers stopped.
+    /// Number that had not ended when the callers stopped.
     pub pending: u64,
-    /// The median time to the answer in milliseconds.
+    /// Median latency in milliseconds.
     pub p50: u64,
-    /// The time within which 99 of 100 had their answer.
+    /// 99th percentile of the latency in milliseconds.
     pub p99: u64,
-    /// How much work each target answered.
+    /// Number of pieces of work that each target answered, by name.
     pub targets: BTreeMap<String, u64>,
-    /// The work of the fullest target over the mean of those that answered.
+    /// Answered work of the busiest target, divided by the mean of all targets that answered.
     pub imbalance: f64,
-    /// The ids of the work that was turned away, to look for among the runs.
+    /// Ids of the refused work, none of which may be among the targets' runs.
     pub turned: Vec<String>,
-    /// Each piece of work that broke.
+    /// The work that broke.
     pub breaks: Vec<Break>,
     #[serde(skip)]
     latencies: Vec<u64>,
 }
 
-/// One piece of work that broke.
+/// A piece of work that broke.
 #[derive(Debug, Clone, serde::Serialize)]
 pub struct Break {
-    /// The id of the work.
+    /// Id of the work.
     pub id: String,
-    /// The target that answered, if one did.
+    /// Name of the target that answered, if any.
     pub target: Option<String>,
-    /// How it broke.
+    /// Why it broke.
     pub cause: BreakCause,
-    /// When, in milliseconds since the callers started.
+    /// Time of the break, in milliseconds since the callers' start.
     pub at: Millis,
 }
 
-/// All rows, by service and class.
+/// Results of all services and classes.
 #[derive(Debug, Default, Clone, serde::Serialize)]
 pub struct Report {
-    /// The rows, by service and class in the spelling of the bundle.
+    /// Results by service, then by class as spelled in the bundle.
     pub rows: BTreeMap<String, BTreeMap<String, Row>>,
 }
 
 impl Report {
-    /// Counts a start.
+    /// Records the start of a piece of work.
     pub fn record_start(&mut self, service: &str, class: Class) {
         self.row(service, class).opened += 1;
     }
 
-    /// Counts an end.
+    /// Records the end of a piece of work.
     pub fn record_end(&mut self, outcome: Outcome) {
         let row = self.row(&outcome.work.service, outcome.work.class);
         match outcome.end {
@@ -90,14 +90,14 @@
         row.latencies.extend(outcome.latency.map(|latency| latency.0));
     }
 
-    /// The report with its percentiles and imbalance worked out.
+    /// Returns the report with `pending`, percentiles and imbalance computed.
     pub fn with_totals(&self) -> Self {
         let mut report = self.clone();
         report.rows.values_mut().flat_map(BTreeMap::values_mut).for_each(Row::compute_totals);
         report
     }
 
-    /// Every row with its service and class.
+    /// Iterates over service, class and row.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str, &Row)> {
         self.rows.iter().flat_map(|(service, classes)| {
             classes.iter().map(move |(class, row)| (service.as_str(), class.as_str(), row))
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -1,7 +1,7 @@
-//! The work of a target, on a [`Host`] and without I/O.
+//! A target on a [`Host`], without I/O.
 //!
-//! It counts how often each request ran and which packets were not its own:
-//! that is how the tests see a request run twice or a packet cross services.
+//! It counts how often each request ran and how many packets were for another
+//! service, so that tests can detect repeated requests and misdirected packets.
 
 use crate::{
     content::{body, take_line},
@@ -17,16 +17,16 @@
 };
 use std::collections::{BTreeSet, VecDeque};
 
-/// How a cold start slows the work.
+/// Factor by which work takes longer during a target's cold time.
 const COLD_FACTOR: u64 = 10;
 
-/// A target: one host that serves the ports of one service.
+/// A target: a host that serves the ports of one service.
 pub struct Server {
-    /// What it is; may be changed while it runs.
+    /// Its configuration, which may be changed while it runs.
     pub profile: Profile,
-    /// What it has seen so far.
+    /// Its counters.
     pub counts: TargetCounts,
-    /// While set, it turns away every opening.
+    /// Whether it refuses new connections.
     pub draining: bool,
     host: Host,
     sessions: Map<Conn, Session>,
@@ -38,7 +38,7 @@
 }
 
 impl Server {
-    /// Starts a target.
+    /// Creates a target.
     pub fn new(profile: Profile) -> Self {
         let host = Host::new(profile.address);
         Self {
@@ -55,24 +55,24 @@
         }
     }
 
-    /// How many connections it holds.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.sessions.len()
     }
 
-    /// How much work has a slot or waits for one.
+    /// Number of requests and uploads that have a slot or wait for one.
     pub fn work(&self) -> usize {
         self.busy.len() + self.queue.len()
     }
 
-    /// Its load: the fuller of its slots and its connections, from 0 to 1.
+    /// Utilization from 0 to 1: the larger of those of its slots and its connections.
     pub fn load(&self) -> f64 {
         let part = |used: usize, all: usize| used as f64 / all.max(1) as f64;
         let slots = part(self.busy.len(), self.profile.slots);
         slots.max(part(self.sessions.len(), self.profile.connections)).min(1.0)
     }
 
-    /// Takes in a packet that an instance sent here.
+    /// Handles a packet from an instance.
     pub fn receive(&mut self, packet: &[u8]) {
         let Some(header) = PacketHeader::parse(packet) else {
             self.counts.strays += 1;
@@ -90,7 +90,7 @@
         self.host.receive(packet);
     }
 
-    /// Does the work due at `now` and takes the packets for callers.
+    /// Does the work that is due at `now` and returns the packets for callers.
     pub fn poll(&mut self, now: Millis) -> Vec<Vec<u8>> {
         self.now = self.now.max(now);
         self.started.get_or_insert(now);
@@ -100,7 +100,7 @@
         packets
     }
 
-    /// When the next poll has work, if nothing is received before.
+    /// Returns the time of the next poll, if nothing is received before.
     pub fn next_poll(&self) -> Option<Millis> {
         let timer = self.timers.first().map(|&(due, _)| due);
         [timer, self.host.next_poll()].into_iter().flatten().min()
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Counts a request when it starts: one that is cut short has run too.
+    /// Counts a run of a request at its start, as an interrupted request has run too.
     fn count_run(&mut self, conn: Conn) {
         let session = self.sessions.get(&conn).filter(|session| session.class == Class::Request);
         if let Some(id) = session.and_then(|session| session.id.clone()) {
@@ -273,8 +273,8 @@
         }
     }
 
-    /// Drops a connection that has ended. What has a slot keeps it to its end,
-    /// since a target can't know that its caller has gone.
+    /// Drops a connection that has ended. Its work keeps its slot until the work is
+    /// done, as a real target does not notice that the caller is gone.
     fn drop_session(&mut self, conn: Conn) {
         self.sessions.remove(&conn);
         self.queue.retain(|&other| other != conn);
--- a/testutils/src/session.rs
+++ b/testutils/src/session.rs
@@ -1,29 +1,29 @@
-//! A connection as a target sees it.
+//! State of a target's connection.
 
 use crate::content::take_line;
 use medlarspur_lib::bundle::Class;
 use std::collections::VecDeque;
 
-/// One connection of a target.
+/// A connection of a target.
 pub(crate) struct Session {
-    /// What kind of work it carries.
+    /// Class of its work.
     pub class: Class,
-    /// What has arrived and is not read yet.
+    /// Received bytes that are not processed yet.
     pub input: Vec<u8>,
-    /// What is still to be sent.
+    /// Bytes that are not sent yet.
     pub output: VecDeque<u8>,
-    /// The id of the work, once its first line has come.
+    /// Id of the work; `None` until the first line was received.
     pub id: Option<String>,
-    /// How many lines of a feed were sent.
+    /// Number of lines sent on a feed.
     pub lines: u64,
-    /// The bytes that have to come after the first line.
+    /// Number of bytes that follow the first line; `None` until that was received.
     pub expected: Option<usize>,
-    /// Whether the whole answer is in the output.
+    /// Whether the complete answer is queued or sent.
     pub answered: bool,
 }
 
 impl Session {
-    /// A connection on which nothing has come yet.
+    /// Creates the state of a new connection.
     pub fn new(class: Class) -> Self {
         Self {
             class,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Queues a line.
+    /// Queues a line for sending.
     pub fn queue_line(&mut self, line: &str) {
         self.output.extend(line.bytes());
     }
 
-    /// Reads `REQ id` or `UP id length`; whether it was there.
+    /// Reads the first line, `REQ id` or `UP id length`. Returns whether it was complete.
     pub fn read_header(&mut self) -> bool {
         let Some(line) = take_line(&mut self.input) else {
             return false;
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -1,4 +1,4 @@
-//! A whole small site: stand-ins in this process, instances in their own.
+//! A small test site: stand-ins in this process, and instances as child processes.
 
 use crate::{
     fabric::{self, Fabric},
@@ -21,14 +21,14 @@
 };
 use tempfile::TempDir;
 
-/// The failure domains of the site.
+/// Failure domains of the site.
 pub const DOMAINS: [&str; 2] = ["lozenets", "druzhba"];
-/// The name of the site.
+/// Name of the site.
 const NAME: &str = "small";
-/// The longest silence of a feed in seconds.
+/// Maximum silence of a healthy feed in seconds.
 const KEEPALIVE: u64 = 8;
 
-/// A service that the site offers and how many targets serve it.
+/// A service of the site.
 #[derive(Debug, Clone)]
 pub struct SiteService {
     /// Its name.
@@ -37,11 +37,12 @@
     pub address: Ipv4Addr,
     /// Its ports.
     pub ports: Vec<(u16, Class)>,
-    /// How many targets serve it.
+    /// Number of its targets.
     pub targets: usize,
 }
 
-/// The two services of the small site: alerts and uploads.
+/// Returns the site's two services, one for alerts and one for uploads, with these
+/// numbers of targets.
 pub fn site_services(alertdesk: usize, ingest: usize) -> Vec<SiteService> {
     let service = |name: &str, last, ports: &[_], targets| SiteService {
         name: name.into(),
@@ -55,52 +56,52 @@
     ]
 }
 
-/// Why the site did not come up or did not follow.
+/// Failures of the site.
 #[derive(Debug, Snafu)]
 pub enum SiteError {
-    /// The folder for settings and logs could not be made.
-    #[snafu(display("the folder of the site can't be made"))]
+    /// The folder for settings and logs can't be created.
+    #[snafu(display("the folder of the site can't be created"))]
     Folder {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The platform did not start.
+    /// The platform can't be started.
     #[snafu(display("the platform can't be started"))]
     Platform {
-        /// What the server said.
+        /// Error of the HTTP server.
         source: WebError,
     },
-    /// The fabric did not start.
+    /// The fabric can't be started.
     #[snafu(display("the fabric can't be started"))]
     Fabric {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The targets did not start.
+    /// The targets can't be started.
     #[snafu(display("the targets can't be started"))]
     Target {
-        /// What the target said.
+        /// Error of the targets.
         source: TargetError,
     },
-    /// An instance did not follow.
+    /// An instance failed.
     #[snafu(display("an instance failed"))]
     Instance {
-        /// What happened to it.
+        /// Error of the instance.
         source: ProcessError,
     },
 }
 
-/// A site that runs until this is dropped.
+/// A running site. Its instances are killed on drop.
 pub struct Site {
     /// The fabric.
     pub fabric: Fabric,
     /// The platform.
     pub platform: Platform,
-    /// The targets of all services.
+    /// Targets of all services.
     pub targets: Targets,
-    /// The instances, leaving ones included.
+    /// The instances, including leaving ones.
     pub instances: Vec<Instance>,
-    /// The bundle in force.
+    /// Content of the latest bundle.
     pub layout: Layout,
     common: CommonSettings,
     key: SecretKey,
@@ -109,7 +110,7 @@
 }
 
 impl Site {
-    /// Brings a site up without any instance.
+    /// Starts a site without instances. `program` is the daemon's executable.
     pub fn start(program: &Path, mode: Mode, services: &[SiteService]) -> Result<Self, SiteError> {
         let folder = TempDir::new().context(FolderSnafu)?;
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Starts an instance, waits until it is ready and lists it.
+    /// Starts an instance, waits until it is ready and publishes it in the list.
     pub fn join(&mut self) -> Result<(), SiteError> {
         let domain = DOMAINS[self.started % DOMAINS.len()];
         let name = format!("{domain}-{}", self.started / DOMAINS.len() + 1);
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Asks the first live instance to leave.
+    /// Makes the first live instance leave by SIGTERM, and publishes that in the list.
     pub fn leave(&mut self) -> Result<(), SiteError> {
         if let Some(instance) = self.first_live() {
             instance.signal(Signal::SIGTERM).context(InstanceSnafu)?;
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// Kills the first live instance. The list shows it until [`Self::remove_ended`].
+    /// Kills the first live instance. It stays in the list until [`Self::remove_ended`].
     pub fn kill(&mut self) -> Result<(), SiteError> {
         match self.first_live() {
             Some(instance) => instance.signal(Signal::SIGKILL).context(InstanceSnafu),
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Takes instances that have ended out of the list.
+    /// Removes instances that have ended from the list.
     pub fn remove_ended(&mut self) {
         let before = self.instances.len();
         self.instances.retain_mut(|instance| !instance.has_ended());
@@ -185,18 +186,18 @@
         }
     }
 
-    /// Publishes a bundle in which the target leaves.
+    /// Publishes a bundle in which the target is leaving.
     pub fn publish_leaving(&mut self, target: &str) {
         self.layout.set_state(target, TargetState::Leaving);
         self.platform.publish(&self.signed());
     }
 
-    /// The text of the layout as it stands, signed off by the site's key.
+    /// Returns the text of the present layout, signed with the site's key.
     pub fn signed(&self) -> String {
         self.layout.signed(&self.key)
     }
 
-    /// Lets the target turn away openings from now on.
+    /// Makes the target refuse new connections.
     pub fn drain(&self, target: &str) {
         let running = self.targets.list.iter().find(|running| running.name == target);
         if let Some(running) = running {
--- a/testutils/src/spread.rs
+++ b/testutils/src/spread.rs
@@ -1,4 +1,4 @@
-//! How a fabric picks the instance for a packet.
+//! Picks the instance for each packet of a fabric.
 
 use crate::packet::PacketHeader;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -7,20 +7,20 @@
     str::FromStr,
 };
 
-/// The ways in which fabrics spread packets over instances.
+/// How a fabric spreads packets over instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Any packet goes anywhere.
+    /// Each packet goes to a random instance.
     Spray,
-    /// A flow keeps its instance as long as that is in the list.
+    /// A flow keeps its instance while that is in the list.
     Hash,
-    /// A flow keeps its instance until the list changes at all.
+    /// A flow keeps its instance until the list changes.
     Reshuffle,
 }
 
-/// Says that a text names no [`Mode`].
+/// A text that is not the name of a [`Mode`].
 #[derive(Debug, snafu::Snafu)]
-#[snafu(display("no fabric mode {text:?}; use spray, hash or reshuffle"))]
+#[snafu(display("unknown fabric mode {text:?}; use spray, hash or reshuffle"))]
 pub struct UnknownMode {
     text: String,
 }
@@ -38,19 +38,20 @@
     }
 }
 
-/// Picks instances in one of the [`Mode`]s.
+/// Picks instances as a [`Mode`] says.
 pub struct Picker {
     mode: Mode,
     rng: StdRng,
 }
 
 impl Picker {
-    /// Makes a choice that repeats itself for the same `seed`.
+    /// Creates a picker whose choices depend only on `mode`, `seed` and its inputs.
     pub fn new(mode: Mode, seed: u64) -> Self {
         Self { mode, rng: StdRng::seed_from_u64(seed) }
     }
 
-    /// The position in `names` of the instance that gets the packet.
+    /// Returns the position in `names` of the instance for a packet, or `None`
+    /// without instances.
     pub fn pick<T: Hash>(&mut self, names: &[T], header: &PacketHeader) -> Option<usize> {
         if names.is_empty() {
             return None;
@@ -66,7 +67,8 @@
     }
 }
 
-/// A hash whose bits are all mixed, which the fast one's are not.
+/// Hashes a value with the quality variant of foldhash, as its fast variant mixes
+/// some bits too little for a choice by hash.
 fn hash(value: &impl Hash) -> u64 {
     foldhash::quality::FixedState::default().hash_one(value)
 }
--- a/testutils/src/target.rs
+++ b/testutils/src/target.rs
@@ -1,4 +1,4 @@
-//! Targets over UDP, each with its endpoints for health and load.
+//! Targets over UDP, each with HTTP endpoints for health and load.
 
 use crate::{
     clock::Clock,
@@ -19,69 +19,71 @@
     time::Duration,
 };
 
-/// How a target and its endpoints behave; what is unset tells the truth.
+/// Simulated faults of a target and its endpoints. The endpoints report the real
+/// state where no value is set.
 #[derive(Debug, Default, Clone, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Turns away every opening.
+    /// Refuses new connections.
     pub draining: bool,
-    /// Hears and says nothing, like a host without power.
+    /// Drops all packets in both directions, like a host without power.
     pub dead: bool,
-    /// What `/health` says.
+    /// Health that `/health` reports.
     pub health: Option<bool>,
-    /// What `/load` says for the load.
+    /// Utilization that `/load` reports.
     pub load: Option<f64>,
-    /// How old `/load` may be.
+    /// Maximum age in milliseconds of the sample that `/load` reports.
     pub lag_ms: u64,
-    /// How long a request takes, in place of the profile's time.
+    /// Time in milliseconds that a request takes, in place of the profile's time.
     pub work_ms: Option<u64>,
 }
 
-/// What `/load` answers.
+/// The answer of `/load`.
 #[derive(Debug, Default, Clone, Copy, serde::Serialize, serde::Deserialize)]
 pub struct Load {
-    /// The connections that the target holds.
+    /// Number of open connections.
     pub connections: usize,
-    /// The slots that are taken, work that waits for one included.
+    /// Number of requests and uploads that have a slot or wait for one.
     pub slots: usize,
-    /// From 0, idle, to 1, full.
+    /// Utilization from 0, idle, to 1, full.
     pub load: f64,
 }
 
-/// Why the targets did not start.
+/// Why the targets can't be started.
 #[derive(Debug, Snafu)]
 pub enum TargetError {
-    /// A socket could not be bound.
+    /// A socket can't be bound.
     #[snafu(display("a target's socket can't be bound"))]
     Socket {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The endpoints could not be served.
-    #[snafu(display("a target's endpoints can't be served"))]
+    /// The HTTP endpoints can't be started.
+    #[snafu(display("a target's HTTP endpoints can't be started"))]
     Probe {
-        /// What the server said.
+        /// Error of the HTTP server.
         source: web::WebError,
     },
 }
 
-/// How long a quiet target sleeps at most, so that it sees changes in time.
+/// Maximum wait for a packet, so that an idle target notices a change of its
+/// behaviour in time.
 const MAX_WAIT: Millis = Millis(50);
 
-/// Targets in this process. Their threads end with it.
+/// Running targets. Their threads run until the process ends.
 pub struct Targets {
-    /// Each target, in the order of the profiles.
+    /// The targets, in the order of the profiles.
     pub list: Vec<RunningTarget>,
     _served: HttpServers,
 }
 
-/// One target that runs.
+/// A running target.
 pub struct RunningTarget {
     /// Its name.
     pub name: String,
-    /// Where instances send packets.
+    /// Address for packets from instances.
     pub addr: SocketAddrV4,
-    /// Where its health and load are read.
+    /// Address of its health and load endpoints.
     pub probe: SocketAddrV4,
     shared: Arc<Shared>,
 }
@@ -94,7 +96,7 @@
 }
 
 impl Targets {
-    /// Starts a target for each profile; answers go to the fabric's `returns`.
+    /// Starts a target for each profile. Answers are sent to the fabric's address `returns`.
     pub fn start(profiles: Vec<Profile>, returns: SocketAddrV4) -> Result<Self, TargetError> {
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         let mut list = Vec::new();
@@ -118,12 +120,12 @@
 }
 
 impl RunningTarget {
-    /// Changes how the target behaves.
+    /// Sets the simulated faults of the target.
     pub fn set_behaviour(&self, behaviour: Behaviour) {
         self.shared.set_behaviour(behaviour);
     }
 
-    /// What the target has seen so far.
+    /// Counters of the target.
     pub fn counts(&self) -> TargetCounts {
         lock(&self.shared.server).counts.clone()
     }
@@ -172,7 +174,8 @@
         *lock(&self.behaviour) = behaviour;
     }
 
-    /// The load as the endpoint tells it: old, or a lie, if so set.
+    /// Returns the load that the endpoint reports, which is old or false if the
+    /// behaviour says so.
     fn reported_load(&self) -> Load {
         let behaviour = lock(&self.behaviour).clone();
         let now = self.clock.now();
--- a/testutils/src/task.rs
+++ b/testutils/src/task.rs
@@ -1,86 +1,86 @@
-//! A piece of work of a caller, and how it ends.
+//! A caller's piece of work: its messages, their check, and its end.
 
 use crate::content::{body, take_line};
 use medlarspur_lib::{bundle::Class, time::Millis};
 use std::net::SocketAddrV4;
 
-/// One piece of work that a caller does over one connection.
+/// Description of a piece of work, which uses one connection.
 #[derive(Debug, Clone)]
 pub struct Work {
-    /// Tells it from every other work of all callers.
+    /// Id that is unique among all work of all callers.
     pub id: String,
     /// The service that has to answer.
     pub service: String,
-    /// What kind of work it is.
+    /// Class of the work.
     pub class: Class,
-    /// Where the service is reached.
+    /// Address and port of the service.
     pub remote: SocketAddrV4,
-    /// The bytes of an upload.
+    /// Size of an upload in bytes.
     pub size: usize,
-    /// How long a feed is held before the caller ends it.
+    /// Time after which the caller closes a feed.
     pub hold: Millis,
 }
 
-/// How a piece of work ended.
+/// The end of a piece of work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum End {
-    /// The whole answer came, or the feed ran until the caller ended it.
+    /// The complete answer was received, or the feed ran until the caller closed it.
     Completed,
-    /// It was established and came to no good end.
+    /// It failed after it was established.
     Broken(BreakCause),
-    /// It was turned away.
+    /// It was refused.
     Refused,
-    /// Nothing answered the opening in time.
+    /// The handshake was not completed in time.
     Unanswered,
-    /// The answer belongs to other work or another service.
+    /// The answer belongs to other work or another service, or its content is wrong.
     Wrong,
 }
 
-/// How established work broke.
+/// Why established work broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BreakCause {
-    /// A reset came.
+    /// The connection was reset.
     Reset,
-    /// Nothing came for as long as the caller waits.
+    /// There was no progress within the idle timeout.
     Silent,
-    /// The connection was closed before the whole answer.
+    /// The connection was closed before the answer was complete.
     Short,
 }
 
-/// How a line starts that turns work away.
+/// Prefixes of a line that refuses work.
 const REFUSAL_PREFIXES: &[&str] = &["REFUSED", "HTTP/1.1 503"];
 
-/// A piece of work under way.
+/// A piece of work in progress.
 pub(crate) struct Task {
-    /// What is to be done.
+    /// Description of the work.
     pub work: Work,
-    /// When the connection was opened.
+    /// Time at which the connection was opened.
     pub opened: Millis,
-    /// When the target last showed a sign of life.
+    /// Time of the last progress that shows that the target is alive.
     pub last_activity: Millis,
-    /// Whether the handshake is over.
+    /// Whether the handshake is complete.
     pub established: bool,
-    /// What has arrived and is not read yet.
+    /// Received bytes that are not processed yet.
     pub input: Vec<u8>,
-    /// What is still to be sent.
+    /// Bytes that are not sent yet.
     pub output: Vec<u8>,
-    /// The target that answered, once one has.
+    /// Name of the target that answered, if any.
     pub target: Option<String>,
-    /// The time to the first line of a feed or the whole answer.
+    /// Time from the opening to the first line of a feed, or to the complete answer.
     pub latency: Option<Millis>,
-    /// How many lines of a feed have come.
+    /// Number of lines received on a feed.
     pub lines: u64,
-    /// How many echoes of a feed have come.
+    /// Number of echoes received on a feed.
     pub echoes: u64,
-    /// The bytes of the body of an answer.
+    /// Size in bytes of the answer's body.
     pub expected: usize,
-    /// Whether the caller has ended its feed.
+    /// Whether the caller has closed its feed.
     pub closing: bool,
 }
 
 impl Task {
-    /// Starts a piece of work.
+    /// Creates the state of new work, with its first message queued.
     pub fn new(work: Work, opened: Millis) -> Self {
         let mut output = match work.class {
             Class::Feed => format!("{}\n", work.id),
@@ -107,12 +107,12 @@
         }
     }
 
-    /// Whether it is a feed that its caller has held long enough.
+    /// Whether this is a feed whose hold time has passed.
     pub fn is_hold_over(&self, now: Millis) -> bool {
         self.work.class == Class::Feed && now.since(self.opened) >= self.work.hold
     }
 
-    /// Reads what has come; the end of the work, if that decides it.
+    /// Processes received bytes. Returns the end of the work, if they decide it.
     pub fn read(&mut self, now: Millis) -> Option<End> {
         loop {
             if self.expected > 0 {
@@ -165,8 +165,8 @@
         (!next).then_some(End::Wrong)
     }
 
-    /// Each line is acknowledged and comes back, which shows that the feed
-    /// carries both directions.
+    /// Checks the number of an echo. The target echoes the acknowledgement of each
+    /// line, which shows that the feed works in both directions.
     fn check_echo(&mut self, count: &str) -> Option<End> {
         let next = count == self.echoes.to_string();
         self.echoes += 1;
--- a/testutils/src/traffic.rs
+++ b/testutils/src/traffic.rs
@@ -1,64 +1,64 @@
-//! Many flows before a [`Fleet`], at the level of packets: each flow knows the
-//! target of its first packet, and one that reaches another target is broken,
-//! because that target answers with a reset.
+//! Simulated flows through a [`Fleet`], packet by packet. Each flow records the
+//! target of its first packet. A flow with a packet at another target is broken,
+//! because that target would answer with a reset.
 
 use crate::fleet::Fleet;
 use medlarspur_lib::{collections::Map, packet::FlowKey, time::Millis};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The address of the first caller, 10.0.0.0.
+/// Address of the first caller, 10.0.0.0.
 const FIRST_CALLER: u32 = 0x0a00_0000;
 
-/// How long a caller waits for the answer to its first packet.
+/// Time after which a caller sends its SYN again.
 const RETRANSMIT: Millis = Millis(1_000);
 
-/// How the fabric spreads packets over the instances.
+/// How the fabric distributes packets over the instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Distribution {
-    /// Each packet to any instance.
+    /// Each packet goes to a random instance.
     PerPacket,
-    /// Each flow to one instance, while the list stays as it is.
+    /// All packets of a flow go to one instance, until the list of instances changes.
     PerFlow,
 }
 
-/// A packet's part in a TCP connection.
+/// What a TCP segment does to its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SegmentKind {
-    /// The first.
+    /// A SYN, which opens the flow.
     Open,
-    /// One of those after.
+    /// A segment within the flow.
     Continue,
-    /// The last.
+    /// A FIN, which closes the flow.
     Close,
 }
 
-/// One flow of a caller.
+/// A flow of a caller.
 #[derive(Debug, Clone)]
 pub struct Flow {
     /// Its five-tuple.
     pub key: FlowKey,
-    /// The target that got its first packet.
+    /// The target that received its first packet.
     pub target: Option<SocketAddrV4>,
-    /// When it was opened.
+    /// Time at which it was opened.
     pub opened: Millis,
-    /// Whether a packet of it reached another target.
+    /// Whether one of its packets reached another target.
     pub broken: bool,
-    /// What happened to it, for finding a cause.
+    /// Its events, to find the cause of a failure.
     pub trace: Vec<Step>,
 }
 
-/// One event of a flow.
+/// An event of a flow.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// A packet was handed to an instance.
+    /// A packet was sent to the instance at this index.
     Sent(Millis, SegmentKind, usize),
-    /// A packet came to a target.
+    /// A packet reached a target.
     Reached(Millis, SocketAddrV4),
 }
 
-/// The flows and what became of them.
+/// Simulated flows and their events.
 pub struct Traffic {
-    /// All flows, by the order in which they were opened.
+    /// All flows, in the order of opening.
     pub flows: Vec<Flow>,
     distribution: Distribution,
     first: u32,
@@ -67,7 +67,8 @@
 }
 
 impl Traffic {
-    /// No flow yet; the fabric sends to the instances in `instances`.
+    /// Creates traffic without flows. The fabric sends to the instances at the
+    /// indices in `instances`.
     pub fn new(distribution: Distribution, instances: Vec<usize>) -> Traffic {
         Traffic {
             flows: Vec::new(),
@@ -78,19 +79,18 @@
         }
     }
 
-    /// Calls from other addresses than the traffic of another number.
+    /// Uses caller addresses that differ from those of traffic with another `number`.
     pub fn with_subnet(mut self, number: u32) -> Traffic {
         self.first += number << 16;
         self
     }
 
-    /// The instances that the fabric sends to from now on.
+    /// Sets the indices of the instances that the fabric sends to from now on.
     pub fn set_instances(&mut self, instances: Vec<usize>) {
         self.instances = instances;
     }
 
-    /// Opens a flow to `service`: its first packet and, right after the
-    /// handshake, its second.
+    /// Opens a flow to `service` by sending its SYN, and returns its index.
     pub fn open(&mut self, fleet: &mut Fleet, service: SocketAddrV4) -> usize {
         let number = self.flows.len() as u32;
         let ip = Ipv4Addr::from(self.first + number / 20_000);
@@ -109,9 +109,9 @@
         ix
     }
 
-    /// Sends one packet of a flow through the fabric: its first one again as
-    /// long as that has reached no target, but as a caller's TCP does it, not
-    /// before [`RETRANSMIT`].
+    /// Sends a packet of a flow through the fabric. As long as its SYN has reached
+    /// no target, this retransmits the SYN, but as TCP does, not before
+    /// [`RETRANSMIT`] has passed.
     pub fn send(&mut self, fleet: &mut Fleet, ix: usize, kind: SegmentKind) {
         let flow = &self.flows[ix];
         let kind = if flow.target.is_none() { SegmentKind::Open } else { kind };
@@ -123,8 +123,8 @@
             return;
         }
         let packet = segment(&self.flows[ix].key, kind);
-        // An instance that has no view yet drops the packet, and the caller's
-        // TCP sends it again until it reaches one that has.
+        // An instance without a view drops packets, and TCP retransmits until one
+        // reaches an instance with a view.
         let ready = |ix: &usize| fleet.nodes[*ix].forwarder.view().is_some();
         let instances: Vec<_> = self.instances.iter().copied().filter(ready).collect();
         let position = match self.distribution {
@@ -137,7 +137,7 @@
         self.record_arrivals(fleet);
     }
 
-    /// Looks where packets have gone.
+    /// Records which targets the forwarded packets have reached.
     pub fn record_arrivals(&mut self, fleet: &mut Fleet) {
         for (target, bytes) in std::mem::take(&mut fleet.packets) {
             let Ok(packet) = medlarspur_lib::packet::Packet::parse(&bytes) else { continue };
@@ -152,7 +152,7 @@
         fleet.answers.clear();
     }
 
-    /// How many flows are broken. Prints the first of them.
+    /// Returns the number of broken flows, and prints the first of them.
     pub fn count_broken(&self) -> usize {
         let broken: Vec<_> = self.flows.iter().filter(|flow| flow.broken).collect();
         if let Some(first) = broken.first() {
@@ -162,8 +162,8 @@
     }
 }
 
-/// The instance of a flow in a fabric that hashes flows: the best by rendezvous
-/// hash, so that a change of the list moves few flows.
+/// Returns the position in `instances` of a flow's instance by rendezvous hashing,
+/// with which a change of the list moves few flows.
 fn pick_instance(key: &FlowKey, instances: &[usize]) -> usize {
     let flow = u64::from(u32::from(*key.caller.ip())) << 16 | u64::from(key.caller.port());
     let score = |instance: usize| {
@@ -174,7 +174,7 @@
     (0..instances.len()).max_by_key(|&position| score(instances[position])).unwrap_or(0)
 }
 
-/// A bare TCP segment of a caller.
+/// Builds a TCP segment of a caller without options and data.
 pub fn segment(key: &FlowKey, kind: SegmentKind) -> Vec<u8> {
     let mut bytes = vec![0; 40];
     bytes[0] = 0x45;
--- a/testutils/src/udp.rs
+++ b/testutils/src/udp.rs
@@ -1,14 +1,14 @@
-//! Taking datagrams from a socket in batches.
+//! Receives datagrams from a socket in batches.
 
 use nix::sys::socket::{MsgFlags, recv};
 use std::{io, net::UdpSocket, os::fd::AsRawFd, time::Duration};
 
-/// The largest datagram.
+/// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM: usize = 65_536;
-/// How many datagrams are taken before other work has its turn.
+/// Maximum number of datagrams received in one call, so that other work is not delayed.
 const MAX_BATCH: usize = 256;
 
-/// A socket with the buffer that it is read into.
+/// A UDP socket with its receive buffer.
 pub struct BatchReceiver {
     /// The socket.
     pub socket: UdpSocket,
@@ -17,22 +17,22 @@
 }
 
 impl BatchReceiver {
-    /// Reads from `socket`.
+    /// Creates a receiver that reads from `socket`.
     pub fn new(socket: UdpSocket) -> Self {
         Self { socket, buffer: vec![0; MAX_DATAGRAM], timeout: None }
     }
 
-    /// Waits for a datagram for `timeout` at most, then takes what else is there.
+    /// Waits up to `timeout` for a datagram, then receives those that are queued.
     ///
-    /// A socket holds only a few hundred datagrams: one that is read once per
-    /// round of other work loses packets whenever many flows stir together.
+    /// A socket queues only a few hundred datagrams. If only one were received per
+    /// round of other work, packets would be lost whenever many flows send at once.
     pub fn receive(&mut self, timeout: Duration, mut handle: impl FnMut(&[u8])) -> io::Result<()> {
         if self.timeout != Some(timeout) {
             self.socket.set_read_timeout(Some(timeout))?;
             self.timeout = Some(timeout);
         }
         let Ok(len) = self.socket.recv(&mut self.buffer) else {
-            // The wait is over, or an earlier packet found its port closed.
+            // The timeout expired, or an earlier packet was sent to a closed port.
             return Ok(());
         };
         handle(&self.buffer[..len]);
--- a/testutils/src/web.rs
+++ b/testutils/src/web.rs
@@ -1,4 +1,4 @@
-//! Small HTTP servers on ports that the system may choose.
+//! HTTP servers for the stand-ins.
 
 use rocket::{Config, Route, config::LogLevel, fairing::AdHoc};
 use snafu::prelude::*;
@@ -9,26 +9,26 @@
 };
 use tokio::runtime::{Builder, Runtime};
 
-/// Why a server did not start.
+/// Why a server can't be started.
 #[derive(Debug, Snafu)]
 pub enum WebError {
-    /// The threads could not be started.
+    /// The server's threads can't be started.
     #[snafu(display("the server's threads can't be started"))]
     Threads {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address is taken or not this machine's.
+    /// The address is in use or is not an address of this machine.
     #[snafu(display("the server can't listen on {addr}"))]
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         addr: SocketAddrV4,
     },
 }
 
-/// Servers that run until this is dropped.
+/// HTTP servers that run until this is dropped.
 pub struct HttpServers {
-    /// Where each listens, in the order given.
+    /// Address of each server, in the order given to [`serve`].
     pub addrs: Vec<SocketAddrV4>,
     runtime: Option<Runtime>,
 }
@@ -41,11 +41,11 @@
     }
 }
 
-/// Keeps rocket from printing. It sets its own logger if there is none, and
-/// then logs everything for the moment in which another server starts, into
-/// the lines that a program's reader expects on its output.
+/// Keeps rocket from printing. If no logger is set, rocket sets its own, which
+/// logs everything while another server starts, between the lines that the
+/// program itself prints.
 pub fn silence_logs() {
-    // A logger that is set already is as good.
+    // This fails if a logger is set already, which prevents rocket's logger as well.
     let _ = log::set_logger(&DiscardLogs);
 }
 
@@ -61,11 +61,11 @@
     fn flush(&self) {}
 }
 
-/// The largest body; a bundle may have a megabyte.
+/// Maximum size of a request body; a bundle may have a megabyte.
 const MAX_BODY: &str = "2MiB";
 
 /// Starts a server for each state and its routes, the first on `addr` and the
-/// others on ports of the system's choice.
+/// others on the same IP address with ports that the operating system chooses.
 pub fn serve<S: Send + Sync + 'static>(
     addr: SocketAddrV4,
     sites: Vec<(S, Vec<Route>)>,
@@ -80,7 +80,7 @@
         let up = AdHoc::on_liftoff("report the port", move |rocket| {
             let port = rocket.config().port;
             Box::pin(async move {
-                // Nobody waits any more if the start was given up.
+                // This fails if the receiver has been dropped, and then nobody needs the port.
                 let _ = sender.send(port);
             })
         });
--- a/testutils/tests/runner.rs
+++ b/testutils/tests/runner.rs
@@ -1,4 +1,4 @@
-//! One runner, so that the tests link once.
+//! All tests in one binary, so that they are linked only once.
 
 mod test_faults;
 mod test_host;
--- a/testutils/tests/test_faults.rs
+++ b/testutils/tests/test_faults.rs
@@ -1,4 +1,4 @@
-//! The faults that the stand-ins can play.
+//! Tests of the faults that the stand-ins simulate.
 
 use crate::{
     test_host::{client, ends, run, server, work},
@@ -14,7 +14,7 @@
     task::End,
 };
 
-/// The status of an endpoint of a target, and its text.
+/// Returns status and text of an endpoint of a target.
 fn get(running: &RunningTarget, path: &str) -> (u16, String) {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
@@ -79,8 +79,8 @@
     assert_eq!(overridden, (200, r#"{"connections":0,"slots":0,"load":0.9}"#.into()));
 }
 
-/// Requests arrive faster than a back end works. It sheds those beyond its
-/// queue with a reset, which the caller sees after its connection was open.
+/// Requests arrive faster than a target processes them. The target resets those
+/// beyond its queue, which the caller sees after its connection was established.
 #[test]
 fn target_sheds_requests_beyond_its_queue() {
     let (mut client, mut server) = (client(), server());
--- a/testutils/tests/test_host.rs
+++ b/testutils/tests/test_host.rs
@@ -1,4 +1,4 @@
-//! Feeds, requests and uploads between two hosts in virtual time.
+//! Tests of feeds, requests and uploads between two hosts in virtual time.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
@@ -31,7 +31,7 @@
     Work { id: id.into(), service: "alertdesk".into(), class, remote, size: 60_000, hold }
 }
 
-/// Opens a feed and lets it run for a while.
+/// Opens a feed and runs it for 100 ms.
 fn feed(client: &mut Client, server: &mut Server) {
     client.open(Millis(0), work("f", Class::Feed));
     for step in 0..100 {
@@ -40,7 +40,8 @@
     }
 }
 
-/// Runs both ends until the caller has nothing under way, losing packets.
+/// Runs both ends until the caller has no work in progress. Drops packets with
+/// the probability `loss`.
 pub fn run(client: &mut Client, server: &mut Server, loss: f64, seed: u64) -> Vec<Outcome> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut now = Millis(100);
@@ -91,8 +92,8 @@
     assert_eq!((server.counts.runs.len(), server.counts.late), (0, 1));
 }
 
-/// A back end dies without a word while a feed is open. The caller must see
-/// its feed as broken and not wait for ever.
+/// A target dies while a feed is open and sends nothing more. The caller must
+/// report its feed as broken and not wait for ever.
 #[test]
 fn silent_target_breaks_its_feed() {
     let (mut client, mut server) = (client(), server());
@@ -103,8 +104,8 @@
     assert_eq!(ends(&outcomes), [End::Broken(BreakCause::Silent)]);
 }
 
-/// A caller's machine dies while its request is at work. Somebody who then
-/// says that the request was not run would be wrong.
+/// A caller dies while its request is processed. The request must count as run,
+/// or a repetition of it would not be noticed.
 #[test]
 fn interrupted_request_counts_as_run() {
     let (mut client, mut server) = (client(), server());
@@ -138,8 +139,8 @@
     }
 }
 
-/// A fabric that sprays lets packets of one flow overtake each other. TCP has
-/// to put them in order again, and no work may stall behind another's.
+/// With a fabric that sprays, packets of a flow overtake each other. TCP must put
+/// them in order again, and work must not be delayed by other work.
 #[test]
 fn reordered_packets_only_delay_work() {
     let (mut client, mut server) = (client(), server());
@@ -154,7 +155,7 @@
     assert!(slowest < Some(Millis::secs(20)), "{slowest:?}");
 }
 
-/// Runs both ends; each packet takes its own time.
+/// Runs both ends; each packet has a random delay.
 fn run_reordered(client: &mut Client, server: &mut Server, seed: u64) -> Vec<Outcome> {
     let mut rng = StdRng::seed_from_u64(seed);
     let (mut inward, mut outward) = (Vec::new(), Vec::new());
--- a/testutils/tests/test_path.rs
+++ b/testutils/tests/test_path.rs
@@ -1,4 +1,4 @@
-//! The whole path over sockets, with plain relays in the place of instances.
+//! Tests of the whole path over sockets, with stateless relays in place of instances.
 
 use medlarspur_lib::{
     bundle::{Bundle, Class, TargetState},
@@ -23,7 +23,7 @@
 };
 
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(10, 70, 0, 1);
-/// For work that has to complete, however busy the machine is.
+/// Timeouts for work that must complete even on a busy machine.
 const PATIENT: Timeouts = Timeouts { handshake: Millis::secs(60), idle: Millis::secs(60) };
 const PORTS: [(u16, Class); 3] = [(1, Class::Feed), (2, Class::Request), (3, Class::Upload)];
 
@@ -32,7 +32,7 @@
     Targets::start(profiles.to_vec(), fabric.returns).unwrap()
 }
 
-/// An instance that picks the target by the caller's port and keeps no state.
+/// Starts a relay in place of an instance, which picks the target by the caller's port.
 pub fn relay(name: &str, targets: &Targets) -> ListedInstance {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(packets) = socket.local_addr().unwrap() else { unreachable!() };
@@ -56,7 +56,7 @@
     Stream { service, class, remote, rate: 200.0, total, size: 30_000, hold: 600_000 }
 }
 
-/// Calls until all streams are opened, then ends in an orderly way.
+/// Runs callers until all work of the streams was started, then stops them.
 pub fn call(fabric: &Fabric, streams: Vec<Stream>, timeouts: Timeouts) -> Report {
     let all = streams.iter().map(|stream| stream.total).sum::<u64>();
     let settings = Settings { timeouts, ..Settings::new(fabric.callers) };
@@ -89,8 +89,8 @@
     assert_eq!(runs, 40);
 }
 
-/// A target's host loses power while it holds feeds and requests. Callers of
-/// that target get no answer; those of the other one notice nothing.
+/// The host of a target loses power. Callers of that target must get no answer;
+/// those of the other target must not be affected.
 #[test]
 fn dead_target_answers_nobody() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Hash)).unwrap();
--- a/testutils/tests/test_platform.rs
+++ b/testutils/tests/test_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's answers, watches and faults.
+//! Tests of the platform's reads, watches and faults.
 
 use medlarspur_testutils::platform::{Fault, Platform};
 use std::{
@@ -13,7 +13,7 @@
     platform
 }
 
-/// Status, entity tag without quotes, and text of an answer.
+/// Returns status, entity tag without quotes, and text of an answer.
 fn get(platform: &Platform, path: &str) -> (u16, String, String) {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
--- a/testutils/tests/test_process.rs
+++ b/testutils/tests/test_process.rs
@@ -1,4 +1,4 @@
-//! Child processes and signals to them.
+//! Tests of signals to child processes.
 
 use medlarspur_testutils::process::{SignalError, signal};
 use nix::sys::signal::Signal;
@@ -10,26 +10,26 @@
 fn child(seconds: &str) -> Child {
     #[allow(clippy::disallowed_methods, reason = "the test needs a process")]
     let mut command = Command::new("sleep");
-    command.arg(seconds).spawn().expect("it starts")
+    command.arg(seconds).spawn().expect("the child starts")
 }
 
 #[test]
 fn running_child_gets_the_signal() {
     let mut child = child("60");
 
-    signal(&mut child, Signal::SIGTERM).expect("it runs");
+    signal(&mut child, Signal::SIGTERM).expect("the child is running");
 
-    let status = child.wait().expect("it is our child");
+    let status = child.wait().expect("the child can be waited for");
     assert_eq!(status.signal(), Some(Signal::SIGTERM as i32));
 }
 
-/// A process has ended and was waited for, so its number may be another process's by now.
-/// A signal to that number would hit whoever has it: a test runner that is gone with no
-/// test failed.
+/// A child has ended and was waited for, so that its process id may belong to another
+/// process. A signal to that id would hit that process, for example end the test runner
+/// although no test failed.
 #[test]
 fn ended_child_gets_no_signal() {
     let mut child = child("0");
-    child.wait().expect("it ends");
+    child.wait().expect("the child ends");
 
     let result = signal(&mut child, Signal::SIGKILL);
 
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -1,4 +1,4 @@
-//! How fabrics spread packets.
+//! Tests of how fabrics spread packets over instances.
 
 use medlarspur_lib::collections::Set;
 use medlarspur_testutils::{
@@ -12,7 +12,7 @@
     PacketHeader { src: end(1, port), dst: end(2, 80), kind: Kind::Segment }
 }
 
-/// The instances of 1000 flows, by name.
+/// Returns the names of the instances of 1000 flows.
 fn picks(mode: Mode, names: &[&'static str]) -> Vec<&'static str> {
     let mut picker = Picker::new(mode, 1);
     (0..1000).map(|port| names[picker.pick(names, &flow(port)).unwrap()]).collect()
