--- a/tests/examples/moves.rs
+++ b/tests/examples/moves.rs
@@ -134,7 +134,9 @@
     let others = others.map(|(broken, ratio)| format!("{broken} ({ratio:.2})")).join(" | ");
     let fabric = if distribution == Distribution::PerPacket { "spray" } else { "hash" };
     let (count, silent) = (run.traffic.flows.len(), run.silent());
-    let last = run.left.map_or("–".into(), |at| run.last_new(LEAVING_TARGET.1, at).0.to_string());
+    let last = run
+        .leaving_since
+        .map_or("–".into(), |at| run.last_new(LEAVING_TARGET.1, at).0.to_string());
     println!(
         "| {name} | {fabric} | {count} | {broken} | {silent} | {ratio:.2} | {before} | {mean} | {peak} | {last} | {others} |"
     );
--- a/tests/examples/moves/run.rs
+++ b/tests/examples/moves/run.rs
@@ -29,11 +29,11 @@
     /// Number of failure domains.
     pub domains: u64,
     /// Time at which a target began to leave; `None` if none is leaving.
-    pub left: Option<Millis>,
+    pub leaving_since: Option<Millis>,
     site: SiteBuilder,
     history: SiteHistory,
     listed: Vec<usize>,
-    mark: (Millis, u64),
+    second_start: (Millis, u64),
     peak: u64,
 }
 
@@ -51,11 +51,11 @@
             fleet,
             traffic,
             domains,
-            left: None,
+            leaving_since: None,
             site,
             history,
             listed,
-            mark: (Millis(0), 0),
+            second_start: (Millis(0), 0),
             peak: 0,
         }
     }
@@ -65,9 +65,9 @@
         let end = self.fleet.now + span;
         while self.fleet.now < end {
             self.fleet.advance(end.since(self.fleet.now).min(STEP));
-            if self.fleet.now.since(self.mark.0) >= Millis::secs(1) {
-                self.peak = self.peak.max(self.fleet.control_bytes - self.mark.1);
-                self.mark = (self.fleet.now, self.fleet.control_bytes);
+            if self.fleet.now.since(self.second_start.0) >= Millis::secs(1) {
+                self.peak = self.peak.max(self.fleet.control_bytes - self.second_start.1);
+                self.second_start = (self.fleet.now, self.fleet.control_bytes);
             }
         }
     }
@@ -117,13 +117,13 @@
     /// Publishes a bundle in which a target is leaving.
     pub fn start_leaving(&mut self, target: &str) {
         self.publish(|site| site.leaving(target));
-        self.left = Some(self.fleet.now);
+        self.leaving_since = Some(self.fleet.now);
     }
 
     /// Publishes a bundle in which a leaving target is active again.
     pub fn cancel_leaving(&mut self, target: &str) {
         self.publish(|site| site.returning(target));
-        self.left = None;
+        self.leaving_since = None;
     }
 
     /// Kills an instance, which stays in the fabric's list until [`Self::unlist`].
@@ -157,8 +157,8 @@
     /// Starts counting control bytes. Returns the time and the present total.
     pub fn start_counting(&mut self) -> (Millis, u64) {
         self.peak = 0;
-        self.mark = (self.fleet.now, self.fleet.control_bytes);
-        self.mark
+        self.second_start = (self.fleet.now, self.fleet.control_bytes);
+        self.second_start
     }
 
     /// Returns control bytes per second and instance since `start`: their mean, and
--- a/tests/tests/test_changes.rs
+++ b/tests/tests/test_changes.rs
@@ -36,7 +36,7 @@
 /// A site with its fleet and traffic.
 struct World {
     site: SiteBuilder,
-    left: Vec<String>,
+    leaving: Vec<String>,
     fleet: Fleet,
     traffic: Traffic,
 }
@@ -46,21 +46,21 @@
         let site = SiteBuilder::new(8, 3);
         let fleet = Fleet::new(6, 3, &site.bundle(), network);
         let traffic = Traffic::new(distribution, (0..6).collect());
-        World { site, left: Vec::new(), fleet, traffic }
+        World { site, leaving: Vec::new(), fleet, traffic }
     }
 
     fn apply(&mut self, change: &Change) {
         match change {
             Change::Leave(target) => {
                 let name = format!("alertdesk-{target}");
-                if self.left.len() < 4 && !self.left.contains(&name) {
-                    self.left.push(name.clone());
+                if self.leaving.len() < 4 && !self.leaving.contains(&name) {
+                    self.leaving.push(name.clone());
                     self.publish(self.site.clone().leaving(&name));
                 }
             }
             Change::Return => {
-                if !self.left.is_empty() {
-                    let name = self.left.remove(0);
+                if !self.leaving.is_empty() {
+                    let name = self.leaving.remove(0);
                     self.publish(self.site.clone().returning(&name));
                 }
             }
@@ -126,7 +126,7 @@
 
 /// Applies changes one after another while flows are opened, then sends two
 /// keep-alives of all flows. Returns the number of broken flows.
-fn play(changes: &[(Change, u64)], packets: bool, seed: u64) -> usize {
+fn run_changes(changes: &[(Change, u64)], packets: bool, seed: u64) -> usize {
     let distribution = if packets { Distribution::PerPacket } else { Distribution::PerFlow };
     let mut world = World::new(distribution, Network { seed, ..Network::default() });
     world.open(300);
@@ -172,7 +172,7 @@
     ];
 
     for (changes, packets, seed) in cases {
-        assert_eq!(play(changes, packets, seed), 0, "{changes:?} packets={packets}");
+        assert_eq!(run_changes(changes, packets, seed), 0, "{changes:?} packets={packets}");
     }
 }
 
@@ -188,6 +188,6 @@
         packets in any::<bool>(),
         seed in any::<u64>(),
     ) {
-        prop_assert_eq!(play(&changes, packets, seed), 0);
+        prop_assert_eq!(run_changes(&changes, packets, seed), 0);
     }
 }
--- a/testutils/src/bin/standin.rs
+++ b/testutils/src/bin/standin.rs
@@ -98,12 +98,12 @@
     }
 }
 
-fn any() -> SocketAddrV4 {
+fn any_port() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)
 }
 
 fn platform(flags: &flags::Platform) -> Result<(), Box<dyn Error>> {
-    let platform = Platform::start(flags.listen.unwrap_or(any()))?;
+    let platform = Platform::start(flags.listen.unwrap_or(any_port()))?;
     println!("{}", serde_json::json!({ "platform": platform.addr }));
     run()
 }
@@ -111,8 +111,8 @@
 fn fabric(flags: &flags::Fabric) -> Result<(), Box<dyn Error>> {
     let mut settings = fabric::Settings::new(flags.mode.unwrap_or(Mode::Spray));
     settings.platform = Some(flags.platform);
-    settings.callers = flags.callers.unwrap_or(any());
-    settings.returns = flags.returns.unwrap_or(any());
+    settings.callers = flags.callers.unwrap_or(any_port());
+    settings.returns = flags.returns.unwrap_or(any_port());
     settings.delay = flags.delay.map_or(settings.delay, Millis);
     settings.lag = flags.lag.map_or(settings.lag, Millis);
     let fabric = Fabric::start(&settings)?;
--- a/testutils/src/bundles.rs
+++ b/testutils/src/bundles.rs
@@ -96,12 +96,18 @@
         })
     }
 
-    fn service(&self, at: usize, name: &str, address: Ipv4Addr, ports: Vec<Port>) -> Arc<Service> {
-        let names = (0..self.targets[at]).map(|ix| format!("{name}-{ix}"));
+    fn service(
+        &self,
+        service_ix: usize,
+        name: &str,
+        address: Ipv4Addr,
+        ports: Vec<Port>,
+    ) -> Arc<Service> {
+        let names = (0..self.targets[service_ix]).map(|ix| format!("{name}-{ix}"));
         let targets = names
             .enumerate()
             .filter(|(_, name)| !self.removed.contains(name))
-            .map(|(ix, name)| self.target(at, ix, &name))
+            .map(|(ix, name)| self.target(service_ix, ix, &name))
             .collect();
         Arc::new(Service {
             name: ServiceName::new(name),
@@ -115,11 +121,11 @@
         })
     }
 
-    fn target(&self, at: usize, ix: usize, name: &str) -> Target {
+    fn target(&self, service_ix: usize, ix: usize, name: &str) -> Target {
         let leaves = self.leaving.iter().any(|other| other == name);
         Target {
             name: TargetName::new(name),
-            address: SocketAddrV4::new(Ipv4Addr::new(127, 8, at as u8, ix as u8), 5555),
+            address: SocketAddrV4::new(Ipv4Addr::new(127, 8, service_ix as u8, ix as u8), 5555),
             domain: DomainName::new(&format!("d{}", ix % 4)),
             weight: 100,
             slots: 2,
--- a/testutils/src/fabric.rs
+++ b/testutils/src/fabric.rs
@@ -100,8 +100,8 @@
         let callers = UdpSocket::bind(settings.callers)?;
         let returns = UdpSocket::bind(settings.returns)?;
         let fabric = Self {
-            callers: v4(callers.local_addr()?)?,
-            returns: v4(returns.local_addr()?)?,
+            callers: to_ipv4(callers.local_addr()?)?,
+            returns: to_ipv4(returns.local_addr()?)?,
             shared: Arc::new(Shared {
                 clock: Clock::start(),
                 routes: Mutex::default(),
@@ -255,7 +255,7 @@
 }
 
 /// Converts an address to IPv4, the only protocol of the stand-ins.
-pub(crate) fn v4(addr: SocketAddr) -> io::Result<SocketAddrV4> {
+pub(crate) fn to_ipv4(addr: SocketAddr) -> io::Result<SocketAddrV4> {
     match addr {
         SocketAddr::V4(addr) => Ok(addr),
         SocketAddr::V6(_) => Err(io::ErrorKind::Unsupported.into()),
--- a/testutils/src/report.rs
+++ b/testutils/src/report.rs
@@ -115,11 +115,11 @@
         let ended = self.completed + self.broken + self.refused + self.unanswered + self.wrong;
         self.pending = self.opened - ended;
         self.latencies.sort_unstable();
-        let at = |percent: usize| {
+        let percentile = |percent: usize| {
             let ix = (self.latencies.len() * percent / 100).min(self.latencies.len().max(1) - 1);
             self.latencies.get(ix).copied().unwrap_or(0)
         };
-        (self.p50, self.p99) = (at(50), at(99));
+        (self.p50, self.p99) = (percentile(50), percentile(99));
         let most = self.targets.values().max().copied().unwrap_or(0);
         let all = self.targets.values().sum::<u64>();
         self.imbalance = most as f64 * self.targets.len() as f64 / all.max(1) as f64;
--- a/testutils/src/target.rs
+++ b/testutils/src/target.rs
@@ -2,7 +2,7 @@
 
 use crate::{
     clock::Clock,
-    fabric::{lock, v4},
+    fabric::{lock, to_ipv4},
     profile::{Profile, TargetCounts},
     server::Server,
     udp::BatchReceiver,
@@ -103,7 +103,7 @@
         let mut sites = Vec::new();
         for profile in profiles {
             let socket = UdpSocket::bind(any).context(SocketSnafu)?;
-            let addr = socket.local_addr().and_then(v4).context(SocketSnafu)?;
+            let addr = socket.local_addr().and_then(to_ipv4).context(SocketSnafu)?;
             let name = profile.name.clone();
             let shared = Arc::new(Shared::new(profile));
             let worker = Arc::clone(&shared);
