--- a/tests/tests/test_udp.rs
+++ b/tests/tests/test_udp.rs
@@ -69,7 +69,7 @@
 }
 
 /// A target leaves while callers send datagrams through any instance, with and without
-/// an instance that died just before, after which keepers do not deny flows for a while.
+/// an instance that died just before, after which no keeper can deny a flow for a while.
 /// A flow that moves to another target loses its state at the first one; a new flow at
 /// the leaving target is interrupted when its host goes down.
 #[test]
--- a/testutils/src/bundles.rs
+++ b/testutils/src/bundles.rs
@@ -17,7 +17,7 @@
 /// Address and port of the second service's uploads.
 pub const UPLOADS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 2), 7003);
 
-/// Builds the bundles of a site with two services.
+/// Builds the bundles of a site with two services, like the first two sites.
 #[derive(Debug, Clone)]
 pub struct SiteBuilder {
     version: u64,
--- a/testutils/src/profile.rs
+++ b/testutils/src/profile.rs
@@ -31,7 +31,8 @@
 }
 
 impl Profile {
-    /// Creates the profile of a target with 2 slots and short requests.
+    /// Creates a profile with the slots and connections of the first sites' targets,
+    /// and with short requests.
     pub fn new(name: &str, service: &str, address: Ipv4Addr, ports: &[(u16, Class)]) -> Self {
         Self {
             name: name.into(),
