--- a/tests/tests/test_changes.rs
+++ b/tests/tests/test_changes.rs
@@ -1,25 +1,25 @@
-//! Random planned changes, one upon the other, break no flow.
+//! Tests that overlapping planned changes break no flow.
 
 use medlarspur_lib::time::Millis;
 use medlarspur_testutils::{
-    bundles::{FEEDS, Site, UPLOADS},
+    bundles::{FEEDS, SiteBuilder, UPLOADS},
     fleet::{Fleet, Network, State},
-    traffic::{Part, Spread, Traffic},
+    traffic::{Distribution, SegmentKind, Traffic},
 };
 use proptest::prelude::*;
 
-/// A planned change, and how long after the one before it comes.
+/// A planned change of the site.
 #[derive(Debug, Clone)]
 enum Change {
-    /// The target of this number leaves.
+    /// The first service's target with this number leaves.
     Leave(usize),
-    /// The one that left first takes work again.
+    /// The target that has been leaving longest becomes active again.
     Return,
-    /// Each service gets another target.
+    /// Each service gets one more target.
     Grow,
     /// An instance joins.
     Join,
-    /// An instance leaves.
+    /// The instance with this number, modulo the number of instances, leaves.
     Retire(usize),
 }
 
@@ -33,34 +33,34 @@
     ]
 }
 
-/// The site under change.
+/// A site with its fleet and traffic.
 struct World {
-    site: Site,
-    left: Vec<String>,
+    site: SiteBuilder,
+    leaving: Vec<String>,
     fleet: Fleet,
     traffic: Traffic,
 }
 
 impl World {
-    fn new(spread: Spread, network: Network) -> World {
-        let site = Site::new(8, 3);
+    fn new(distribution: Distribution, network: Network) -> World {
+        let site = SiteBuilder::new(8, 3);
         let fleet = Fleet::new(6, 3, &site.bundle(), network);
-        let traffic = Traffic::new(spread, (0..6).collect());
-        World { site, left: Vec::new(), fleet, traffic }
+        let traffic = Traffic::new(distribution, (0..6).collect());
+        World { site, leaving: Vec::new(), fleet, traffic }
     }
 
     fn apply(&mut self, change: &Change) {
         match change {
             Change::Leave(target) => {
                 let name = format!("alertdesk-{target}");
-                if self.left.len() < 4 && !self.left.contains(&name) {
-                    self.left.push(name.clone());
+                if self.leaving.len() < 4 && !self.leaving.contains(&name) {
+                    self.leaving.push(name.clone());
                     self.publish(self.site.clone().leaving(&name));
                 }
             }
             Change::Return => {
-                if !self.left.is_empty() {
-                    let name = self.left.remove(0);
+                if !self.leaving.is_empty() {
+                    let name = self.leaving.remove(0);
                     self.publish(self.site.clone().returning(&name));
                 }
             }
@@ -75,12 +75,13 @@
         }
     }
 
-    fn publish(&mut self, site: Site) {
+    fn publish(&mut self, site: SiteBuilder) {
         self.site = site;
         self.fleet.publish(&self.site.bundle());
     }
 
-    /// One instance at a time leaves, and is gone when it has had its time.
+    /// Makes an instance leave, and ends it after 3 s. Does nothing if the instance
+    /// is not up or at most four are.
     fn retire(&mut self, ix: usize) {
         let up = |node: &medlarspur_testutils::fleet::Node| node.state == State::Up;
         let count = self.fleet.nodes.iter().filter(|node| up(node)).count();
@@ -94,11 +95,11 @@
         }
     }
 
-    /// The platform's list: what works and does not leave.
+    /// Sets the fabric's list to the instances that are up and not leaving.
     fn list(&mut self) {
         let nodes = self.fleet.nodes.iter().enumerate();
         let up = nodes.filter(|(_, node)| node.state == State::Up).map(|(ix, _)| ix);
-        self.traffic.list(up.collect());
+        self.traffic.set_instances(up.collect());
     }
 
     fn open(&mut self, count: usize) {
@@ -107,27 +108,27 @@
             let flow = self.traffic.open(&mut self.fleet, service);
             if number.is_multiple_of(5) {
                 self.fleet.advance(Millis(5));
-                self.traffic.collect(&mut self.fleet);
+                self.traffic.record_arrivals(&mut self.fleet);
             }
-            self.traffic.send(&mut self.fleet, flow, Part::Middle);
+            self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
         }
     }
 
     fn keep_alive(&mut self) {
         let pause = 25_000 / self.traffic.flows.len().max(1) as u64;
         for flow in 0..self.traffic.flows.len() {
-            self.traffic.send(&mut self.fleet, flow, Part::Middle);
+            self.traffic.send(&mut self.fleet, flow, SegmentKind::Continue);
             self.fleet.advance(Millis(pause.max(1)));
         }
-        self.traffic.collect(&mut self.fleet);
+        self.traffic.record_arrivals(&mut self.fleet);
     }
 }
 
-/// Plays changes one after another under new flows, then two keep-alives of
-/// all flows, and counts the broken ones.
-fn play(changes: &[(Change, u64)], packets: bool, seed: u64) -> usize {
-    let spread = if packets { Spread::Packets } else { Spread::Flows };
-    let mut world = World::new(spread, Network { seed, ..Network::default() });
+/// Applies changes one after another while flows are opened, then sends two
+/// keep-alives of all flows. Returns the number of broken flows.
+fn run_changes(changes: &[(Change, u64)], packets: bool, seed: u64) -> usize {
+    let distribution = if packets { Distribution::PerPacket } else { Distribution::PerFlow };
+    let mut world = World::new(distribution, Network { seed, ..Network::default() });
     world.open(300);
     for (change, pause) in changes {
         world.apply(change);
@@ -135,22 +136,23 @@
         while world.fleet.now < end {
             world.open(10);
             world.fleet.advance(Millis(50));
-            world.traffic.collect(&mut world.fleet);
+            world.traffic.record_arrivals(&mut world.fleet);
         }
     }
     world.keep_alive();
     world.keep_alive();
-    world.traffic.broken()
+    world.traffic.count_broken()
 }
 
-/// Changes with the pause after each, whether the fabric sprays, and a seed.
+/// Changes with the pause in milliseconds after each, whether the fabric sprays,
+/// and a seed.
 type Case = (&'static [(Change, u64)], bool, u64);
 
-/// Each of these broke one flow or more once, for a cause of its own; the
-/// commits of the packet path tell them. A user saw a silent feed after changes
-/// that were all planned.
+/// Each case broke at least one flow in an earlier version, each for a different
+/// cause, which the commits of the packet path describe. Users had silent feeds
+/// after changes that were all planned.
 #[test]
-fn changes_that_once_broke_flows() {
+fn earlier_failures_break_no_flow() {
     use Change::{Grow, Join, Leave, Retire, Return};
     let cases: [Case; 10] = [
         (&[(Retire(0), 50), (Leave(2), 50)], false, 0),
@@ -170,22 +172,22 @@
     ];
 
     for (changes, packets, seed) in cases {
-        assert_eq!(play(changes, packets, seed), 0, "{changes:?} packets={packets}");
+        assert_eq!(run_changes(changes, packets, seed), 0, "{changes:?} packets={packets}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Operators publish bundles faster than they spread, instances are
-    /// replaced meanwhile, and some questions between instances are lost. A
-    /// user's feed that breaks by a planned change is a silent feed for nothing.
+    /// Bundles are published faster than they spread while instances are
+    /// replaced. A flow that breaks by such a planned change is a user's feed
+    /// that becomes silent without a failure.
     #[test]
     fn planned_changes_break_no_flow(
         changes in prop::collection::vec((change(), 50..4_000u64), 1..7),
         packets in any::<bool>(),
         seed in any::<u64>(),
     ) {
-        prop_assert_eq!(play(&changes, packets, seed), 0);
+        prop_assert_eq!(run_changes(&changes, packets, seed), 0);
     }
 }
--- a/testutils/src/traffic.rs
+++ b/testutils/src/traffic.rs
@@ -1,90 +1,96 @@
-//! Many flows before a [`Fleet`], at the level of packets: each flow knows the
-//! target of its first packet, and one that reaches another target is broken,
-//! because that target answers with a reset.
+//! Simulated flows through a [`Fleet`], packet by packet. Each flow records the
+//! target of its first packet. A flow with a packet at another target is broken,
+//! because that target would answer with a reset.
 
 use crate::fleet::Fleet;
 use medlarspur_lib::{collections::Map, packet::FlowKey, time::Millis};
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-/// The address of the first caller, 10.0.0.0.
+/// Address of the first caller, 10.0.0.0.
 const FIRST_CALLER: u32 = 0x0a00_0000;
 
-/// How long a caller waits for the answer to its first packet.
+/// Time after which a caller sends its SYN again.
 const RETRANSMIT: Millis = Millis(1_000);
 
-/// How the fabric spreads packets over the instances.
+/// How the fabric distributes packets over the instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Spread {
-    /// Each packet to any instance.
-    Packets,
-    /// Each flow to one instance, while the list stays as it is.
-    Flows,
+pub enum Distribution {
+    /// Each packet goes to a random instance.
+    PerPacket,
+    /// All packets of a flow go to one instance, until the list of instances changes.
+    PerFlow,
 }
 
-/// A packet's part in a TCP connection.
+/// What a TCP segment does to its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Part {
-    /// The first.
+pub enum SegmentKind {
+    /// A SYN, which opens the flow.
     Open,
-    /// One of those after.
-    Middle,
-    /// The last.
+    /// A segment within the flow.
+    Continue,
+    /// A FIN, which closes the flow.
     Close,
 }
 
-/// One flow of a caller.
+/// A flow of a caller.
 #[derive(Debug, Clone)]
 pub struct Flow {
     /// Its five-tuple.
     pub key: FlowKey,
-    /// The target that got its first packet.
+    /// The target that received its first packet.
     pub target: Option<SocketAddrV4>,
-    /// When it was opened.
+    /// Time at which it was opened.
     pub opened: Millis,
-    /// Whether a packet of it reached another target.
+    /// Whether one of its packets reached another target.
     pub broken: bool,
-    /// What happened to it, for finding a cause.
+    /// Its events, to find the cause of a failure.
     pub trace: Vec<Step>,
 }
 
-/// One event of a flow.
+/// An event of a flow.
 #[derive(Debug, Clone)]
 pub enum Step {
-    /// A packet was handed to an instance.
-    Sent(Millis, Part, usize),
-    /// A packet came to a target.
+    /// A packet was sent to the instance at this index.
+    Sent(Millis, SegmentKind, usize),
+    /// A packet reached a target.
     Reached(Millis, SocketAddrV4),
 }
 
-/// The flows and what became of them.
+/// Simulated flows and their events.
 pub struct Traffic {
-    /// All flows, by the order in which they were opened.
+    /// All flows, in the order of opening.
     pub flows: Vec<Flow>,
-    spread: Spread,
+    distribution: Distribution,
     first: u32,
-    listed: Vec<usize>,
+    instances: Vec<usize>,
     index: Map<FlowKey, usize>,
 }
 
 impl Traffic {
-    /// No flow yet; the fabric sends to the instances in `listed`.
-    pub fn new(spread: Spread, listed: Vec<usize>) -> Traffic {
-        Traffic { flows: Vec::new(), spread, first: FIRST_CALLER, listed, index: Map::default() }
+    /// Creates traffic without flows. The fabric sends to the instances at the
+    /// indices in `instances`.
+    pub fn new(distribution: Distribution, instances: Vec<usize>) -> Traffic {
+        Traffic {
+            flows: Vec::new(),
+            distribution,
+            first: FIRST_CALLER,
+            instances,
+            index: Map::default(),
+        }
     }
 
-    /// Calls from other addresses than the traffic of another number.
-    pub fn numbered(mut self, number: u32) -> Traffic {
+    /// Uses caller addresses that differ from those of traffic with another `number`.
+    pub fn with_subnet(mut self, number: u32) -> Traffic {
         self.first += number << 16;
         self
     }
 
-    /// The instances that the fabric sends to from now on.
-    pub fn list(&mut self, listed: Vec<usize>) {
-        self.listed = listed;
+    /// Sets the indices of the instances that the fabric sends to from now on.
+    pub fn set_instances(&mut self, instances: Vec<usize>) {
+        self.instances = instances;
     }
 
-    /// Opens a flow to `service`: its first packet and, right after the
-    /// handshake, its second.
+    /// Opens a flow to `service` by sending its SYN, and returns its index.
     pub fn open(&mut self, fleet: &mut Fleet, service: SocketAddrV4) -> usize {
         let number = self.flows.len() as u32;
         let ip = Ipv4Addr::from(self.first + number / 20_000);
@@ -99,40 +105,40 @@
             trace: Vec::new(),
         });
         let ix = self.flows.len() - 1;
-        self.send(fleet, ix, Part::Open);
+        self.send(fleet, ix, SegmentKind::Open);
         ix
     }
 
-    /// Sends one packet of a flow through the fabric: its first one again as
-    /// long as that has reached no target, but as a caller's TCP does it, not
-    /// before [`RETRANSMIT`].
-    pub fn send(&mut self, fleet: &mut Fleet, ix: usize, part: Part) {
+    /// Sends a packet of a flow through the fabric. As long as its SYN has reached
+    /// no target, this retransmits the SYN, but as TCP does, not before
+    /// [`RETRANSMIT`] has passed.
+    pub fn send(&mut self, fleet: &mut Fleet, ix: usize, kind: SegmentKind) {
         let flow = &self.flows[ix];
-        let part = if flow.target.is_none() { Part::Open } else { part };
+        let kind = if flow.target.is_none() { SegmentKind::Open } else { kind };
         let last = flow.trace.iter().rev().find_map(|step| match step {
-            Step::Sent(at, Part::Open, _) => Some(*at),
+            Step::Sent(at, SegmentKind::Open, _) => Some(*at),
             _ => None,
         });
-        if part == Part::Open && last.is_some_and(|at| fleet.now.since(at) < RETRANSMIT) {
+        if kind == SegmentKind::Open && last.is_some_and(|at| fleet.now.since(at) < RETRANSMIT) {
             return;
         }
-        let packet = segment(&self.flows[ix].key, part);
-        // An instance that has no view yet drops the packet, and the caller's
-        // TCP sends it again until it reaches one that has.
+        let packet = segment(&self.flows[ix].key, kind);
+        // An instance without a view drops packets, and TCP retransmits until one
+        // reaches an instance with a view.
         let ready = |ix: &usize| fleet.nodes[*ix].forwarder.view().is_some();
-        let listed: Vec<_> = self.listed.iter().copied().filter(ready).collect();
-        let place = match self.spread {
-            Spread::Packets => fleet.random(listed.len() as u64) as usize,
-            Spread::Flows => rank(&self.flows[ix].key, &listed),
+        let instances: Vec<_> = self.instances.iter().copied().filter(ready).collect();
+        let position = match self.distribution {
+            Distribution::PerPacket => fleet.random(instances.len() as u64) as usize,
+            Distribution::PerFlow => pick_instance(&self.flows[ix].key, &instances),
         };
-        let instance = listed[place];
-        self.flows[ix].trace.push(Step::Sent(fleet.now, part, instance));
+        let instance = instances[position];
+        self.flows[ix].trace.push(Step::Sent(fleet.now, kind, instance));
         fleet.receive(instance, &packet);
-        self.collect(fleet);
+        self.record_arrivals(fleet);
     }
 
-    /// Looks where packets have gone.
-    pub fn collect(&mut self, fleet: &mut Fleet) {
+    /// Records which targets the forwarded packets have reached.
+    pub fn record_arrivals(&mut self, fleet: &mut Fleet) {
         for (target, bytes) in std::mem::take(&mut fleet.packets) {
             let Ok(packet) = medlarspur_lib::packet::Packet::parse(&bytes) else { continue };
             let Some(&ix) = self.index.get(&packet.key()) else { continue };
@@ -146,8 +152,8 @@
         fleet.answers.clear();
     }
 
-    /// How many flows are broken. Prints the first of them.
-    pub fn broken(&self) -> usize {
+    /// Returns the number of broken flows, and prints the first of them.
+    pub fn count_broken(&self) -> usize {
         let broken: Vec<_> = self.flows.iter().filter(|flow| flow.broken).collect();
         if let Some(first) = broken.first() {
             println!("{first:?}");
@@ -156,20 +162,20 @@
     }
 }
 
-/// The instance of a flow in a fabric that hashes flows: the best by rendezvous
-/// hash, so that a change of the list moves few flows.
-fn rank(key: &FlowKey, listed: &[usize]) -> usize {
+/// Returns the position in `instances` of a flow's instance by rendezvous hashing,
+/// with which a change of the list moves few flows.
+fn pick_instance(key: &FlowKey, instances: &[usize]) -> usize {
     let flow = u64::from(u32::from(*key.caller.ip())) << 16 | u64::from(key.caller.port());
     let score = |instance: usize| {
         let mixed = (flow ^ (instance as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15))
             .wrapping_mul(0xbf58_476d_1ce4_e5b9);
         (mixed ^ mixed >> 31).wrapping_mul(0x94d0_49bb_1331_11eb)
     };
-    (0..listed.len()).max_by_key(|&place| score(listed[place])).unwrap_or(0)
+    (0..instances.len()).max_by_key(|&position| score(instances[position])).unwrap_or(0)
 }
 
-/// A bare TCP segment of a caller.
-pub fn segment(key: &FlowKey, part: Part) -> Vec<u8> {
+/// Builds a TCP segment of a caller without options and data.
+pub fn segment(key: &FlowKey, kind: SegmentKind) -> Vec<u8> {
     let mut bytes = vec![0; 40];
     bytes[0] = 0x45;
     bytes[3] = 40;
@@ -180,10 +186,10 @@
     bytes[20..22].copy_from_slice(&key.caller.port().to_be_bytes());
     bytes[22..24].copy_from_slice(&key.service.port().to_be_bytes());
     bytes[32] = 0x50;
-    bytes[33] = match part {
-        Part::Open => 0x02,
-        Part::Middle => 0x10,
-        Part::Close => 0x11,
+    bytes[33] = match kind {
+        SegmentKind::Open => 0x02,
+        SegmentKind::Continue => 0x10,
+        SegmentKind::Close => 0x11,
     };
     bytes
 }
--- a/testutils/tests/test_path.rs
+++ b/testutils/tests/test_path.rs
@@ -1,4 +1,4 @@
-//! The whole path over sockets, with plain relays in the place of instances.
+//! Tests of the whole path over sockets, with stateless relays in place of instances.
 
 use medlarspur_lib::{
     bundle::{Bundle, Class, TargetState},
@@ -6,11 +6,11 @@
 };
 use medlarspur_testutils::{
     caller::{Callers, Settings, Stream},
-    client::Patience,
+    client::Timeouts,
     fabric::{self, Fabric},
     layout::{Layout, ServiceLayout, TargetLayout},
-    list::{Listed, ListedState},
-    packet::Ends,
+    list::{ListedInstance, ListedState},
+    packet::PacketHeader,
     profile::Profile,
     report::Report,
     spread::Mode,
@@ -23,8 +23,8 @@
 };
 
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(10, 70, 0, 1);
-/// For work that has to complete, however busy the machine is.
-const PATIENT: Patience = Patience { opening: Millis::secs(60), silence: Millis::secs(60) };
+/// Timeouts for work that must complete even on a busy machine.
+const PATIENT: Timeouts = Timeouts { handshake: Millis::secs(60), idle: Millis::secs(60) };
 const PORTS: [(u16, Class); 3] = [(1, Class::Feed), (2, Class::Request), (3, Class::Upload)];
 
 pub fn targets(fabric: &Fabric) -> Targets {
@@ -32,22 +32,22 @@
     Targets::start(profiles.to_vec(), fabric.returns).unwrap()
 }
 
-/// An instance that picks the target by the caller's port and keeps no state.
-pub fn relay(name: &str, targets: &Targets) -> Listed {
+/// Starts a relay in place of an instance, which picks the target by the caller's port.
+pub fn relay(name: &str, targets: &Targets) -> ListedInstance {
     let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(packets) = socket.local_addr().unwrap() else { unreachable!() };
     let addrs = targets.list.iter().map(|running| running.addr).collect::<Vec<_>>();
     thread::spawn(move || {
         let mut buffer = [0; 2048];
         while let Ok((len, _)) = socket.recv_from(&mut buffer) {
-            if let Some(ends) = Ends::parse(&buffer[..len]) {
-                let addr = addrs[usize::from(ends.src.port()) % addrs.len()];
+            if let Some(header) = PacketHeader::parse(&buffer[..len]) {
+                let addr = addrs[usize::from(header.src.port()) % addrs.len()];
                 let _ = socket.send_to(&buffer[..len], addr);
             }
         }
     });
     let (name, domain, state) = (name.into(), "lozenets".into(), ListedState::Live);
-    Listed { name, domain, state, packets, questions: packets, control: packets }
+    ListedInstance { name, domain, state, packets, questions: packets, control: packets }
 }
 
 pub fn stream(port: u16, class: Class, total: u64) -> Stream {
@@ -56,10 +56,10 @@
     Stream { service, class, remote, rate: 200.0, total, size: 30_000, hold: 600_000 }
 }
 
-/// Calls until all streams are opened, then ends in an orderly way.
-pub fn call(fabric: &Fabric, streams: Vec<Stream>, patience: Patience) -> Report {
+/// Runs callers until all work of the streams was started, then stops them.
+pub fn call(fabric: &Fabric, streams: Vec<Stream>, timeouts: Timeouts) -> Report {
     let all = streams.iter().map(|stream| stream.total).sum::<u64>();
-    let settings = Settings { patience, ..Settings::new(fabric.callers) };
+    let settings = Settings { timeouts, ..Settings::new(fabric.callers) };
     let callers = Callers::start(settings, streams).unwrap();
     let opened = || callers.report().iter().map(|(_, _, row)| row.opened).sum::<u64>();
     for _ in 0..2000 {
@@ -85,21 +85,21 @@
     let load = ureq::get(format!("http://{}/load", targets.list[0].probe)).call().unwrap();
     let load = load.into_body().read_to_string().unwrap();
     assert!(load.contains(r#""slots":0"#), "{load}");
-    let runs = targets.list.iter().map(|running| running.seen().runs.len()).sum::<usize>();
+    let runs = targets.list.iter().map(|running| running.counts().runs.len()).sum::<usize>();
     assert_eq!(runs, 40);
 }
 
-/// A target's host loses power while it holds feeds and requests. Callers of
-/// that target get no answer; those of the other one notice nothing.
+/// The host of a target loses power. Callers of that target must get no answer;
+/// those of the other target must not be affected.
 #[test]
 fn dead_target_answers_nobody() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Hash)).unwrap();
     let targets = targets(&fabric);
     fabric.set_list(vec![relay("x", &targets)]);
-    targets.list[0].behave(Behaviour { dead: true, ..Behaviour::default() });
+    targets.list[0].set_behaviour(Behaviour { dead: true, ..Behaviour::default() });
 
-    let patience = Patience { opening: Millis::secs(2), ..Patience::default() };
-    let report = call(&fabric, vec![stream(2, Class::Request, 40)], patience);
+    let timeouts = Timeouts { handshake: Millis::secs(2), ..Timeouts::default() };
+    let report = call(&fabric, vec![stream(2, Class::Request, 40)], timeouts);
 
     let (_, _, row) = report.iter().next().unwrap();
     assert_eq!(row.completed + row.unanswered, 40, "{row:?}");
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn layout_is_a_bundle_without_faults() {
+fn layout_gives_a_valid_bundle() {
     let target = TargetLayout {
         name: "a".into(),
         domain: "lozenets".into(),
