--- a/cli/src/commands/mod.rs
+++ b/cli/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file a command.
+//! The commands, one file each.
 
 mod bundle_check;
 mod bundle_diff;
@@ -11,14 +11,14 @@
 mod top;
 
 use crate::{
-    error::{Code, CommandError, FaultsSnafu, KeySnafu, ReadSnafu},
+    error::{Code, CommandError, FaultsSnafu, InvalidKeySnafu, ReadSnafu},
     flags::{BundleCmd, KeyCmd, MedlarspurCmd},
 };
 use medlarspur_lib::bundle::{Bundle, KeyError, strip_signature};
 use snafu::ResultExt;
 use std::{fs, path::Path, str::FromStr};
 
-/// Runs the command that the command line names.
+/// Runs a command.
 pub fn run(command: MedlarspurCmd) -> Result<Code, CommandError> {
     match command {
         MedlarspurCmd::Key(key) => match key.subcommand {
@@ -46,5 +46,5 @@
 }
 
 fn read_key<T: FromStr<Err = KeyError>>(path: &Path) -> Result<T, CommandError> {
-    read(path)?.parse().context(KeySnafu { path })
+    read(path)?.parse().context(InvalidKeySnafu { path })
 }
--- a/operator/src/meters/counter.rs
+++ b/operator/src/meters/counter.rs
@@ -1,4 +1,4 @@
-//! Counters, each read at a scrape from wherever it is counted.
+//! Counters, whose values are read at a scrape from the place where they are kept.
 
 use super::Family;
 use medlarspur_lib::collections::Map;
@@ -11,14 +11,14 @@
     atomic::{AtomicU64, Ordering},
 };
 
-/// Reads the value of one series.
-pub(super) type Read = Box<dyn Fn() -> u64 + Send + Sync>;
+/// Function that returns the value of one series.
+pub(super) type ReadValue = Box<dyn Fn() -> u64 + Send + Sync>;
 
-/// A counter of one series. Cheap to clone and to add to from any thread.
+/// Counter of one series. Cloning it and adding to it is cheap on any thread.
 #[derive(Clone, Debug, Default)]
-pub struct Count(Arc<AtomicU64>);
+pub struct Counter(Arc<AtomicU64>);
 
-impl Count {
+impl Counter {
     /// Adds `amount`.
     pub fn add(&self, amount: u64) {
         self.0.fetch_add(amount, Ordering::Relaxed);
@@ -29,43 +29,44 @@
     }
 }
 
-/// The series of one family, by label.
-type Series = Arc<Mutex<Vec<(&'static str, Read)>>>;
+/// The series of one family, each with its label.
+type Series = Arc<Mutex<Vec<(&'static str, ReadValue)>>>;
 
-/// All counters of an instance.
+/// All counters of an instance. `handles` holds those that are kept here.
 pub(super) struct Counters {
     families: Map<Family, Series>,
-    counts: Mutex<Map<(Family, &'static str), Count>>,
+    handles: Mutex<Map<(Family, &'static str), Counter>>,
 }
 
 impl Counters {
     pub(super) fn new(meter: &Meter) -> Counters {
-        let families = Family::ALL.into_iter().map(|family| (family, register(meter, family)));
-        Counters { families: families.collect(), counts: Mutex::default() }
+        let families =
+            Family::ALL.into_iter().map(|family| (family, register_family(meter, family)));
+        Counters { families: families.collect(), handles: Mutex::default() }
     }
 
-    pub(super) fn count(&self, family: Family, label: &'static str) -> Count {
-        let mut counts = lock(&self.counts);
-        if let Some(count) = counts.get(&(family, label)) {
-            return count.clone();
+    pub(super) fn counter(&self, family: Family, label: &'static str) -> Counter {
+        let mut handles = lock(&self.handles);
+        if let Some(counter) = handles.get(&(family, label)) {
+            return counter.clone();
         }
-        let count = Count::default();
-        counts.insert((family, label), count.clone());
-        let read = count.clone();
+        let counter = Counter::default();
+        handles.insert((family, label), counter.clone());
+        let read = counter.clone();
         self.observe(family, label, Box::new(move || read.get()));
-        count
+        counter
     }
 
-    pub(super) fn observe(&self, family: Family, label: &'static str, read: Read) {
+    pub(super) fn observe(&self, family: Family, label: &'static str, read: ReadValue) {
         lock(&self.families[&family]).push((label, read));
     }
 }
 
-fn register(meter: &Meter, family: Family) -> Series {
+fn register_family(meter: &Meter, family: Family) -> Series {
     let series = Series::default();
-    let shown = series.clone();
+    let registered = series.clone();
     let observe = move |observer: &dyn AsyncInstrument<u64>| {
-        for (label, read) in lock(&shown).iter() {
+        for (label, read) in lock(&registered).iter() {
             observer.observe(read(), &[KeyValue::new(family.label(), *label)]);
         }
     };
@@ -77,7 +78,7 @@
     series
 }
 
-/// A panic elsewhere leaves the numbers whole, so they are still shown.
+/// Locks a mutex, poisoned or not. A panic in another thread leaves the values intact.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/operator/src/meters/forwarder.rs
+++ b/operator/src/meters/forwarder.rs
@@ -1,14 +1,13 @@
-//! Shows what the packet path counts.
+//! Exports the counters of the packet path.
 //!
-//! The packet thread counts in plain numbers of its own and publishes copies;
-//! the metrics read the copies at a scrape, so that counting costs the packet
-//! path nothing that other threads could slow down.
+//! The packet thread counts in plain integers of its own and publishes copies. A scrape
+//! reads the copies, so other threads can't slow down counting.
 
 use super::{Family, Meters};
 use medlarspur_lib::{forwarder::Counters, packet::PacketError, question::QuestionError};
 use std::sync::Arc;
 
-/// One series and where its value is found.
+/// Family and label of a series, and the function that reads its value.
 type Series = (Family, &'static str, fn(&Counters) -> u64);
 
 const SERIES: [Series; 20] = [
@@ -35,32 +34,34 @@
 ];
 
 impl Meters {
-    /// Shows the counters of the packet path, read by `read` at each scrape.
-    pub fn forwarder(&self, read: impl Fn() -> Arc<Counters> + Send + Sync + 'static) {
+    /// Exports the counters of the packet path. Each scrape calls `read` for them.
+    pub fn observe_forwarder(&self, read: impl Fn() -> Arc<Counters> + Send + Sync + 'static) {
         let read = Arc::new(read);
         for (family, label, value) in SERIES {
             let read = read.clone();
-            self.observe(family, label, move || value(&read()));
+            self.observe_counter(family, label, move || value(&read()));
         }
         for error in PacketError::ALL {
             let read = read.clone();
-            self.observe(Family::Drops, error.label(), move || read().malformed[error as usize]);
+            self.observe_counter(Family::Drops, error.label(), move || {
+                read().malformed[error as usize]
+            });
         }
         for error in QuestionError::ALL {
             let read = read.clone();
-            self.observe(Family::Drops, foreign(error), move || {
+            self.observe_counter(Family::Drops, question_error_label(error), move || {
                 read().refused_datagrams[error as usize]
             });
         }
-        let (taken, slept) = (read.clone(), read);
-        self.observe(Family::Messages, "advert-taken", move || taken().adverts);
-        self.observe(Family::Pauses, "slept", move || slept().slept);
+        let (adverts, sleeps) = (read.clone(), read);
+        self.observe_counter(Family::Messages, "advert-taken", move || adverts().adverts);
+        self.observe_counter(Family::Pauses, "slept", move || sleeps().slept);
     }
 }
 
-/// The reason of a datagram of a peer that is refused; those of callers'
-/// packets are other reasons.
-fn foreign(error: QuestionError) -> &'static str {
+/// Returns the drop reason of a refused datagram from a peer. It differs from the reasons
+/// for packets of callers.
+fn question_error_label(error: QuestionError) -> &'static str {
     match error {
         QuestionError::Length => "question-length",
         QuestionError::Checksum => "question-checksum",
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -1,4 +1,4 @@
-//! The thread that serves operators.
+//! The HTTP server and its thread.
 
 use crate::{
     meters::Meters,
@@ -23,110 +23,110 @@
     time::Duration,
 };
 
-/// Log targets of rocket and below. Their lines are no changes of state, so a
-/// logger filters them out.
-pub const QUIET_TARGETS: [&str; 4] = ["rocket", "_", "hyper", "opentelemetry"];
+/// Log targets of rocket and its dependencies. Loggers filter them out, since their lines
+/// don't report changes of an instance's state.
+pub const SILENCED_LOG_TARGETS: [&str; 4] = ["rocket", "_", "hyper", "opentelemetry"];
 
-/// How long binding may take before the start counts as failed.
-const START_LIMIT: Duration = Duration::from_secs(10);
-/// Seconds that answers under way have at a shutdown; they are short.
-const GRACE: u32 = 1;
+/// Maximum time to bind the address.
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Seconds that requests in flight have to finish at a shutdown. Responses are short.
+const SHUTDOWN_GRACE: u32 = 1;
 
-/// Why operators can't be served.
+/// Error of starting the server.
 #[derive(Debug, Snafu)]
 pub enum OperatorError {
-    /// The system gives no thread.
-    #[snafu(display("the operators' thread can't be started"))]
+    /// The thread or its runtime can't be started.
+    #[snafu(display("can't start the thread that serves operators"))]
     Thread {
-        /// What the system says.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The address can't be bound, or rocket refuses its settings.
-    #[snafu(display("operators can't be served at {address}: {detail}"))]
+    /// The address can't be bound, or rocket rejects the settings.
+    #[snafu(display("can't serve operators at {address}: {detail}"))]
     Launch {
-        /// The address of the settings.
+        /// The configured address.
         address: SocketAddrV4,
-        /// What rocket says.
+        /// Rocket's error.
         detail: String,
     },
-    /// Rocket says neither that it runs nor that it doesn't.
-    #[snafu(display("serving operators at {address} did not start in time"))]
-    Late {
-        /// The address of the settings.
+    /// Rocket reported neither a start nor an error in time.
+    #[snafu(display("the server for operators at {address} did not start in time"))]
+    StartTimeout {
+        /// The configured address.
         address: SocketAddrV4,
-        /// What the wait ended by.
+        /// Why the wait ended.
         source: RecvTimeoutError,
     },
 }
 
-/// What the thread says once.
-type Start = Result<(SocketAddr, Shutdown), OperatorError>;
+/// Result of the start, which the thread sends once.
+type StartResult = Result<(SocketAddr, Shutdown), OperatorError>;
 
-/// The running server; it stops when this is dropped.
+/// The running server. It stops when this is dropped.
 #[derive(Debug)]
-pub struct Operator {
+pub struct OperatorServer {
     address: SocketAddr,
     shutdown: Option<Shutdown>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Operator {
-    /// Serves at `address` on a thread of its own. Set up a logger first, or
+impl OperatorServer {
+    /// Serves at `address` on a thread of its own. Callers set up a logger first, or
     /// rocket installs its own.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn start(
         address: SocketAddrV4,
         source: Arc<dyn Source>,
         meters: Meters,
-    ) -> Result<Operator, OperatorError> {
-        Operator::launch(address, move |rocket| {
-            rocket.manage(source).manage(meters).mount("/", routes::all())
+    ) -> Result<OperatorServer, OperatorError> {
+        OperatorServer::launch(address, move |rocket| {
+            rocket.manage(source).manage(meters).mount("/", routes::table_routes())
         })
     }
 
-    /// Serves an instance where marks are used, as [`start`](Self::start) does.
+    /// Like [`start`](Self::start), for an instance at a site whose fabric returns marks.
     ///
     /// # Errors
     ///
-    /// Fails if the address can't be bound or the system gives no thread.
+    /// Fails if the address can't be bound or the thread can't be started.
     pub fn start_marked(
         address: SocketAddrV4,
         source: Arc<dyn MarkedSource>,
         meters: Meters,
-    ) -> Result<Operator, OperatorError> {
-        Operator::launch(address, move |rocket| {
-            rocket.manage(source).manage(meters).mount("/", routes::marked())
+    ) -> Result<OperatorServer, OperatorError> {
+        OperatorServer::launch(address, move |rocket| {
+            rocket.manage(source).manage(meters).mount("/", routes::marked_routes())
         })
     }
 
     fn launch(
         address: SocketAddrV4,
         mount: impl FnOnce(Rocket<Build>) -> Rocket<Build> + Send + 'static,
-    ) -> Result<Operator, OperatorError> {
-        let (say, hear) = mpsc::channel();
+    ) -> Result<OperatorServer, OperatorError> {
+        let (sender, receiver) = mpsc::channel();
         let thread = thread::Builder::new()
             .name("operator".to_owned())
-            .spawn(move || serve(address, mount, &say))
+            .spawn(move || serve(address, mount, &sender))
             .context(ThreadSnafu)?;
-        let start = hear.recv_timeout(START_LIMIT).context(LateSnafu { address })?;
+        let start = receiver.recv_timeout(START_TIMEOUT).context(StartTimeoutSnafu { address })?;
         let (address, shutdown) = start?;
-        Ok(Operator { address, shutdown: Some(shutdown), thread: Some(thread) })
+        Ok(OperatorServer { address, shutdown: Some(shutdown), thread: Some(thread) })
     }
 
-    /// The address that was bound, with its actual port.
+    /// Returns the bound address, with the actual port.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Stops serving and waits for the thread.
     pub fn stop(mut self) {
-        self.end();
+        self.shut_down();
     }
 
-    fn end(&mut self) {
+    fn shut_down(&mut self) {
         if let Some(shutdown) = self.shutdown.take() {
             shutdown.notify();
         }
@@ -138,46 +138,46 @@
     }
 }
 
-impl Drop for Operator {
+impl Drop for OperatorServer {
     fn drop(&mut self) {
-        self.end();
+        self.shut_down();
     }
 }
 
 fn serve(
     address: SocketAddrV4,
     mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
-    say: &Sender<Start>,
+    sender: &Sender<StartResult>,
 ) {
     let runtime = match Builder::new_current_thread().enable_all().build().context(ThreadSnafu) {
         Ok(runtime) => runtime,
-        Err(error) => return tell(say, Err(error)),
+        Err(error) => return send_start(sender, Err(error)),
     };
-    let rocket = build(address, mount, say.clone());
+    let rocket = build_rocket(address, mount, sender.clone());
     if let Err(error) = runtime.block_on(rocket.launch()) {
-        // Reading the kind also keeps rocket's error from panicking on drop.
+        // Reading the kind also prevents rocket's error from panicking on drop.
         let detail = error.kind().to_string();
-        tell(say, Err(OperatorError::Launch { address, detail }));
+        send_start(sender, Err(OperatorError::Launch { address, detail }));
     }
 }
 
-fn build(
+fn build_rocket(
     address: SocketAddrV4,
     mount: impl FnOnce(Rocket<Build>) -> Rocket<Build>,
-    say: Sender<Start>,
+    sender: Sender<StartResult>,
 ) -> Rocket<Build> {
     let started = AdHoc::on_liftoff("started", move |rocket| {
         Box::pin(async move {
             let config = rocket.config();
             let address = SocketAddr::new(config.address, config.port);
-            tell(&say, Ok((address, rocket.shutdown())));
+            send_start(&sender, Ok((address, rocket.shutdown())));
         })
     });
     mount(rocket::custom(config(address))).register("/", routes::catchers()).attach(started)
 }
 
-/// Signals are the daemon's: if rocket took SIGTERM, the instance would stop
-/// answering its operators while it still hands over.
+/// Returns rocket's configuration. Signals are left to the daemon: if rocket handled
+/// SIGTERM, the instance would stop serving operators while it still drains.
 fn config(address: SocketAddrV4) -> Config {
     let mut config = Config {
         address: (*address.ip()).into(),
@@ -190,15 +190,15 @@
     };
     config.shutdown.ctrlc = false;
     config.shutdown.signals.clear();
-    config.shutdown.grace = GRACE;
-    config.shutdown.mercy = GRACE;
+    config.shutdown.grace = SHUTDOWN_GRACE;
+    config.shutdown.mercy = SHUTDOWN_GRACE;
     config
 }
 
-/// Nobody hears it once the start took too long; the server then ends with
-/// its process, which failed to start.
-fn tell(say: &Sender<Start>, start: Start) {
-    if say.send(start).is_err() {
+/// Sends the result of the start. After [`START_TIMEOUT`] nothing receives it; the server
+/// then ends together with its process, which failed to start.
+fn send_start(sender: &Sender<StartResult>, start: StartResult) {
+    if sender.send(start).is_err() {
         log::error!("operator: the server started after its limit");
     }
 }
--- a/peer/src/server.rs
+++ b/peer/src/server.rs
@@ -1,10 +1,10 @@
-//! Takes batches from peers.
+//! Receives batches from peers.
 
 use crate::{
-    MAX_BATCH,
-    counters::{Live, bump},
+    MAX_BATCH_BYTES,
+    counters::{LiveCounters, increment},
     decode,
-    error::{MalformedSnafu, OversizeSnafu, Refused, SiteSnafu},
+    error::{BatchError, MalformedSnafu, OversizeSnafu, SiteSnafu},
     generated::{Batch, peer_server},
 };
 use medlarspur_lib::{ids::SiteName, message::Message};
@@ -13,56 +13,57 @@
 use std::sync::{Arc, mpsc::SyncSender};
 use tonic::{Request, Response, Status};
 
-/// Hands what peers say to the control thread.
+/// Passes the messages of peers to the control thread.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) site: SiteName,
     pub(crate) inbox: SyncSender<Message>,
-    pub(crate) counters: Arc<Live>,
+    pub(crate) counters: Arc<LiveCounters>,
 }
 
 #[tonic::async_trait]
 impl peer_server::Peer for Server {
     async fn exchange(&self, request: Request<Batch>) -> Result<Response<Batch>, Status> {
-        match self.take(request.into_inner()) {
+        match self.accept(request.into_inner()) {
             Ok(()) => Ok(Response::new(Batch::default())),
-            Err(refused) => Err(self.refuse(&refused)),
+            Err(error) => Err(self.refuse(&error)),
         }
     }
 }
 
 impl Server {
-    /// Takes all of a batch or nothing of it.
-    fn take(&self, batch: Batch) -> Result<(), Refused> {
+    /// Accepts a batch, or refuses all of it if a message is invalid.
+    fn accept(&self, batch: Batch) -> Result<(), BatchError> {
         ensure!(batch.site == self.site.as_str(), SiteSnafu);
         let bytes = batch.encoded_len();
-        ensure!(bytes <= MAX_BATCH, OversizeSnafu { bytes });
+        ensure!(bytes <= MAX_BATCH_BYTES, OversizeSnafu { bytes });
         for envelope in &batch.messages {
-            self.counters.received(envelope);
+            self.counters.count_received(envelope);
         }
         let messages = batch.messages.into_iter().map(decode).collect::<Result<Vec<_>, _>>();
         for message in messages.context(MalformedSnafu)? {
             if self.inbox.try_send(message).is_err() {
-                bump(&self.counters.unread);
+                increment(&self.counters.unread);
             }
         }
         Ok(())
     }
 
-    fn refuse(&self, refused: &Refused) -> Status {
+    /// Counts a refused batch and returns its gRPC status.
+    fn refuse(&self, error: &BatchError) -> Status {
         let counters = &self.counters;
-        match refused {
-            Refused::Site => {
-                bump(&counters.foreign);
-                Status::permission_denied(refused.to_string())
+        match error {
+            BatchError::Site => {
+                increment(&counters.foreign);
+                Status::permission_denied(error.to_string())
             }
-            Refused::Oversize { .. } => {
-                bump(&counters.oversize);
-                Status::out_of_range(refused.to_string())
+            BatchError::Oversize { .. } => {
+                increment(&counters.oversize);
+                Status::out_of_range(error.to_string())
             }
-            Refused::Malformed { .. } => {
-                bump(&counters.malformed);
-                Status::invalid_argument(refused.to_string())
+            BatchError::Malformed { .. } => {
+                increment(&counters.malformed);
+                Status::invalid_argument(error.to_string())
             }
         }
     }
--- a/peer/tests/test_connections.rs
+++ b/peer/tests/test_connections.rs
@@ -1,9 +1,9 @@
-//! Real connections over the loopback.
+//! Connections over the loopback.
 
-use crate::fixtures::{Authority, eventually, heartbeat, refusing, start};
+use crate::fixtures::{Authority, eventually, heartbeat, refusing_address, start_peer};
 use medlarspur_lib::message::{Message, PieceRequest, Pieces};
 use medlarspur_peer::{
-    MAX_BATCH,
+    MAX_BATCH_BYTES,
     generated::{Batch, Envelope, Heartbeat, envelope, peer_client::PeerClient},
 };
 use std::time::Duration;
@@ -13,7 +13,7 @@
 
 #[test]
 fn messages_arrive_over_plain_connections() {
-    let (a, b) = (start("gromovestnik", None), start("gromovestnik", None));
+    let (a, b) = (start_peer("gromovestnik", None), start_peer("gromovestnik", None));
 
     a.send(b.addr(), heartbeat(3));
 
@@ -25,8 +25,8 @@
 #[test]
 fn messages_arrive_over_mutual_tls() {
     let authority = Authority::new();
-    let a = start("gromovestnik", Some(authority.issue()));
-    let b = start("gromovestnik", Some(authority.issue()));
+    let a = start_peer("gromovestnik", Some(authority.issue()));
+    let b = start_peer("gromovestnik", Some(authority.issue()));
 
     a.send(b.addr(), heartbeat(3));
     b.send(a.addr(), heartbeat(2));
@@ -35,27 +35,27 @@
     assert_eq!(a.recv_timeout(WAIT), Some(heartbeat(2)));
 }
 
-/// Guards against a stranger without a certificate of the site who is heard.
+/// Guards against accepting messages from a sender without a certificate of the site.
 #[test]
-fn strangers_are_not_heard_over_tls() {
+fn untrusted_peers_are_refused_over_tls() {
     let authority = Authority::new();
-    let b = start("gromovestnik", Some(authority.issue()));
-    let mut forged = Authority::new().issue();
-    forged.authority = authority.issue().authority;
-    let stranger = start("gromovestnik", Some(forged));
-    let bare = start("gromovestnik", None);
+    let b = start_peer("gromovestnik", Some(authority.issue()));
+    let mut untrusted_keys = Authority::new().issue();
+    untrusted_keys.authority = authority.issue().authority;
+    let untrusted = start_peer("gromovestnik", Some(untrusted_keys));
+    let plain = start_peer("gromovestnik", None);
 
-    stranger.send(b.addr(), heartbeat(0));
-    bare.send(b.addr(), heartbeat(0));
+    untrusted.send(b.addr(), heartbeat(0));
+    plain.send(b.addr(), heartbeat(0));
 
-    assert!(eventually(|| stranger.counters().failed == 1 && bare.counters().failed == 1));
+    assert!(eventually(|| untrusted.counters().failed == 1 && plain.counters().failed == 1));
     assert_eq!(b.try_recv(), None);
 }
 
-/// Guards against messages of another site that are taken for those of this one.
+/// Guards against accepting messages from another site.
 #[test]
-fn another_site_is_refused_and_counted() {
-    let (a, b) = (start("katsastusaikavirasto", None), start("gromovestnik", None));
+fn batch_from_another_site_is_refused_and_counted() {
+    let (a, b) = (start_peer("katsastusaikavirasto", None), start_peer("gromovestnik", None));
 
     a.send(b.addr(), heartbeat(0));
 
@@ -63,6 +63,7 @@
     assert_eq!(b.try_recv(), None);
 }
 
+/// Sends a batch. Returns the status code of the call.
 fn exchange(to: std::net::SocketAddrV4, batch: Batch) -> Code {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
@@ -76,10 +77,11 @@
     })
 }
 
-/// A peer of a broken version sends a heartbeat without a sender.
+/// Guards against accepting an invalid message, such as a heartbeat without a sender from a
+/// faulty version.
 #[test]
 fn malformed_batch_is_refused_and_counted() {
-    let b = start("gromovestnik", None);
+    let b = start_peer("gromovestnik", None);
     let broken = Envelope { message: Some(envelope::Message::Heartbeat(Heartbeat::default())) };
     let batch = Batch { site: "gromovestnik".into(), messages: vec![broken] };
 
@@ -90,11 +92,11 @@
     assert_eq!(b.try_recv(), None);
 }
 
-/// Guards against a batch that takes the memory which flows need.
+/// Guards against batches so large that they take the memory that flows need.
 #[test]
 fn oversize_batch_is_refused_and_counted() {
-    let b = start("gromovestnik", None);
-    let text = "x".repeat(MAX_BATCH + 1);
+    let b = start_peer("gromovestnik", None);
+    let text = "x".repeat(MAX_BATCH_BYTES + 1);
     let pieces = Pieces { sender: b.addr(), digest: [0; 32], pieces: vec![(0, text.into())] };
     let messages = vec![medlarspur_peer::encode(&Message::Pieces(pieces))];
 
@@ -105,18 +107,19 @@
     assert_eq!(b.try_recv(), None);
 }
 
-/// Guards against a network thread that waits for one peer while all others seem silent.
+/// Guards against a network thread that waits for an unreachable peer, so that messages to
+/// the others are delayed.
 #[test]
 fn unreachable_peer_does_not_delay_others() {
-    let (a, b) = (start("gromovestnik", None), start("gromovestnik", None));
-    let (_held, gone) = refusing();
+    let (a, b) = (start_peer("gromovestnik", None), start_peer("gromovestnik", None));
+    let (_stream, unreachable) = refusing_address();
     let request = Message::PieceRequest(PieceRequest {
         sender: a.addr(),
         digest: [1; 32],
         runs: vec![(0, 9)],
     });
 
-    a.send(gone, heartbeat(0));
+    a.send(unreachable, heartbeat(0));
     a.send(b.addr(), request.clone());
 
     assert_eq!(b.recv_timeout(WAIT), Some(request));
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -1,4 +1,4 @@
-//! Callers that are turned away hear it at once, over a real TCP stack.
+//! Tests that refused callers are informed at once, with a real TCP stack.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -11,18 +11,18 @@
     view::{Draft, PUBLISH_DELAY, TargetId, View},
 };
 use medlarspur_testutils::{
-    bundles::{REQUESTS, Site},
+    bundles::{REQUESTS, SiteBuilder},
     host::{Conn, Host, Stage},
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-const WORDS: &str = "HTTP/1.1 503 Busy\r\nRetry-After: {seconds}\r\n\r\n";
-const TOLD: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 007\r\n\r\n";
+const REFUSAL: &str = "HTTP/1.1 503 Busy\r\nRetry-After: {seconds}\r\n\r\n";
+const EXPECTED: &str = "HTTP/1.1 503 Busy\r\nRetry-After: 007\r\n\r\n";
 
-/// Turns everybody away for seven seconds.
-struct Closed;
+/// A gate that refuses all callers for seven seconds.
+struct RefuseAll;
 
-impl Gate for Closed {
+impl Gate for RefuseAll {
     fn open(&mut self, _: Millis, _: &Opening) -> Verdict {
         Verdict::Refuse { after: Millis::secs(7) }
     }
@@ -62,23 +62,23 @@
     fn send_advert(&mut self, _: &InstanceName, _: Advert) {}
 }
 
-/// Two instances before a closed gate, and a caller whose packets reach them
+/// Two instances that refuse all callers, and a caller whose packets reach them
 /// in turn.
 struct Scene {
-    instances: [Forwarder<Closed>; 2],
+    instances: [Forwarder<RefuseAll>; 2],
     caller: Host,
     sent: Sent,
     turn: usize,
 }
 
 impl Scene {
-    fn new(site: &Site) -> Scene {
+    fn new(site: &SiteBuilder) -> Scene {
         let instances = ["one", "two"].map(|name| instance(name, site));
         let caller = Host::new(Ipv4Addr::new(10, 0, 0, 1));
         Scene { instances, caller, sent: Sent::default(), turn: 0 }
     }
 
-    /// Lets packets go to and fro for a second.
+    /// Exchanges packets between caller and instances for a second.
     fn run(&mut self) {
         for now in (0..1_000).step_by(5).map(Millis) {
             for packet in self.caller.poll(now) {
@@ -99,39 +99,39 @@
     }
 }
 
-fn instance(name: &str, site: &Site) -> Forwarder<Closed> {
+fn instance(name: &str, site: &SiteBuilder) -> Forwarder<RefuseAll> {
     let mut draft = Draft::first(InstanceName::new(name), &site.bundle(), Millis(0));
     draft.advance(PUBLISH_DELAY);
-    let mut forwarder = Forwarder::new(Closed, 16);
+    let mut forwarder = Forwarder::new(RefuseAll, 16);
     forwarder.install(draft.commit().expect("a view"), PUBLISH_DELAY);
     forwarder
 }
 
-/// The site is overloaded and the bundle signs off words for that. Each packet
-/// of the caller reaches another instance, none of which remembers it. Without
-/// a common cookie the second would take the caller's packet for a flow of a
-/// target, and the caller would get a reset in place of when to come back.
+/// The site is overloaded and its bundle has a refusal text. The caller's packets
+/// reach different instances, none of which keeps state of a refused caller. Without
+/// a common SYN cookie the second instance would treat the packet as part of a flow
+/// at a target, and the caller would get a reset instead of the time to retry.
 #[test]
-fn a_caller_is_told_in_words_when_to_come_back() {
-    let mut scene = Scene::new(&Site::new(4, 2).refusal(WORDS));
+fn a_refused_caller_gets_the_refusal_text() {
+    let mut scene = Scene::new(&SiteBuilder::new(4, 2).refusal(REFUSAL));
 
     let conn = scene.call();
     scene.caller.send(conn, b"REQ 1\n");
     scene.run();
-    let told = scene.caller.recv(conn);
+    let received = scene.caller.recv(conn);
     scene.caller.close(conn);
     scene.run();
 
-    assert_eq!(String::from_utf8_lossy(&told), TOLD);
+    assert_eq!(String::from_utf8_lossy(&received), EXPECTED);
     assert_ne!(scene.caller.stage(conn), Stage::Broken);
     assert_eq!(scene.sent.forwarded, 0);
 }
 
-/// Without words a reset says at once that nothing was run; a caller that only
-/// heard silence would wait for its own time limit.
+/// Without a refusal text a reset must show at once that nothing was run. A caller
+/// without any answer would wait for its own timeout.
 #[test]
-fn a_caller_without_words_gets_a_reset_at_once() {
-    let mut scene = Scene::new(&Site::new(4, 2));
+fn a_refused_caller_gets_a_reset_without_refusal_text() {
+    let mut scene = Scene::new(&SiteBuilder::new(4, 2));
 
     let conn = scene.call();
 
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -1,4 +1,4 @@
-//! No packet reaches a target of another service.
+//! Tests that no packet reaches a target of another service.
 
 use medlarspur_lib::{
     bundle::Protocol,
@@ -9,13 +9,13 @@
     question::{Answer, Datagram, LookupResult, Question},
 };
 use medlarspur_testutils::{
-    bundles::{FEEDS, Site},
+    bundles::{FEEDS, SiteBuilder},
     fleet::{Fleet, Network},
-    traffic::{Part, segment},
+    traffic::{SegmentKind, segment},
 };
 use std::net::SocketAddrV4;
 
-/// What an instance sends.
+/// Packets and questions that an instance has sent.
 #[derive(Debug, Default)]
 struct Sent {
     packets: Vec<SocketAddrV4>,
@@ -43,12 +43,12 @@
     FlowKey { protocol: Protocol::Tcp, caller, service: FEEDS }
 }
 
-/// An instance that has slept asks where a feed goes, and a peer with a fault
-/// names a target of ingestion. Followed, a subscriber's acknowledgement would
-/// reach a host that takes it for a part of an upload.
+/// An instance that has slept asks for the target of a feed, and a faulty peer
+/// answers with a target of the ingest service. If the instance used the answer, a
+/// subscriber's acknowledgement would reach a host that takes it for part of an upload.
 #[test]
-fn a_wrong_answer_leads_to_no_other_service() {
-    let mut fleet = Fleet::new(4, 2, &Site::new(4, 4).bundle(), Network::default());
+fn a_wrong_answer_leads_to_no_target_of_another_service() {
+    let mut fleet = Fleet::new(4, 2, &SiteBuilder::new(4, 4).bundle(), Network::default());
     let now = fleet.now;
     let forwarder = &mut fleet.nodes[0].forwarder;
     let registry = forwarder.view().expect("a view").registry.clone();
@@ -56,13 +56,13 @@
     let wrong = registry.get(ingest.expect("a target")).key;
     let mut sent = Sent::default();
     forwarder.distrust(now);
-    forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
+    forwarder.handle_packet(now, &segment(&feed(), SegmentKind::Continue), &mut sent);
 
     let question = sent.questions[0].clone();
     let answer =
         Answer { flow: question.flow, nonce: question.nonce, result: LookupResult::Known(wrong) };
     forwarder.handle_datagram(now, FEEDS, Datagram::Answer(answer), &mut sent);
-    forwarder.handle_packet(now, &segment(&feed(), Part::Middle), &mut sent);
+    forwarder.handle_packet(now, &segment(&feed(), SegmentKind::Continue), &mut sent);
     let before = std::mem::take(&mut sent.packets);
     forwarder.tick(now + ASK_TIMEOUT, &mut sent);
 
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -1,6 +1,7 @@
-//! Several packet paths in one process and in virtual time, for tests of what
-//! they do together. Bundles, members and adverts reach each instance with a
-//! delay of its own; the protocols that carry them are tested by themselves.
+//! Simulates several instances in one process and in virtual time, to test how
+//! their packet paths work together. Bundles, members and adverts reach each
+//! instance after a simulated delay; the protocols that carry them are tested
+//! elsewhere.
 
 use medlarspur_lib::{
     bundle::Bundle,
@@ -19,40 +20,48 @@
     sync::Arc,
 };
 
-/// How often an instance does what is due.
+/// Time between two ticks of an instance.
 const TICK: Millis = Millis(5);
 
-/// How often histories are compared, like the heartbeats that carry digests.
+/// Time between two comparisons of histories; equal to the interval of the
+/// heartbeats, which carry digests.
 const ANTI_ENTROPY: Millis = Millis(1_000);
 
-/// How long a fleet has run when a test begins: longer than an instance is new
-/// to its peers.
+/// Time that a fleet runs before a test begins; longer than peers treat an
+/// instance as new.
 const WARM_UP: Millis = Millis(50_000);
 
-/// How the instances reach each other.
+/// Properties of the simulated network between instances.
 #[derive(Debug, Clone)]
 pub struct Network {
-    /// The time that a datagram or message takes.
+    /// Delay of datagrams and adverts.
     pub delay: Millis,
-    /// Of a thousand datagrams, how many are lost.
+    /// Number of datagrams lost per thousand.
     pub loss: u64,
-    /// How long it takes until the others know that an instance has gone.
+    /// Time until the other instances notice that an instance is gone.
     pub detection: Millis,
-    /// How long news of a bundle takes to an instance, at most.
-    pub news: Millis,
-    /// Seeds what is random.
+    /// Maximum time until an instance receives a new bundle or plan, and time until
+    /// it receives a change of members or a history.
+    pub update_delay: Millis,
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
 impl Default for Network {
     fn default() -> Network {
-        Network { delay: Millis(2), loss: 0, detection: Millis(3_000), news: Millis(400), seed: 1 }
+        Network {
+            delay: Millis(2),
+            loss: 0,
+            detection: Millis(3_000),
+            update_delay: Millis(400),
+            seed: 1,
+        }
     }
 }
 
-/// What travels between instances.
+/// A message to an instance.
 #[derive(Debug)]
-enum Mail {
+enum Message {
     Datagram(SocketAddrV4, Datagram),
     Advert(Advert),
     History(History),
@@ -62,66 +71,66 @@
 }
 
 #[derive(Debug)]
-struct Letter {
+struct Delivery {
     at: Millis,
     order: u64,
     to: usize,
-    mail: Mail,
+    message: Message,
 }
 
-impl PartialEq for Letter {
-    fn eq(&self, other: &Letter) -> bool {
+impl PartialEq for Delivery {
+    fn eq(&self, other: &Delivery) -> bool {
         self.cmp(other).is_eq()
     }
 }
 
-impl Eq for Letter {}
+impl Eq for Delivery {}
 
-impl PartialOrd for Letter {
-    fn partial_cmp(&self, other: &Letter) -> Option<std::cmp::Ordering> {
+impl PartialOrd for Delivery {
+    fn partial_cmp(&self, other: &Delivery) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Letter {
-    fn cmp(&self, other: &Letter) -> std::cmp::Ordering {
+impl Ord for Delivery {
+    fn cmp(&self, other: &Delivery) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
 }
 
-/// How an instance fares.
+/// State of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum State {
-    /// It works.
+    /// It is running.
     Up,
-    /// It works and has said that it leaves.
+    /// It is running and has announced that it leaves.
     Leaving,
-    /// It does nothing, and wakes later with what it knew.
+    /// It is suspended, and continues later with its old state.
     Frozen,
-    /// It is gone.
+    /// It has ended.
     Gone,
 }
 
-/// One instance.
+/// An instance.
 pub struct Node {
     /// Its packet path.
     pub forwarder: Forwarder<AdmitAll>,
-    /// Its control path, once it has a bundle.
+    /// Its control path; `None` before its first bundle.
     pub draft: Option<Draft>,
-    /// How it fares.
+    /// Its state.
     pub state: State,
-    /// In which side of a partition it is.
+    /// Side of a network partition that it is on.
     pub side: u8,
     member: Member,
-    woken: bool,
+    just_woken: bool,
 }
 
-/// What one round of an instance sends.
+/// Everything that one call to an instance sends.
 #[derive(Debug, Default)]
 struct Sent {
     packets: Vec<(SocketAddrV4, Vec<u8>)>,
     answers: Vec<Vec<u8>>,
-    asks: Vec<(SocketAddrV4, Datagram)>,
+    datagrams: Vec<(SocketAddrV4, Datagram)>,
     adverts: Vec<(InstanceName, Advert)>,
 }
 
@@ -135,7 +144,7 @@
     }
 
     fn send_to_peer(&mut self, peer: SocketAddrV4, datagram: Datagram) {
-        self.asks.push((peer, datagram));
+        self.datagrams.push((peer, datagram));
     }
 
     fn send_advert(&mut self, keeper: &InstanceName, advert: Advert) {
@@ -143,21 +152,22 @@
     }
 }
 
-/// The instances of a site.
+/// The simulated instances of a site.
 pub struct Fleet {
-    /// The instances, by the order in which they came.
+    /// The instances, in the order in which they were started.
     pub nodes: Vec<Node>,
     /// The virtual time.
     pub now: Millis,
-    /// Packets for targets since they were last taken.
+    /// Packets that instances sent to targets, until a test takes them.
     pub packets: Vec<(SocketAddrV4, Vec<u8>)>,
-    /// Packets made by instances for callers since they were last taken.
+    /// Packets that instances sent to callers, until a test takes them.
     pub answers: Vec<Vec<u8>>,
-    /// Bytes of questions, answers and adverts, with 28 for each UDP datagram.
-    pub control: u64,
+    /// Total bytes of questions, answers and adverts, with 28 bytes of headers for
+    /// each UDP datagram.
+    pub control_bytes: u64,
     network: Network,
     domains: u64,
-    letters: BinaryHeap<Reverse<Letter>>,
+    deliveries: BinaryHeap<Reverse<Delivery>>,
     order: u64,
     random: u64,
     bundle: Arc<Bundle>,
@@ -171,11 +181,11 @@
             now: Millis(0),
             packets: Vec::new(),
             answers: Vec::new(),
-            control: 0,
+            control_bytes: 0,
             random: network.seed.wrapping_mul(2) | 1,
             network,
             domains,
-            letters: BinaryHeap::new(),
+            deliveries: BinaryHeap::new(),
             order: 0,
             bundle: bundle.clone(),
         };
@@ -184,18 +194,18 @@
             fleet.install(ix, bundle.clone());
         }
         for ix in 0..count {
-            fleet.refresh(ix);
+            fleet.update_members(ix);
         }
         fleet.advance(WARM_UP);
         fleet
     }
 
-    /// Starts another instance; it learns bundle, members and history.
+    /// Starts another instance, which gets the bundle, members and histories. Returns its index.
     pub fn join(&mut self) -> usize {
         let ix = self.add();
         self.install(ix, self.bundle.clone());
-        self.refresh(ix);
-        self.tell_members(self.network.news);
+        self.update_members(ix);
+        self.announce_members(self.network.update_delay);
         ix
     }
 
@@ -217,56 +227,56 @@
             state: State::Up,
             side: 0,
             member,
-            woken: false,
+            just_woken: false,
         });
         ix
     }
 
-    /// Publishes a bundle; each instance hears of it at a moment of its own.
+    /// Publishes a bundle, which each instance receives after a random delay.
     pub fn publish(&mut self, bundle: &Arc<Bundle>) {
         self.bundle = bundle.clone();
         for ix in 0..self.nodes.len() {
-            let delay = Millis(self.random(self.network.news.0 + 1));
-            self.post(delay, ix, Mail::Bundle(bundle.clone()));
+            let delay = Millis(self.random(self.network.update_delay.0 + 1));
+            self.schedule(delay, ix, Message::Bundle(bundle.clone()));
         }
     }
 
-    /// Publishes a bundle that only the instances on one side can read.
+    /// Publishes a bundle that only the instances on one side receive.
     pub fn publish_on(&mut self, side: u8, bundle: &Arc<Bundle>) {
         for ix in
             (0..self.nodes.len()).filter(|&ix| self.nodes[ix].side == side).collect::<Vec<_>>()
         {
-            let delay = Millis(self.random(self.network.news.0 + 1));
-            self.post(delay, ix, Mail::Bundle(bundle.clone()));
+            let delay = Millis(self.random(self.network.update_delay.0 + 1));
+            self.schedule(delay, ix, Message::Bundle(bundle.clone()));
         }
     }
 
-    /// Publishes a plan; each instance on the side of its author hears of it
-    /// at a moment of its own.
-    pub fn plan(&mut self, plan: &ServicePlan) {
+    /// Publishes a plan, which each instance on the side of its author receives
+    /// after a random delay.
+    pub fn publish_plan(&mut self, plan: &ServicePlan) {
         let author = self.nodes.iter().find(|node| node.member.name == plan.author);
         let side = author.map_or(0, |node| node.side);
         for ix in 0..self.nodes.len() {
             if self.nodes[ix].side == side {
-                let delay = Millis(self.random(self.network.news.0 + 1));
-                self.post(delay, ix, Mail::Plan(plan.clone()));
+                let delay = Millis(self.random(self.network.update_delay.0 + 1));
+                self.schedule(delay, ix, Message::Plan(plan.clone()));
             }
         }
     }
 
-    /// Kills an instance without a word.
+    /// Kills an instance, which announces nothing.
     pub fn kill(&mut self, ix: usize) {
         self.nodes[ix].state = State::Gone;
-        self.tell_members(self.network.detection);
+        self.announce_members(self.network.detection);
     }
 
-    /// Tells an instance to leave; it works on until it is killed.
+    /// Makes an instance leave; it keeps running until it is killed.
     pub fn leave(&mut self, ix: usize) {
         self.nodes[ix].state = State::Leaving;
-        self.tell_members(self.network.news);
+        self.announce_members(self.network.update_delay);
     }
 
-    /// Ends an instance that leaves, as soon as it has told its keepers all.
+    /// Ends a leaving instance as soon as it has advertised all its exceptions.
     pub fn retire(&mut self, ix: usize) {
         while !self.nodes[ix].forwarder.has_advertised_all() {
             self.advance(Millis(50));
@@ -275,15 +285,15 @@
         self.kill(ix);
     }
 
-    /// Freezes an instance, or wakes it up.
+    /// Suspends or resumes an instance.
     pub fn freeze(&mut self, ix: usize, frozen: bool) {
         self.nodes[ix].state = if frozen { State::Frozen } else { State::Up };
-        self.nodes[ix].woken = !frozen;
-        self.tell_members(self.network.detection);
+        self.nodes[ix].just_woken = !frozen;
+        self.announce_members(self.network.detection);
     }
 
-    /// Anti-entropy: instances whose history differs from another's on their
-    /// side are told it.
+    /// Runs a round of anti-entropy: an instance whose history differs from that of
+    /// another on its side is sent the other's.
     fn exchange_history(&mut self) {
         let now = self.now;
         let known: Vec<_> = self
@@ -298,48 +308,49 @@
             let (side, digest) = (self.nodes[ix].side, draft.view().history_digest());
             let other = known.iter().find(|known| known.0 == side && known.1 != digest);
             for history in other.map(|known| known.2.clone()).unwrap_or_default() {
-                self.post(self.network.news, ix, Mail::History(history));
+                self.schedule(self.network.update_delay, ix, Message::History(history));
             }
         }
     }
 
-    /// Puts the instances on the sides that `side` names.
-    pub fn separate(&mut self, side: impl Fn(usize) -> u8) {
+    /// Partitions the network: puts each instance on the side that `side` returns
+    /// for its index.
+    pub fn partition(&mut self, side: impl Fn(usize) -> u8) {
         for (ix, node) in self.nodes.iter_mut().enumerate() {
             node.side = side(ix);
         }
-        self.tell_members(self.network.detection);
+        self.announce_members(self.network.detection);
     }
 
-    /// Ends all cuts; the sides find each other as fast as other news spreads.
+    /// Ends all partitions. The instances notice it after the network's `update_delay`.
     pub fn heal(&mut self) {
         self.nodes.iter_mut().for_each(|node| node.side = 0);
-        self.tell_members(self.network.news);
+        self.announce_members(self.network.update_delay);
     }
 
-    /// Lets one instance have a packet from the fabric.
+    /// Delivers a packet from the fabric to an instance.
     pub fn receive(&mut self, ix: usize, packet: &[u8]) {
         let now = self.now;
-        if !self.awake(ix) {
+        if !self.is_awake(ix) {
             return;
         }
         self.run(ix, |node, sent| node.forwarder.handle_packet(now, packet, sent));
     }
 
-    /// Whether the instance takes packets.
-    pub fn awake(&self, ix: usize) -> bool {
+    /// Whether the instance handles packets.
+    pub fn is_awake(&self, ix: usize) -> bool {
         matches!(self.nodes[ix].state, State::Up | State::Leaving)
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time by `span`.
     pub fn advance(&mut self, span: Millis) {
         let end = self.now + span;
         while self.now < end {
             let tick = Millis((self.now.0 / TICK.0 + 1) * TICK.0).min(end);
-            while self.letters.peek().is_some_and(|Reverse(letter)| letter.at <= tick) {
-                let Some(Reverse(letter)) = self.letters.pop() else { break };
-                self.now = self.now.max(letter.at);
-                self.deliver(letter);
+            while self.deliveries.peek().is_some_and(|Reverse(delivery)| delivery.at <= tick) {
+                let Some(Reverse(delivery)) = self.deliveries.pop() else { break };
+                self.now = self.now.max(delivery.at);
+                self.deliver(delivery);
             }
             self.now = tick;
             if tick.0.is_multiple_of(ANTI_ENTROPY.0) {
@@ -352,11 +363,11 @@
     }
 
     fn tick(&mut self, ix: usize) {
-        if !self.awake(ix) {
+        if !self.is_awake(ix) {
             return;
         }
         let now = self.now;
-        if std::mem::take(&mut self.nodes[ix].woken) {
+        if std::mem::take(&mut self.nodes[ix].just_woken) {
             self.nodes[ix].forwarder.wake(now);
         }
         if let Some(draft) = &mut self.nodes[ix].draft {
@@ -366,40 +377,40 @@
         self.run(ix, |node, sent| node.forwarder.tick(now, sent));
     }
 
-    fn deliver(&mut self, letter: Letter) {
-        let (ix, now) = (letter.to, self.now);
+    fn deliver(&mut self, delivery: Delivery) {
+        let (ix, now) = (delivery.to, self.now);
         if self.nodes[ix].state == State::Gone {
             return;
         }
         if self.nodes[ix].state == State::Frozen {
-            // News is told again by anti-entropy; the rest is lost.
+            // Anti-entropy sends these again; other messages are lost.
             if matches!(
-                letter.mail,
-                Mail::Bundle(_) | Mail::Plan(_) | Mail::Members | Mail::History(_)
+                delivery.message,
+                Message::Bundle(_) | Message::Plan(_) | Message::Members | Message::History(_)
             ) {
-                self.post(Millis(500), ix, letter.mail);
+                self.schedule(Millis(500), ix, delivery.message);
             }
             return;
         }
-        match letter.mail {
-            Mail::Datagram(from, datagram) => {
+        match delivery.message {
+            Message::Datagram(from, datagram) => {
                 self.run(ix, |node, sent| {
                     node.forwarder.handle_datagram(now, from, datagram, sent)
                 });
             }
-            Mail::Advert(advert) => self.nodes[ix].forwarder.handle_advert(now, &advert),
-            Mail::History(history) => {
+            Message::Advert(advert) => self.nodes[ix].forwarder.handle_advert(now, &advert),
+            Message::History(history) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
                     draft.merge_history(&history, now);
                 }
             }
-            Mail::Bundle(bundle) => self.install(ix, bundle),
-            Mail::Plan(plan) => {
+            Message::Bundle(bundle) => self.install(ix, bundle),
+            Message::Plan(plan) => {
                 if let Some(draft) = &mut self.nodes[ix].draft {
                     draft.apply_plan(plan, now);
                 }
             }
-            Mail::Members => self.refresh(ix),
+            Message::Members => self.update_members(ix),
         }
         self.commit(ix);
     }
@@ -416,12 +427,12 @@
                 node.forwarder.distrust(now);
             }
         }
-        self.tell_members(self.network.news);
+        self.announce_members(self.network.update_delay);
         self.commit(ix);
     }
 
-    /// The members as an instance sees them now.
-    fn refresh(&mut self, ix: usize) {
+    /// Sets the members of an instance to those that it can reach.
+    fn update_members(&mut self, ix: usize) {
         let side = self.nodes[ix].side;
         let members = self
             .nodes
@@ -440,9 +451,9 @@
         self.commit(ix);
     }
 
-    fn tell_members(&mut self, delay: Millis) {
+    fn announce_members(&mut self, delay: Millis) {
         for ix in 0..self.nodes.len() {
-            self.post(delay, ix, Mail::Members);
+            self.schedule(delay, ix, Message::Members);
         }
     }
 
@@ -460,35 +471,36 @@
         self.packets.extend(sent.packets);
         self.answers.extend(sent.answers);
         let from = self.nodes[ix].member.addresses.questions;
-        for (to, datagram) in sent.asks {
-            self.control += if matches!(datagram, Datagram::Question(_)) { 53 } else { 57 };
+        for (to, datagram) in sent.datagrams {
+            self.control_bytes += if matches!(datagram, Datagram::Question(_)) { 53 } else { 57 };
             let to = self.nodes.iter().position(|node| node.member.addresses.questions == to);
-            self.send(ix, to, Mail::Datagram(from, datagram));
+            self.send(ix, to, Message::Datagram(from, datagram));
         }
         for (keeper, advert) in sent.adverts {
-            self.control += 60 + 16 * advert.flows.len() as u64;
+            self.control_bytes += 60 + 16 * advert.flows.len() as u64;
             let to = self.nodes.iter().position(|node| node.member.name == keeper);
-            self.send(ix, to, Mail::Advert(advert));
+            self.send(ix, to, Message::Advert(advert));
         }
     }
 
-    fn send(&mut self, from: usize, to: Option<usize>, mail: Mail) {
+    fn send(&mut self, from: usize, to: Option<usize>, message: Message) {
         let Some(to) = to.filter(|&to| self.nodes[to].side == self.nodes[from].side) else {
             return;
         };
-        let lost = matches!(mail, Mail::Datagram(..)) && self.random(1000) < self.network.loss;
+        let lost =
+            matches!(message, Message::Datagram(..)) && self.random(1000) < self.network.loss;
         if !lost {
-            self.post(self.network.delay, to, mail);
+            self.schedule(self.network.delay, to, message);
         }
     }
 
-    fn post(&mut self, delay: Millis, to: usize, mail: Mail) {
+    fn schedule(&mut self, delay: Millis, to: usize, message: Message) {
         self.order += 1;
-        let letter = Letter { at: self.now + delay, order: self.order, to, mail };
-        self.letters.push(Reverse(letter));
+        let delivery = Delivery { at: self.now + delay, order: self.order, to, message };
+        self.deliveries.push(Reverse(delivery));
     }
 
-    /// A number below `bound`, the same in every run with the same seed.
+    /// Returns a random number below `bound`; the sequence depends only on the seed.
     pub fn random(&mut self, bound: u64) -> u64 {
         self.random = self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         (self.random >> 33) % bound.max(1)
--- a/testutils/src/server.rs
+++ b/testutils/src/server.rs
@@ -1,13 +1,13 @@
-//! The work of a target, on a [`Host`] and without I/O.
+//! A target on a [`Host`], without I/O.
 //!
-//! It counts how often each request ran and which packets were not its own:
-//! that is how the tests see a request run twice or a packet cross services.
+//! It counts how often each request ran and how many packets were for another
+//! service, so that tests can detect repeated requests and misdirected packets.
 
 use crate::{
     content::{body, take_line},
     host::{Conn, Host, Stage},
-    packet::{Ends, Kind},
-    profile::{Profile, Seen},
+    packet::{Kind, PacketHeader},
+    profile::{Profile, TargetCounts},
     session::Session,
 };
 use medlarspur_lib::{
@@ -17,20 +17,20 @@
 };
 use std::collections::{BTreeSet, VecDeque};
 
-/// How a cold start slows the work.
+/// Factor by which work takes longer during a target's cold time.
 const COLD_FACTOR: u64 = 10;
 
-/// A target: one host that serves the ports of one service.
+/// A target: a host that serves the ports of one service.
 pub struct Server {
-    /// What it is; may be changed while it runs.
+    /// Its configuration, which may be changed while it runs.
     pub profile: Profile,
-    /// What it has seen so far.
-    pub seen: Seen,
-    /// While set, it turns away every opening.
+    /// Its counters.
+    pub counts: TargetCounts,
+    /// Whether it refuses new connections.
     pub draining: bool,
     host: Host,
     sessions: Map<Conn, Session>,
-    alarms: BTreeSet<(Millis, Conn)>,
+    timers: BTreeSet<(Millis, Conn)>,
     queue: VecDeque<Conn>,
     busy: Set<Conn>,
     now: Millis,
@@ -38,16 +38,16 @@
 }
 
 impl Server {
-    /// Starts a target.
+    /// Creates a target.
     pub fn new(profile: Profile) -> Self {
         let host = Host::new(profile.address);
         Self {
             profile,
             host,
-            seen: Seen::default(),
+            counts: TargetCounts::default(),
             draining: false,
             sessions: Map::default(),
-            alarms: BTreeSet::new(),
+            timers: BTreeSet::new(),
             queue: VecDeque::new(),
             busy: Set::default(),
             now: Millis(0),
@@ -55,42 +55,42 @@
         }
     }
 
-    /// How many connections it holds.
+    /// Number of open connections.
     pub fn connections(&self) -> usize {
         self.sessions.len()
     }
 
-    /// How much work has a slot or waits for one.
+    /// Number of requests and uploads that have a slot or wait for one.
     pub fn work(&self) -> usize {
         self.busy.len() + self.queue.len()
     }
 
-    /// Its load: the fuller of its slots and its connections, from 0 to 1.
+    /// Utilization from 0 to 1: the larger of those of its slots and its connections.
     pub fn load(&self) -> f64 {
         let part = |used: usize, all: usize| used as f64 / all.max(1) as f64;
         let slots = part(self.busy.len(), self.profile.slots);
         slots.max(part(self.sessions.len(), self.profile.connections)).min(1.0)
     }
 
-    /// Takes in a packet that an instance sent here.
+    /// Handles a packet from an instance.
     pub fn receive(&mut self, packet: &[u8]) {
-        let Some(ends) = Ends::parse(packet) else {
-            self.seen.strays += 1;
+        let Some(header) = PacketHeader::parse(packet) else {
+            self.counts.strays += 1;
             return;
         };
-        let own = self.profile.ports.iter().any(|&(port, _)| port == ends.dst.port());
-        if !own || *ends.dst.ip() != self.profile.address {
-            self.seen.strays += 1;
+        let own = self.profile.ports.iter().any(|&(port, _)| port == header.dst.port());
+        if !own || *header.dst.ip() != self.profile.address {
+            self.counts.strays += 1;
             return;
         }
-        if self.draining && ends.kind == Kind::Opening {
-            self.seen.late += 1;
+        if self.draining && header.kind == Kind::Opening {
+            self.counts.late += 1;
         }
         self.open_ports();
         self.host.receive(packet);
     }
 
-    /// Does the work due at `now` and takes the packets for callers.
+    /// Does the work that is due at `now` and returns the packets for callers.
     pub fn poll(&mut self, now: Millis) -> Vec<Vec<u8>> {
         self.now = self.now.max(now);
         self.started.get_or_insert(now);
@@ -100,10 +100,10 @@
         packets
     }
 
-    /// When the next poll has work, if nothing is received before.
-    pub fn next(&self) -> Option<Millis> {
-        let alarm = self.alarms.first().map(|&(due, _)| due);
-        [alarm, self.host.next()].into_iter().flatten().min()
+    /// Returns the time of the next poll, if nothing is received before.
+    pub fn next_poll(&self) -> Option<Millis> {
+        let timer = self.timers.first().map(|&(due, _)| due);
+        [timer, self.host.next_poll()].into_iter().flatten().min()
     }
 
     fn open_ports(&mut self) {
@@ -117,28 +117,28 @@
     }
 
     fn do_work(&mut self) {
-        for conn in self.host.ready() {
+        for conn in self.host.take_ready() {
             self.serve(conn);
         }
-        while let Some(&(due, conn)) = self.alarms.first()
+        while let Some(&(due, conn)) = self.timers.first()
             && due <= self.now
         {
-            self.alarms.remove(&(due, conn));
-            self.ring(conn);
+            self.timers.remove(&(due, conn));
+            self.handle_timer(conn);
         }
     }
 
     fn serve(&mut self, conn: Conn) {
         match self.host.stage(conn) {
             Stage::Opening => return,
-            Stage::Refused | Stage::Broken => return self.forget(conn),
+            Stage::Refused | Stage::Broken => return self.drop_session(conn),
             Stage::Open | Stage::Finished => {}
         }
         if !self.sessions.contains_key(&conn) {
             let Some(class) = self.class(conn.port) else {
                 return;
             };
-            self.seen.opened += 1;
+            self.counts.opened += 1;
             self.sessions.insert(conn, Session::new(class));
         }
         let bytes = self.host.recv(conn);
@@ -148,7 +148,7 @@
         session.input.extend(bytes);
         match session.class {
             Class::Feed => self.serve_feed(conn),
-            Class::Request | Class::Upload => self.serve_once(conn),
+            Class::Request | Class::Upload => self.serve_work(conn),
         }
         self.flush(conn);
     }
@@ -163,12 +163,12 @@
         };
         while let Some(line) = take_line(&mut session.input) {
             match &session.id {
-                Some(_) => session.say(&format!("ECHO {line}\n")),
+                Some(_) => session.queue_line(&format!("ECHO {line}\n")),
                 None => {
                     let Profile { name, service, .. } = &self.profile;
-                    session.say(&format!("HELLO {line} {name} {service}\n"));
+                    session.queue_line(&format!("HELLO {line} {name} {service}\n"));
                     session.id = Some(line);
-                    self.alarms.insert((self.now + self.profile.interval, conn));
+                    self.timers.insert((self.now + self.profile.interval, conn));
                 }
             }
         }
@@ -177,11 +177,11 @@
         }
     }
 
-    fn serve_once(&mut self, conn: Conn) {
+    fn serve_work(&mut self, conn: Conn) {
         let Some(session) = self.sessions.get_mut(&conn) else {
             return;
         };
-        if session.id.is_none() && !session.read_head() {
+        if session.id.is_none() && !session.read_header() {
             return;
         }
         let whole = session.expected.is_some_and(|expected| session.input.len() >= expected);
@@ -189,10 +189,10 @@
         if !whole || known {
             return;
         }
-        if self.queue.len() >= self.profile.waiting {
-            self.seen.shed += 1;
+        if self.queue.len() >= self.profile.queue_limit {
+            self.counts.shed += 1;
             self.host.abort(conn);
-            return self.forget(conn);
+            return self.drop_session(conn);
         }
         self.queue.push_back(conn);
         self.fill_slots();
@@ -202,23 +202,23 @@
         while self.busy.len() < self.profile.slots
             && let Some(conn) = self.queue.pop_front()
         {
-            let cold = self.now.since(self.started.unwrap_or_default()) < self.profile.cold;
+            let cold = self.now.since(self.started.unwrap_or_default()) < self.profile.cold_time;
             let factor = if cold { COLD_FACTOR } else { 1 };
             self.busy.insert(conn);
             self.count_run(conn);
-            self.alarms.insert((self.now + Millis(self.profile.work.0 * factor), conn));
+            self.timers.insert((self.now + Millis(self.profile.work_time.0 * factor), conn));
         }
     }
 
-    /// Counts a request when it starts: one that is cut short has run too.
+    /// Counts a run of a request at its start, as an interrupted request has run too.
     fn count_run(&mut self, conn: Conn) {
         let session = self.sessions.get(&conn).filter(|session| session.class == Class::Request);
         if let Some(id) = session.and_then(|session| session.id.clone()) {
-            *self.seen.runs.entry(id).or_default() += 1;
+            *self.counts.runs.entry(id).or_default() += 1;
         }
     }
 
-    fn ring(&mut self, conn: Conn) {
+    fn handle_timer(&mut self, conn: Conn) {
         let Some(session) = self.sessions.get_mut(&conn) else {
             return self.free_slot(conn);
         };
@@ -226,8 +226,8 @@
             Class::Feed => {
                 let line = format!("STRIKE {}\n", session.lines);
                 session.lines += 1;
-                session.say(&line);
-                self.alarms.insert((self.now + self.profile.interval, conn));
+                session.queue_line(&line);
+                self.timers.insert((self.now + self.profile.interval, conn));
             }
             Class::Request | Class::Upload => self.answer(conn),
         }
@@ -239,15 +239,15 @@
             return;
         };
         let id = session.id.clone().unwrap_or_default();
-        let Profile { name, service, answer, .. } = &self.profile;
+        let Profile { name, service, answer_size, .. } = &self.profile;
         if session.class == Class::Request {
-            session.say(&format!("DONE {id} {name} {service} {answer}\n"));
-            session.output.extend(body(&id, *answer));
+            session.queue_line(&format!("DONE {id} {name} {service} {answer_size}\n"));
+            session.output.extend(body(&id, *answer_size));
         } else {
             let hash = blake3::hash(&session.input).to_hex();
             let count = session.input.len();
-            session.say(&format!("STORED {id} {name} {service} {count} {hash}\n"));
-            self.seen.stored += 1;
+            session.queue_line(&format!("STORED {id} {name} {service} {count} {hash}\n"));
+            self.counts.stored += 1;
         }
         session.answered = true;
         self.free_slot(conn);
@@ -269,13 +269,13 @@
             self.host.close(conn);
         }
         if self.host.is_over(conn) {
-            self.forget(conn);
+            self.drop_session(conn);
         }
     }
 
-    /// Drops a connection that has ended. What has a slot keeps it to its end,
-    /// since a target can't know that its caller has gone.
-    fn forget(&mut self, conn: Conn) {
+    /// Drops a connection that has ended. Its work keeps its slot until the work is
+    /// done, as a real target does not notice that the caller is gone.
+    fn drop_session(&mut self, conn: Conn) {
         self.sessions.remove(&conn);
         self.queue.retain(|&other| other != conn);
         self.host.remove_over(conn);
--- a/testutils/tests/test_faults.rs
+++ b/testutils/tests/test_faults.rs
@@ -1,4 +1,4 @@
-//! The faults that the stand-ins can play.
+//! Tests of the faults that the stand-ins simulate.
 
 use crate::{
     test_host::{client, ends, run, server, work},
@@ -6,28 +6,28 @@
 };
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
-    client::Patience,
+    client::Timeouts,
     fabric::{self, Fabric},
     list::ListedState,
     spread::Mode,
-    target::{Behaviour, Running},
+    target::{Behaviour, RunningTarget},
     task::End,
 };
 
-/// The status of an endpoint of a target, and its text.
-fn get(running: &Running, path: &str) -> (u16, String) {
+/// Returns status and text of an endpoint of a target.
+fn get(running: &RunningTarget, path: &str) -> (u16, String) {
     let agent: ureq::Agent =
         ureq::Agent::config_builder().http_status_as_error(false).build().into();
     let mut answer = agent.get(format!("http://{}{path}", running.probe)).call().unwrap();
     (answer.status().as_u16(), answer.body_mut().read_to_string().unwrap())
 }
 
-fn impatient() -> Patience {
-    Patience { opening: Millis::secs(2), ..Patience::default() }
+fn impatient() -> Timeouts {
+    Timeouts { handshake: Millis::secs(2), ..Timeouts::default() }
 }
 
 #[test]
-fn cut_off_instance_gets_no_packet() {
+fn blocked_instance_gets_no_packet() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Hash)).unwrap();
     let targets = targets(&fabric);
     fabric.set_list(vec![relay("x", &targets), relay("y", &targets)]);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn leaving_instance_gets_packets_until_the_lag_is_over() {
+fn leaving_instance_gets_no_packet_after_the_lag() {
     let mut settings = fabric::Settings::new(Mode::Spray);
     settings.lag = Millis(0);
     let fabric = Fabric::start(&settings).unwrap();
@@ -61,29 +61,30 @@
 }
 
 #[test]
-fn endpoints_tell_what_they_are_told_to() {
+fn endpoints_report_configured_values() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Spray)).unwrap();
     let targets = targets(&fabric);
     let target = &targets.list[0];
 
-    let truth = (get(target, "/health").0, get(target, "/load").1);
-    target.behave(Behaviour { draining: true, ..Behaviour::default() });
+    let actual = (get(target, "/health").0, get(target, "/load").1);
+    target.set_behaviour(Behaviour { draining: true, ..Behaviour::default() });
     let draining = get(target, "/health").0;
-    let lie = Behaviour { health: Some(true), load: Some(0.9), dead: true, ..Behaviour::default() };
-    target.behave(lie);
-    let lies = (get(target, "/health").0, get(target, "/load").1);
+    let overrides =
+        Behaviour { health: Some(true), load: Some(0.9), dead: true, ..Behaviour::default() };
+    target.set_behaviour(overrides);
+    let overridden = (get(target, "/health").0, get(target, "/load").1);
 
-    assert_eq!(truth, (200, r#"{"connections":0,"slots":0,"load":0.0}"#.into()));
+    assert_eq!(actual, (200, r#"{"connections":0,"slots":0,"load":0.0}"#.into()));
     assert_eq!(draining, 503);
-    assert_eq!(lies, (200, r#"{"connections":0,"slots":0,"load":0.9}"#.into()));
+    assert_eq!(overridden, (200, r#"{"connections":0,"slots":0,"load":0.9}"#.into()));
 }
 
-/// Requests arrive faster than a back end works. It sheds those beyond its
-/// queue with a reset, which the caller sees after its connection was open.
+/// Requests arrive faster than a target processes them. The target resets those
+/// beyond its queue, which the caller sees after its connection was established.
 #[test]
-fn target_sheds_what_finds_no_place_in_its_queue() {
+fn target_sheds_requests_beyond_its_queue() {
     let (mut client, mut server) = (client(), server());
-    (server.profile.slots, server.profile.waiting) = (1, 2);
+    (server.profile.slots, server.profile.queue_limit) = (1, 2);
     for id in 0..8 {
         client.open(Millis(0), work(&format!("{id}"), Class::Request));
     }
@@ -91,14 +92,14 @@
     let outcomes = run(&mut client, &mut server, 0.0, 1);
 
     let completed = ends(&outcomes).iter().filter(|&&end| end == End::Completed).count();
-    assert_eq!((completed, server.seen.shed, server.seen.runs.len()), (3, 5, 3));
+    assert_eq!((completed, server.counts.shed, server.counts.runs.len()), (3, 5, 3));
 }
 
 #[test]
 fn cold_target_is_slow_at_first() {
     let latency = |cold| {
         let (mut client, mut server) = (client(), server());
-        (server.profile.work, server.profile.cold) = (Millis(100), cold);
+        (server.profile.work_time, server.profile.cold_time) = (Millis(100), cold);
         client.open(Millis(100), work("r", Class::Request));
         run(&mut client, &mut server, 0.0, 1)[0].latency.unwrap()
     };
@@ -109,7 +110,7 @@
 }
 
 #[test]
-fn full_target_turns_connections_away() {
+fn full_target_refuses_connections() {
     let (mut client, mut server) = (client(), server());
     server.profile.connections = 2;
     for id in 0..3 {
--- a/testutils/tests/test_host.rs
+++ b/testutils/tests/test_host.rs
@@ -1,11 +1,11 @@
-//! Feeds, requests and uploads between two hosts in virtual time.
+//! Tests of feeds, requests and uploads between two hosts in virtual time.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
-    client::{Client, Outcome, Patience},
+    client::{Client, Outcome, Timeouts},
     profile::Profile,
     server::Server,
-    task::{Breach, End, Work},
+    task::{BreakCause, End, Work},
 };
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng, rngs::StdRng};
@@ -20,8 +20,8 @@
 }
 
 pub fn client() -> Client {
-    let patience = Patience { opening: Millis::secs(100), silence: Millis::secs(100) };
-    Client::new(CALLER, patience)
+    let timeouts = Timeouts { handshake: Millis::secs(100), idle: Millis::secs(100) };
+    Client::new(CALLER, timeouts)
 }
 
 pub fn work(id: &str, class: Class) -> Work {
@@ -31,7 +31,7 @@
     Work { id: id.into(), service: "alertdesk".into(), class, remote, size: 60_000, hold }
 }
 
-/// Opens a feed and lets it run for a while.
+/// Opens a feed and runs it for 100 ms.
 fn feed(client: &mut Client, server: &mut Server) {
     client.open(Millis(0), work("f", Class::Feed));
     for step in 0..100 {
@@ -40,7 +40,8 @@
     }
 }
 
-/// Runs both ends until the caller has nothing under way, losing packets.
+/// Runs both ends until the caller has no work in progress. Drops packets with
+/// the probability `loss`.
 pub fn run(client: &mut Client, server: &mut Server, loss: f64, seed: u64) -> Vec<Outcome> {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut now = Millis(100);
@@ -57,7 +58,7 @@
         }
         now = now + Millis(1);
     }
-    client.outcomes()
+    client.take_outcomes()
 }
 
 pub fn ends(outcomes: &[Outcome]) -> Vec<End> {
@@ -74,8 +75,8 @@
     let outcomes = run(&mut client, &mut server, 0.0, 1);
 
     assert_eq!(ends(&outcomes), [End::Completed; 3]);
-    assert_eq!(server.seen.runs.get("Request"), Some(&1));
-    assert_eq!((server.seen.stored, server.seen.strays), (1, 0));
+    assert_eq!(server.counts.runs.get("Request"), Some(&1));
+    assert_eq!((server.counts.stored, server.counts.strays), (1, 0));
 }
 
 #[test]
@@ -88,11 +89,11 @@
     let outcomes = run(&mut client, &mut server, 0.0, 1);
 
     assert_eq!(ends(&outcomes), [End::Refused, End::Completed]);
-    assert_eq!((server.seen.runs.len(), server.seen.late), (0, 1));
+    assert_eq!((server.counts.runs.len(), server.counts.late), (0, 1));
 }
 
-/// A back end dies without a word while a feed is open. The caller must see
-/// its feed as broken and not wait for ever.
+/// A target dies while a feed is open and sends nothing more. The caller must
+/// report its feed as broken and not wait for ever.
 #[test]
 fn silent_target_breaks_its_feed() {
     let (mut client, mut server) = (client(), server());
@@ -100,15 +101,15 @@
 
     let outcomes = run(&mut client, &mut server, 1.0, 1);
 
-    assert_eq!(ends(&outcomes), [End::Broken(Breach::Silent)]);
+    assert_eq!(ends(&outcomes), [End::Broken(BreakCause::Silent)]);
 }
 
-/// A caller's machine dies while its request is at work. Somebody who then
-/// says that the request was not run would be wrong.
+/// A caller dies while its request is processed. The request must count as run,
+/// or a repetition of it would not be noticed.
 #[test]
-fn request_that_is_cut_short_counts_as_run() {
+fn interrupted_request_counts_as_run() {
     let (mut client, mut server) = (client(), server());
-    server.profile.work = Millis::secs(10);
+    server.profile.work_time = Millis::secs(10);
     client.open(Millis(0), work("r", Class::Request));
     for step in 0..100 {
         client.poll(Millis(step)).iter().for_each(|packet| server.receive(packet));
@@ -117,15 +118,15 @@
 
     let outcomes = run(&mut client, &mut server, 1.0, 1);
 
-    assert_eq!(ends(&outcomes), [End::Broken(Breach::Silent)]);
-    assert_eq!(server.seen.runs.get("r"), Some(&1));
+    assert_eq!(ends(&outcomes), [End::Broken(BreakCause::Silent)]);
+    assert_eq!(server.counts.runs.get("r"), Some(&1));
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 24, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn loss_delays_and_never_breaks(seed: u64, loss in 0.0..0.1f64) {
+    fn packet_loss_breaks_no_work(seed: u64, loss in 0.0..0.1f64) {
         let (mut client, mut server) = (client(), server());
         for class in [Class::Feed, Class::Request, Class::Upload] {
             client.open(Millis(0), work(&format!("{class:?}"), class));
@@ -134,14 +135,14 @@
         let outcomes = run(&mut client, &mut server, loss, seed);
 
         prop_assert_eq!(ends(&outcomes), [End::Completed; 3]);
-        prop_assert_eq!(server.seen.runs.get("Request"), Some(&1));
+        prop_assert_eq!(server.counts.runs.get("Request"), Some(&1));
     }
 }
 
-/// A fabric that sprays lets packets of one flow overtake each other. TCP has
-/// to put them in order again, and no work may stall behind another's.
+/// With a fabric that sprays, packets of a flow overtake each other. TCP must put
+/// them in order again, and work must not be delayed by other work.
 #[test]
-fn reordered_packets_cost_nothing_but_time() {
+fn reordered_packets_only_delay_work() {
     let (mut client, mut server) = (client(), server());
     for id in 0..40 {
         client.open(Millis(0), work(&format!("{id}"), Class::Upload));
@@ -154,7 +155,7 @@
     assert!(slowest < Some(Millis::secs(20)), "{slowest:?}");
 }
 
-/// Runs both ends; each packet takes its own time.
+/// Runs both ends; each packet has a random delay.
 fn run_reordered(client: &mut Client, server: &mut Server, seed: u64) -> Vec<Outcome> {
     let mut rng = StdRng::seed_from_u64(seed);
     let (mut inward, mut outward) = (Vec::new(), Vec::new());
@@ -171,5 +172,5 @@
             .extract_if(.., |(due, _)| *due <= now)
             .for_each(|(_, packet)| client.receive(&packet));
     }
-    client.outcomes()
+    client.take_outcomes()
 }
