--- a/fabric/src/counts.rs
+++ b/fabric/src/counts.rs
@@ -1,4 +1,4 @@
-//! Counters of a wire. Each datagram that is not passed on is counted by reason.
+//! Counters of a wire. Each dropped datagram is counted by reason.
 
 /// Counts since the wire was created.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
--- a/lib/src/document/mod.rs
+++ b/lib/src/document/mod.rs
@@ -1,7 +1,7 @@
 //! Parsing and checking of YAML documents, for the bundle and the settings.
 //!
 //! A document is first parsed into plain YAML values and then read field by
-//! field. Reading goes on after a fault, so that one [`Report`] lists all
+//! field. Parsing continues after a fault, so that one [`Report`] lists all
 //! faults and the author doesn't have to fix them one run at a time.
 
 mod fault;
--- a/lib/src/forwarder/adverts.rs
+++ b/lib/src/forwarder/adverts.rs
@@ -130,7 +130,7 @@
     }
 
     /// Queues the exceptions of the `wanted` services. Flows that this instance
-    /// knows only from adverts are passed on only for services whose keepers
+    /// knows only from adverts are advertised only for services whose keepers
     /// have changed (`moved`): their openers may be gone, and then no other
     /// instance would advertise them to the new keepers.
     fn queue_exceptions(
--- a/load/src/refusal.rs
+++ b/load/src/refusal.rs
@@ -1,7 +1,7 @@
 //! Refuses openings immediately and tells callers when to retry.
 //!
 //! Handles lasting saturation. Callers without a retry time return at once and together,
-//! and the crowd grows each time: openings arrive in waves with a fixed period. The retry
+//! and their number grows each time: openings arrive in waves with a fixed period. The retry
 //! time is spread over half to one and a half of its mean, so that callers do not return
 //! together. The mean grows with the expected duration of the overload. The best estimate
 //! of the remaining duration is the duration so far (an overload of a minute rarely ends in
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -154,8 +154,8 @@
     }
 
     /// Returns the targets of this instance's subset, if no target of the service is excluded
-    /// and one of the subset ranks as high as any other could. Few flows then need a look at
-    /// all targets, so that the cost of a flow does not grow with their number.
+    /// and one of the subset ranks as high as any other could. All targets are then examined for
+    /// few flows only, so that the cost of a flow does not grow with their number.
     fn subset_options(
         &self,
         service: &ServiceName,
--- a/marked/tests/net.rs
+++ b/marked/tests/net.rs
@@ -69,7 +69,7 @@
     pub partitioned: BTreeSet<u8>,
     in_flight: Vec<(u64, SocketAddrV4, SocketAddrV4, Vec<u8>)>,
     pulls: Vec<(u64, SocketAddrV4, SocketAddrV4, Revision)>,
-    /// Answers to pulls that are under way: end, receiver, sender, and the receiver's revision.
+    /// Answers to pulls in flight: end, receiver, sender, and the receiver's revision.
     transfers: Vec<(u64, SocketAddrV4, SocketAddrV4, Revision)>,
     random: Random,
 }
