--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -60,7 +60,7 @@
         /// Error of the parser.
         source: serde_json::Error,
     },
-    /// It was not ready within [`READY_TIMEOUT`].
+    /// It was not ready within `READY_TIMEOUT`.
     #[snafu(display(
         "instance {name} was not ready within {READY_TIMEOUT:?}; see its log {log:?}"
     ))]
--- a/testutils/src/traffic.rs
+++ b/testutils/src/traffic.rs
@@ -111,7 +111,7 @@
 
     /// Sends a packet of a flow through the fabric. As long as its SYN has reached
     /// no target, this retransmits the SYN, but as TCP does, not before
-    /// [`RETRANSMIT`] has passed.
+    /// `RETRANSMIT` has passed.
     pub fn send(&mut self, fleet: &mut Fleet, ix: usize, kind: SegmentKind) {
         let flow = &self.flows[ix];
         let kind = if flow.target.is_none() { SegmentKind::Open } else { kind };
