--- a/cli/src/commands/bundle_sign.rs
+++ b/cli/src/commands/bundle_sign.rs
@@ -1,4 +1,4 @@
-//! `bundle sign`: checks a bundle and signs it off.
+//! `bundle sign`: checks and signs a bundle.
 
 use super::{read, read_key};
 use crate::{
@@ -16,17 +16,17 @@
     let bundle =
         Bundle::parse(strip_signature(&text)).context(FaultsSnafu { path: &flags.file })?;
     let signed = sign(&text, &key);
-    // The line of the signature counts as well, so a text just under the
-    // limit passes the checks and would still be refused by every instance.
+    // The signature counts towards the maximum size. Without this check, every instance would
+    // refuse a text that is just below the maximum.
     let keys = TrustedKeys::new(vec![key.public()]);
     SignedBundle::check(signed.as_bytes(), &keys, &bundle.site)
         .context(RefusedSnafu { path: &flags.file })?;
     let Some(path) = &flags.out else {
-        output::line(signed.trim_end());
+        output::print_line(signed.trim_end());
         return Ok(Code::Done);
     };
     fs::write(path, &signed).context(WriteSnafu { path })?;
     let id = key.public().id();
-    output::line(&format!("{}: version {} signed by {id}", path.display(), bundle.version));
+    output::print_line(&format!("{}: version {} signed by {id}", path.display(), bundle.version));
     Ok(Code::Done)
 }
--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -19,7 +19,7 @@
     collections::Map,
     control::STALE_TIME,
     flows::{Certainty, Flow, FlowMap},
-    forwarder::{Gate, Opening, Verdict as Opened},
+    forwarder::{Gate, Opening, Verdict},
     ids::{FlowId, ServiceIx, TargetIx, TargetName},
     members::MemberState,
     time::Millis,
@@ -27,7 +27,7 @@
 };
 use medlarspur_load as load;
 use medlarspur_operator::{ClassMeters, Meters};
-use medlarspur_target::{Event, Verdict};
+use medlarspur_target::{Event, HealthVerdict};
 use std::{sync::Arc, time::Duration};
 
 /// Retry delay given to a refused caller while none has been estimated.
@@ -131,8 +131,8 @@
     pub fn record_probe(&mut self, now: Millis, event: &Event) {
         let Some(&target) = self.names.get(&event.target) else { return };
         let signal = match &event.report {
-            Some(report) => load::Signal::Report(load::Report {
-                healthy: event.verdict == Verdict::Healthy,
+            Some(report) => load::Signal::Report(load::LoadReport {
+                healthy: event.verdict == HealthVerdict::Healthy,
                 draining: report.draining,
                 work: report.slots,
                 connections: report.connections,
@@ -180,7 +180,7 @@
                 self.waiting.entry(opening.flow).or_insert((now, recorder));
             }
             load::Verdict::Admit if !self.waiting.contains_key(&opening.flow) => {
-                recorder.wait(Duration::ZERO);
+                recorder.record_wait(Duration::ZERO);
             }
             _ => self.record_wait(now, opening.flow, verdict),
         }
@@ -190,7 +190,7 @@
     fn record_wait(&mut self, now: Millis, flow: FlowId, verdict: load::Verdict) {
         let Some((since, recorder)) = self.waiting.remove(&flow) else { return };
         if matches!(verdict, load::Verdict::Admit) {
-            recorder.wait(to_duration(now.since(since)));
+            recorder.record_wait(to_duration(now.since(since)));
         }
     }
 
@@ -202,9 +202,9 @@
 }
 
 impl Gate for LoadGate {
-    fn open(&mut self, now: Millis, opening: &Opening) -> Opened {
+    fn open(&mut self, now: Millis, opening: &Opening) -> Verdict {
         let Some(&(service, target)) = self.positions.get(&opening.target) else {
-            return Opened::Refuse { after: DEFAULT_RETRY_AFTER };
+            return Verdict::Refuse { after: DEFAULT_RETRY_AFTER };
         };
         let Opening { flow, caller, class, .. } = *opening;
         let verdict = self.gate.open(now, &load::Opening { flow, caller, service, class, target });
@@ -215,7 +215,7 @@
         convert_verdict(verdict)
     }
 
-    fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Opened)>) {
+    fn due(&mut self, now: Millis, decided: &mut Vec<(FlowId, Verdict)>) {
         self.gate.collect_verdicts(now, &mut self.decided);
         for (flow, verdict) in std::mem::take(&mut self.decided) {
             self.record_wait(now, flow, verdict);
@@ -231,7 +231,7 @@
 
     fn on_second_packet(&mut self, now: Millis, target: TargetId, class: Class, after: Millis) {
         if let Some(recorder) = self.recorder(target, class) {
-            recorder.handshake(to_duration(after));
+            recorder.record_handshake(to_duration(after));
         }
         self.report_signal(now, target, load::Signal::Established { after: Some(after) });
     }
@@ -246,7 +246,7 @@
         if flow.certainty == Certainty::Opened
             && let Some(recorder) = self.recorder(flow.target, flow.class)
         {
-            recorder.length(to_duration(flow.age(now)));
+            recorder.record_lifetime(to_duration(flow.age(now)));
         }
         if let Some(&(service, target)) = self.positions.get(&flow.target) {
             let closing = load::Closing { flow: id, service, class: flow.class, target };
@@ -299,11 +299,11 @@
     Duration::from_millis(millis.0)
 }
 
-fn convert_verdict(verdict: load::Verdict) -> Opened {
+fn convert_verdict(verdict: load::Verdict) -> Verdict {
     match verdict {
-        load::Verdict::Admit => Opened::Admit,
-        load::Verdict::Wait { .. } => Opened::Wait,
-        load::Verdict::Refuse { after } => Opened::Refuse { after },
+        load::Verdict::Admit => Verdict::Admit,
+        load::Verdict::Wait { .. } => Verdict::Wait,
+        load::Verdict::Refuse { after } => Verdict::Refuse { after },
     }
 }
 
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -76,7 +76,7 @@
 
 const COUNTERS: [CounterSeries; 33] = [
     (Family::Packets, "received", |it| it.received),
-    (Family::Packets, "forwarded", |it| it.counts.forwarded),
+    (Family::Packets, "forwarded", |it| it.counts.passed),
     (Family::Packets, "reopened", |it| it.counts.reopened),
     (Family::Packets, "repeated", |it| it.counts.repeated),
     (Family::Flows, "opened", |it| it.counts.opened),
@@ -87,14 +87,14 @@
     (Family::Flows, "reset-evacuated", |it| it.counts.evacuated),
     (Family::Flows, "reset-warming", |it| it.counts.warming),
     (Family::Flows, "reset-away", |it| it.counts.away),
-    (Family::Flows, "evacuated-avoided", |it| it.counts.evacuated_avoided),
-    (Family::Flows, "warming-spared", |it| it.counts.warming_spared),
+    (Family::Flows, "evacuated-avoided", |it| it.counts.avoided),
+    (Family::Flows, "warming-spared", |it| it.counts.spared),
     (Family::Flows, "target-filled", |it| it.counts.filled),
     (Family::Flows, "held", |it| it.counts.held),
     (Family::Flows, "reset-busy", |it| it.counts.busy),
     (Family::Flows, "reset-target-lost", |it| it.counts.lost),
     (Family::Drops, "unmarked", |it| it.counts.unmarked),
-    (Family::Drops, "unknown-mark", |it| it.counts.unknown_mark),
+    (Family::Drops, "unknown-mark", |it| it.counts.unknown),
     (Family::Drops, "record-clash", |it| it.collisions),
     (Family::Drops, "oversize", |it| it.wire.oversize),
     (Family::Drops, "empty", |it| it.wire.empty),
@@ -103,11 +103,11 @@
     (Family::Drops, "send-mtu", |it| it.wire.mtu),
     (Family::Drops, "send-failed", |it| it.wire.failed),
     (Family::Platform, "restored", |it| it.counts.restores),
-    (Family::Probes, "asked", |it| it.counts.probes),
-    (Family::Probes, "answers", |it| it.counts.probe_results[ProbeResult::Answers as usize]),
-    (Family::Probes, "declines", |it| it.counts.probe_results[ProbeResult::Declines as usize]),
-    (Family::Probes, "gone", |it| it.counts.probe_results[ProbeResult::Gone as usize]),
-    (Family::Probes, "silent", |it| it.counts.probe_results[ProbeResult::Silent as usize]),
+    (Family::Probes, "asked", |it| it.counts.asked),
+    (Family::Probes, "answers", |it| it.counts.found[ProbeResult::Answers as usize]),
+    (Family::Probes, "declines", |it| it.counts.found[ProbeResult::Declines as usize]),
+    (Family::Probes, "gone", |it| it.counts.found[ProbeResult::Gone as usize]),
+    (Family::Probes, "silent", |it| it.counts.found[ProbeResult::Silent as usize]),
 ];
 
 /// A gauge and the function that reads its value.
@@ -119,8 +119,8 @@
     (Gauge::MembersLive, |it| it.members + 1),
     (Gauge::BundleVersion, |it| it.version),
     (Gauge::Reading, |it| u64::from(it.reading)),
-    (Gauge::PictureRevision, |it| it.revision.count),
-    (Gauge::PictureEra, |it| it.revision.era.into()),
+    (Gauge::CatalogRevision, |it| it.revision.count),
+    (Gauge::CatalogEra, |it| it.revision.era.into()),
     (Gauge::TargetsLive, |it| it.live_and_lost.0 as u64),
     (Gauge::TargetsLost, |it| it.live_and_lost.1 as u64),
     (Gauge::TargetsFull, |it| it.full as u64),
@@ -138,31 +138,31 @@
 ) {
     for (family, label, value) in COUNTERS {
         let read = published.clone();
-        meters.observe(family, label, move || value(&read.get()));
+        meters.observe_counter(family, label, move || value(&read.get()));
     }
     for error in PacketError::ALL {
         let read = published.clone();
         let value = move || read.get().malformed[error as usize];
-        meters.observe(Family::Drops, error.label(), value);
+        meters.observe_counter(Family::Drops, error.label(), value);
     }
     for (gauge, value) in GAUGES {
         let read = published.clone();
-        meters.gauge(gauge, move || value(&read.get()));
+        meters.observe_gauge(gauge, move || value(&read.get()));
     }
     let read = published.clone();
-    meters.gauge(Gauge::PictureAge, move || {
+    meters.observe_gauge(Gauge::CatalogAge, move || {
         read.get().confirmed.map_or(u64::MAX, |at| clock.now().since(at).0)
     });
     let read = calls.clone();
-    meters.observe(Family::Platform, "answered", move || read.answered.load(Relaxed));
+    meters.observe_counter(Family::Platform, "answered", move || read.answered.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Platform, "failed", move || read.failed.load(Relaxed));
+    meters.observe_counter(Family::Platform, "failed", move || read.failed.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Drops, "record", move || read.omitted.load(Relaxed));
+    meters.observe_counter(Family::Drops, "record", move || read.omitted.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Platform, "assumed", move || read.assumed.load(Relaxed));
+    meters.observe_counter(Family::Platform, "assumed", move || read.assumed.load(Relaxed));
     if let Some(sink) = sink {
-        meters.observe(Family::Rings, "log", move || sink.lost());
+        meters.observe_counter(Family::Rings, "log", move || sink.lost());
     }
 }
 
@@ -185,9 +185,9 @@
         let meters = &self.meters;
         let times = self.classes.entry(key).or_insert_with(|| meters.class(service, class));
         match span {
-            Span::Handshake(span) => times.handshake(Duration::from_millis(span.0)),
-            Span::Answer(span) => times.answer(Duration::from_millis(span.0)),
-            Span::Length(span) => times.length(Duration::from_millis(span.0)),
+            Span::Handshake(span) => times.record_handshake(Duration::from_millis(span.0)),
+            Span::Answer(span) => times.record_answer(Duration::from_millis(span.0)),
+            Span::Length(span) => times.record_lifetime(Duration::from_millis(span.0)),
         }
     }
 }
--- a/operator/tests/test_meters.rs
+++ b/operator/tests/test_meters.rs
@@ -1,34 +1,35 @@
-//! Counters, gauges and histograms, as a scrape sees them.
+//! Counters, gauges and histograms, as a scrape returns them.
 
-use crate::fixtures::{get, server};
+use crate::fixtures::{get, start_server};
 use expect_test::expect;
 use medlarspur_lib::{bundle::Class, forwarder::Counters, ids::ServiceName};
 use medlarspur_operator::{Family, Gauge, Meters};
 use std::{sync::Arc, thread, time::Duration};
 
-fn lines(meters: &Meters, part: &str) -> String {
+/// Returns the exported lines that contain `part`.
+fn metric_lines(meters: &Meters, part: &str) -> String {
     let text = meters.text().expect("text");
     text.lines().filter(|line| line.contains(part)).map(|line| format!("{line}\n")).collect()
 }
 
 #[test]
-fn a_counter_shows_at_zero_before_anything_happens() {
+fn a_new_counter_is_exported_as_zero() {
     let meters = Meters::new().expect("metrics");
 
-    let _count = meters.count(Family::Bundles, "bad-signature");
+    let _count = meters.counter(Family::Bundles, "bad-signature");
 
     expect![[r##"
         # HELP medlarspur_bundles_total Bundles that were offered, by what became of them.
         # TYPE medlarspur_bundles_total counter
         medlarspur_bundles_total{outcome="bad-signature"} 0
     "##]]
-    .assert_eq(&lines(&meters, "medlarspur_bundles"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_bundles"));
 }
 
 #[test]
-fn threads_count_into_one_series() {
+fn threads_share_a_series() {
     let meters = Meters::new().expect("metrics");
-    let count = meters.count(Family::Drops, "malformed");
+    let count = meters.counter(Family::Drops, "malformed");
 
     thread::scope(|scope| {
         for _ in 0..4 {
@@ -39,29 +40,29 @@
     expect![[r#"
         medlarspur_drops_total{reason="malformed"} 8000
     "#]]
-    .assert_eq(&lines(&meters, "medlarspur_drops_total{"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_drops_total{"));
 }
 
 #[test]
-fn the_same_series_is_counted_once() {
+fn the_same_label_gives_the_same_series() {
     let meters = Meters::new().expect("metrics");
 
-    meters.count(Family::Platform, "ok").add(1);
-    meters.count(Family::Platform, "ok").add(1);
+    meters.counter(Family::Platform, "ok").add(1);
+    meters.counter(Family::Platform, "ok").add(1);
 
     expect![[r#"
         medlarspur_platform_calls_total{result="ok"} 2
     "#]]
-    .assert_eq(&lines(&meters, "medlarspur_platform_calls_total{"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_platform_calls_total{"));
 }
 
 #[test]
-fn what_the_packet_path_counts_is_shown() {
+fn counters_of_the_packet_path_are_exported() {
     let meters = Meters::new().expect("metrics");
     let counters = Counters { packets: 9, forwarded: 7, ..Counters::default() };
     let counters = Arc::new(counters);
 
-    meters.forwarder(move || counters.clone());
+    meters.observe_forwarder(move || counters.clone());
 
     expect![[r##"
         # HELP medlarspur_drops_total Packets and datagrams that were dropped.
@@ -107,13 +108,13 @@
         medlarspur_questions_total{answer="found"} 0
         medlarspur_questions_total{answer="guessed"} 0
     "##]]
-    .assert_eq(&lines(&meters, "medlarspur_"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_"));
 }
 
 #[test]
-fn a_gauge_is_read_at_the_scrape() {
-    let (operator, _, meters) = server(true);
-    meters.gauge(Gauge::FlowsHeld, || 42);
+fn a_gauge_is_read_at_each_scrape() {
+    let (operator, _, meters) = start_server(true);
+    meters.observe_gauge(Gauge::FlowsHeld, || 42);
 
     let (code, body) = get(&operator, "/metrics");
 
@@ -122,15 +123,15 @@
 }
 
 #[test]
-fn histograms_tell_services_and_classes_apart() {
+fn services_and_classes_have_separate_histograms() {
     let meters = Meters::new().expect("metrics");
     let service = ServiceName::new("alertdesk");
     let feed = meters.class(&service, Class::Feed);
     let request = meters.class(&service, Class::Request);
 
-    feed.forward(Duration::from_micros(30));
-    meters.class(&service, Class::Feed).forward(Duration::from_micros(30));
-    request.wait(Duration::from_millis(2));
+    feed.record_forward(Duration::from_micros(30));
+    meters.class(&service, Class::Feed).record_forward(Duration::from_micros(30));
+    request.record_wait(Duration::from_millis(2));
 
     expect![[r##"
         # HELP medlarspur_forward_seconds Time from a packet's arrival to its way on; sampled.
@@ -164,26 +165,26 @@
         medlarspur_forward_seconds_sum{class="request",service="alertdesk"} 0
         medlarspur_forward_seconds_count{class="request",service="alertdesk"} 0
     "##]]
-    .assert_eq(&lines(&meters, "medlarspur_forward_seconds"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_forward_seconds"));
     expect![[r#"
         medlarspur_wait_seconds_sum{class="feed",service="alertdesk"} 0
         medlarspur_wait_seconds_sum{class="request",service="alertdesk"} 0.002
     "#]]
-    .assert_eq(&lines(&meters, "medlarspur_wait_seconds_sum"));
+    .assert_eq(&metric_lines(&meters, "medlarspur_wait_seconds_sum"));
 }
 
-/// At the target size there are 3,400 services. The library would put those
-/// beyond its limit into one nameless series, and they could not be told apart.
+/// Guards against services without a series of their own. By default, the library merges
+/// those beyond 2,000 into one unnamed series; the design allows for 3,400 services.
 #[test]
-fn thousands_of_services_keep_their_own_series() {
+fn thousands_of_services_have_their_own_series() {
     let meters = Meters::new().expect("metrics");
 
     for ix in 0..4000 {
         let service = ServiceName::new(&format!("s{ix}"));
-        meters.class(&service, Class::Feed).length(Duration::from_secs(1));
+        meters.class(&service, Class::Feed).record_lifetime(Duration::from_secs(1));
     }
 
-    let counts = lines(&meters, "medlarspur_flow_seconds_count");
+    let counts = metric_lines(&meters, "medlarspur_flow_seconds_count");
     assert_eq!(counts.lines().count(), 4000);
     assert!(!counts.contains("overflow"));
 }
--- a/operator/tests/test_server.rs
+++ b/operator/tests/test_server.rs
@@ -1,7 +1,7 @@
-//! Starting and stopping.
+//! Start and stop of the server.
 
-use crate::fixtures::{ANY, Instance, get, server};
-use medlarspur_operator::{Meters, Operator, OperatorError};
+use crate::fixtures::{ANY_PORT, Instance, get, start_server};
+use medlarspur_operator::{Meters, OperatorError, OperatorServer};
 use std::{
     net::{SocketAddr, TcpListener, TcpStream},
     sync::Arc,
@@ -9,8 +9,8 @@
 
 #[test]
 fn two_servers_run_side_by_side() {
-    let (first, ..) = server(true);
-    let (second, ..) = server(false);
+    let (first, ..) = start_server(true);
+    let (second, ..) = start_server(false);
 
     assert_ne!(first.address().port(), 0);
     assert_ne!(first.address(), second.address());
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn a_stopped_server_leaves_its_port() {
-    let (operator, ..) = server(true);
+fn a_stopped_server_releases_its_port() {
+    let (operator, ..) = start_server(true);
     let address = operator.address();
 
     operator.stop();
@@ -28,17 +28,17 @@
     assert!(TcpStream::connect(address).is_err());
 }
 
-/// Another process holds the port of the settings. Without a typed error the
-/// daemon would run on and answer nobody.
+/// Guards against a daemon that runs on without serving operators, because another process
+/// holds the configured port.
 #[test]
-fn a_port_in_use_fails_the_start() {
-    let holder = TcpListener::bind(ANY).expect("a port");
+fn start_fails_if_the_port_is_in_use() {
+    let holder = TcpListener::bind(ANY_PORT).expect("a port");
     let SocketAddr::V4(address) = holder.local_addr().expect("an address") else {
         unreachable!("bound to IPv4")
     };
     let instance = Arc::new(Instance { ready: true.into() });
 
-    let error = Operator::start(address, instance, Meters::new().expect("metrics"))
+    let error = OperatorServer::start(address, instance, Meters::new().expect("metrics"))
         .expect_err("the port is in use");
 
     assert!(matches!(error, OperatorError::Launch { .. }), "{error}");
--- a/peer/src/counters.rs
+++ b/peer/src/counters.rs
@@ -1,92 +1,98 @@
-//! What the control connections have done, counted.
+//! Counters of the control connections.
 
 use crate::generated::{Envelope, envelope::Message};
 use prost::Message as _;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// What a control message is for; bytes are counted for each.
+/// Purpose of a control message. Messages and bytes are counted for each kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// Heartbeats and leaving.
+pub enum MessageKind {
+    /// Heartbeats, lists of members and requests for them, and leaving.
     Members,
-    /// Requests and answers about the bundle.
+    /// Parts of the bundle and requests for them.
     Bundle,
     /// Plans and requests for them.
     Plan,
-    /// Flows for keepers.
+    /// Adverts of flows to their keepers.
     Advert,
-    /// Bucket history and requests for it.
+    /// Histories of buckets and requests for them.
     History,
 }
 
-impl Kind {
-    /// All kinds, in the order of [`Counters`].
-    pub const ALL: [Kind; 5] =
-        [Kind::Members, Kind::Bundle, Kind::Plan, Kind::Advert, Kind::History];
-
-    /// The name for metrics.
+impl MessageKind {
+    /// Every kind, in the order of the arrays in [`Counters`].
+    pub const ALL: [MessageKind; 5] = [
+        MessageKind::Members,
+        MessageKind::Bundle,
+        MessageKind::Plan,
+        MessageKind::Advert,
+        MessageKind::History,
+    ];
+
+    /// Returns the label in the metrics.
     pub fn name(self) -> &'static str {
         match self {
-            Kind::Members => "members",
-            Kind::Bundle => "bundle",
-            Kind::Plan => "plan",
-            Kind::Advert => "advert",
-            Kind::History => "history",
+            MessageKind::Members => "members",
+            MessageKind::Bundle => "bundle",
+            MessageKind::Plan => "plan",
+            MessageKind::Advert => "advert",
+            MessageKind::History => "history",
         }
     }
 
-    fn of(envelope: &Envelope) -> Option<Kind> {
+    fn of_envelope(envelope: &Envelope) -> Option<MessageKind> {
         Some(match envelope.message.as_ref()? {
             Message::Heartbeat(_)
             | Message::Leave(_)
             | Message::MembersRequest(_)
-            | Message::MembersAnswer(_) => Kind::Members,
+            | Message::MembersAnswer(_) => MessageKind::Members,
             Message::BundleRequest(_)
             | Message::BundleDelta(_)
             | Message::BundleOutline(_)
             | Message::PieceRequest(_)
-            | Message::Pieces(_) => Kind::Bundle,
-            Message::PlanRequest(_) | Message::Plan(_) => Kind::Plan,
-            Message::Advert(_) => Kind::Advert,
-            Message::HistoryRequest(_) | Message::History(_) => Kind::History,
+            | Message::Pieces(_) => MessageKind::Bundle,
+            Message::PlanRequest(_) | Message::Plan(_) => MessageKind::Plan,
+            Message::Advert(_) => MessageKind::Advert,
+            Message::HistoryRequest(_) | Message::History(_) => MessageKind::History,
         })
     }
 }
 
-/// Messages and their encoded bytes, without what gRPC and TLS add.
+/// Numbers of messages and of their encoded bytes, without the overhead of gRPC and TLS.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub struct Bytes {
-    /// How many messages.
+pub struct Traffic {
+    /// Number of messages.
     pub messages: u64,
-    /// How many bytes.
+    /// Number of bytes.
     pub bytes: u64,
 }
 
-/// The counters as they stood when asked for.
+/// Copy of the counters at one moment.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counters {
-    /// What was handed to peers, by [`Kind::ALL`].
-    pub sent: [Bytes; 5],
-    /// What peers handed over, by [`Kind::ALL`].
-    pub received: [Bytes; 5],
-    /// Messages that found the channel to the network full.
+    /// Messages sent, in the order of [`MessageKind::ALL`].
+    pub sent: [Traffic; 5],
+    /// Messages received, in the order of [`MessageKind::ALL`].
+    pub received: [Traffic; 5],
+    /// Messages dropped because the channel to the network or the queue of a peer was full.
     pub dropped: u64,
-    /// Messages that found the channel from the network full.
+    /// Messages dropped because the channel from the network was full.
     pub unread: u64,
-    /// Batches that could not be handed over.
+    /// Batches that could not be sent, and connections that could not be set up.
     pub failed: u64,
-    /// Batches refused because they are of another site.
+    /// Batches refused because they are from another site.
     pub foreign: u64,
     /// Batches refused because they are too large.
     pub oversize: u64,
-    /// Batches refused because a message in them has no meaning.
+    /// Batches refused because of an invalid message.
     pub malformed: u64,
 }
 
+/// The counters, shared between threads.
 #[derive(Debug, Default)]
-pub(crate) struct Live {
-    sent: [Pair; 5],
-    received: [Pair; 5],
+pub(crate) struct LiveCounters {
+    sent: [LiveTraffic; 5],
+    received: [LiveTraffic; 5],
     pub(crate) dropped: AtomicU64,
     pub(crate) unread: AtomicU64,
     pub(crate) failed: AtomicU64,
@@ -96,29 +102,29 @@
 }
 
 #[derive(Debug, Default)]
-struct Pair {
+struct LiveTraffic {
     messages: AtomicU64,
     bytes: AtomicU64,
 }
 
-impl Pair {
+impl LiveTraffic {
     fn add(&self, bytes: usize) {
         self.messages.fetch_add(1, Relaxed);
         self.bytes.fetch_add(bytes as u64, Relaxed);
     }
 
-    fn read(&self) -> Bytes {
-        Bytes { messages: self.messages.load(Relaxed), bytes: self.bytes.load(Relaxed) }
+    fn read(&self) -> Traffic {
+        Traffic { messages: self.messages.load(Relaxed), bytes: self.bytes.load(Relaxed) }
     }
 }
 
-impl Live {
-    pub(crate) fn sent(&self, envelope: &Envelope) {
-        count(&self.sent, envelope);
+impl LiveCounters {
+    pub(crate) fn count_sent(&self, envelope: &Envelope) {
+        add_traffic(&self.sent, envelope);
     }
 
-    pub(crate) fn received(&self, envelope: &Envelope) {
-        count(&self.received, envelope);
+    pub(crate) fn count_received(&self, envelope: &Envelope) {
+        add_traffic(&self.received, envelope);
     }
 
     pub(crate) fn read(&self) -> Counters {
@@ -135,12 +141,12 @@
     }
 }
 
-fn count(pairs: &[Pair; 5], envelope: &Envelope) {
-    if let Some(kind) = Kind::of(envelope) {
-        pairs[kind as usize].add(envelope.encoded_len());
+fn add_traffic(traffic: &[LiveTraffic; 5], envelope: &Envelope) {
+    if let Some(kind) = MessageKind::of_envelope(envelope) {
+        traffic[kind as usize].add(envelope.encoded_len());
     }
 }
 
-pub(crate) fn bump(counter: &AtomicU64) {
+pub(crate) fn increment(counter: &AtomicU64) {
     counter.fetch_add(1, Relaxed);
 }
