--- a/lib/src/control/beat.rs
+++ b/lib/src/control/beat.rs
@@ -28,10 +28,11 @@
     next: Option<Millis>,
     /// Time of the next probes to addresses without contact.
     next_probe: Option<Millis>,
-    /// Offset of the schedule, so that instances started together don't all
-    /// send at the same moment.
+    /// Delay of the first heartbeats in milliseconds, so that instances started
+    /// together don't all send at the same moment.
     phase: u64,
-    /// Counts these probes, to take the addresses in turn.
+    /// Counts the probes to addresses without contact, to take the addresses in
+    /// turn.
     turn: u64,
     /// The bundle that each peer claimed to have; kept until this instance is
     /// ready.
@@ -166,7 +167,8 @@
 
     fn record_contact(&mut self, now: Millis, name: &InstanceName, digest: u64, to: SocketAddrV4) {
         let differs = self.roster.record_contact(now, name, digest);
-        // A starting instance knows nobody and doesn't wait for rumours.
+        // A starting instance knows no other member and doesn't wait for
+        // rumours.
         if differs || !self.is_ready() {
             self.request_members(now, digest, to);
         }
--- a/load/src/shares.rs
+++ b/load/src/shares.rs
@@ -4,8 +4,8 @@
 //! whole slot of a target with two slots would overload it four times; with none each, it
 //! would be idle. A share is therefore a *time average*: a [`TokenBucket`] fills at the
 //! rate of the share and is charged for each admitted piece of work. Without it, a target's
-//! backlog grows until callers give up on work that then runs for nobody: hold times grow
-//! while goodput falls.
+//! backlog grows until callers no longer wait for their work, which still runs: hold times
+//! grow while goodput falls.
 //!
 //! The bucket of short work fills at the [`AdmissionRate`], which follows the ends that are
 //! seen. The bucket of long work fills at the instance's part of the slots and is charged
@@ -29,6 +29,7 @@
     rate: f64,
     min_burst: f64,
     tokens: f64,
+    /// Cost of a piece of work on which the present debt is based.
     debt_cost: f64,
     at: Millis,
 }
@@ -124,9 +125,12 @@
 #[derive(Debug, Clone, Default)]
 pub struct AdmissionRate {
     ended: f64,
+    /// Time up to which the count of ends has decayed.
     at: Millis,
     is_limited: bool,
+    /// Ratio of admitted work to ended work.
     gain: f64,
+    /// Number of successive updates with idle slots.
     idle_ticks: u8,
 }
 
@@ -191,6 +195,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct UploadDemand {
     count: f64,
+    /// Time up to which the count has decayed.
     at: Millis,
 }
 
--- a/marked/src/fleet/readers.rs
+++ b/marked/src/fleet/readers.rs
@@ -67,8 +67,8 @@
     /// Starts or stops reading the store.
     pub(super) fn update_role(&mut self, catalog: &Catalog, now: Millis) {
         if let Some(since) = self.reading_since {
-            let is_long = now.since(since) >= MIN_READING_TIME;
-            if is_long && self.is_redundant(now) {
+            let may_stop = now.since(since) >= MIN_READING_TIME;
+            if may_stop && self.is_redundant(now) {
                 log::info!("readers: this instance stops reading the store, enough others read it");
                 self.reading_since = None;
                 self.last_answer = None;
@@ -114,7 +114,7 @@
         if self.is_reading() {
             return now + DISCOVERY_INTERVAL;
         }
-        // When the first of the readers becomes too old.
+        // Time at which the first of the readers no longer counts.
         let oldest = self.readers(now).filter_map(|it| self.peers[&it].last_answer).min();
         oldest.map_or(now, |at| at + READER_TIMEOUT + Millis(1))
     }
