--- a/daemon/src/control.rs
+++ b/daemon/src/control.rs
@@ -199,7 +199,7 @@
             Action::Send { to, message } => self.peers.send(to, message),
             Action::Accepted(text) => self.accept_bundle(now, &text),
             Action::Refused { reason } => {
-                if !matches!(reason, spread::Refusal::Check { .. }) {
+                if !matches!(reason, spread::TextError::Check { .. }) {
                     self.checker.count_outcome(INCOMPLETE);
                 }
                 log::warn!("bundle refused: {}", Report::from_error(reason));
--- a/daemon/tests/test_marked_targets.rs
+++ b/daemon/tests/test_marked_targets.rs
@@ -12,7 +12,7 @@
 
 /// Guards against flows that are cut while a target is drained and replaced.
 #[test]
-fn a_released_target_cuts_no_flow() {
+fn a_replaced_target_cuts_no_flow() {
     let mut site = site(8, 3);
     add_mixed_callers(&mut site);
     wait_for_answers(&site, 60);
--- a/lib/src/control/event.rs
+++ b/lib/src/control/event.rs
@@ -5,7 +5,7 @@
     members::{Candidate, Member},
     message::{Message, ServicePlan},
     plan::Moves,
-    spread::{Refusal, SignedText},
+    spread::{SignedText, TextError},
     time::Millis,
 };
 use std::{net::SocketAddrV4, sync::Arc};
@@ -55,7 +55,7 @@
     /// A bundle was refused; the one in force stays.
     Refused {
         /// The reason.
-        reason: Refusal,
+        reason: TextError,
     },
     /// The members have changed; the list is complete and begins with this
     /// instance.
--- a/lib/src/control/mod.rs
+++ b/lib/src/control/mod.rs
@@ -23,7 +23,7 @@
     members::{Candidate, Member, Roster},
     message::{Message, ServicePlan},
     plan::{self, Moves, Plans},
-    spread::{Check, Refusal, SignedText, Spread, is_reader},
+    spread::{Check, SignedText, Spread, TextError, is_reader},
     time::Millis,
 };
 use std::{net::SocketAddrV4, sync::Arc};
@@ -251,9 +251,9 @@
         self.handle_offer(offered);
     }
 
-    fn handle_offer(&mut self, offered: Result<Option<Arc<SignedText>>, Refusal>) {
+    fn handle_offer(&mut self, offered: Result<Option<Arc<SignedText>>, TextError>) {
         match offered {
-            Ok(None) | Err(Refusal::Repeated) => {}
+            Ok(None) | Err(TextError::Repeated) => {}
             Ok(Some(signed)) => {
                 self.roster.set_own_progress(signed.version, self.roster.me().advertised);
                 self.actions.push(Action::Accepted(signed));
--- a/lib/src/spread/assembly.rs
+++ b/lib/src/spread/assembly.rs
@@ -5,7 +5,7 @@
 //! down. A whole text from one peer would be a megabyte against a budget of 8
 //! KB/s, so each peer sends a part of it, at a bounded rate.
 
-use super::{ANSWER_TIMEOUT, MAX_TEXT, Refusal, error, pieces::short_digest};
+use super::{ANSWER_TIMEOUT, MAX_TEXT, TextError, error, pieces::short_digest};
 use crate::{
     collections::Map,
     ids::Version,
@@ -145,7 +145,7 @@
 
     /// Adds pieces. A source that sends another piece than the outline names is
     /// dropped.
-    pub(super) fn add_pieces(&mut self, now: Millis, pieces: &Pieces) -> Result<(), Refusal> {
+    pub(super) fn add_pieces(&mut self, now: Millis, pieces: &Pieces) -> Result<(), TextError> {
         if pieces.digest != self.order.1 {
             return Ok(());
         }
@@ -162,7 +162,7 @@
         self.sources.retain(|s| s.addr != addr);
     }
 
-    fn put(&mut self, now: Millis, at: u32, piece: &Arc<str>) -> Result<(), Refusal> {
+    fn put(&mut self, now: Millis, at: u32, piece: &Arc<str>) -> Result<(), TextError> {
         let ix = at as usize;
         ensure!(self.wanted.get(ix) == Some(&short_digest(piece)), error::WrongPieceSnafu { at });
         if self.slots[ix].is_some() {
--- a/lib/src/spread/error.rs
+++ b/lib/src/spread/error.rs
@@ -7,7 +7,7 @@
 /// stays.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
-pub enum Refusal {
+pub enum TextError {
     /// The text failed a check.
     #[snafu(display("the bundle failed its checks"))]
     Check {
--- a/lib/src/spread/mod.rs
+++ b/lib/src/spread/mod.rs
@@ -11,7 +11,7 @@
 
 pub use self::{
     assembly::{ANSWER_BYTES, PIECE_RATE},
-    error::Refusal,
+    error::TextError,
     pieces::{diff, rebuild, short_digest, split},
     readers::{READERS_PER_DOMAIN, is_reader},
 };
@@ -133,7 +133,7 @@
 
     /// Offers a whole text. Returns it if it came into force, and `None` if the
     /// bundle in force is the same or a later one.
-    pub fn offer(&mut self, text: &str) -> Result<Option<Arc<SignedText>>, Refusal> {
+    pub fn offer(&mut self, text: &str) -> Result<Option<Arc<SignedText>>, TextError> {
         ensure!(text.len() <= MAX_TEXT, error::TooLongSnafu { bytes: text.len() });
         let digest = digest(text);
         if self.texts.iter().any(|t| t.digest == digest) || self.outdated.contains(&digest) {
@@ -142,7 +142,7 @@
         ensure!(!self.refused.contains(&digest), error::RepeatedSnafu);
         let version = self.checker.check(text).map_err(|source| {
             self.refuse(digest);
-            Refusal::Check { source: Box::new(source) }
+            TextError::Check { source: Box::new(source) }
         })?;
         self.detect_conflict(version, digest);
         let signed = SignedText { text: text.into(), version, digest };
@@ -239,7 +239,7 @@
         &mut self,
         now: Millis,
         outline: &BundleOutline,
-    ) -> Result<Option<Arc<SignedText>>, Refusal> {
+    ) -> Result<Option<Arc<SignedText>>, TextError> {
         let order = (outline.version, outline.digest);
         if !self.wants(order) || self.assembly.as_ref().is_some_and(|a| a.order >= order) {
             return Ok(None);
@@ -280,14 +280,14 @@
         &mut self,
         now: Millis,
         pieces: &Pieces,
-    ) -> Result<Option<Arc<SignedText>>, Refusal> {
+    ) -> Result<Option<Arc<SignedText>>, TextError> {
         if let Some(assembly) = &mut self.assembly {
             assembly.add_pieces(now, pieces)?;
         }
         self.finish_assembly()
     }
 
-    fn finish_assembly(&mut self) -> Result<Option<Arc<SignedText>>, Refusal> {
+    fn finish_assembly(&mut self) -> Result<Option<Arc<SignedText>>, TextError> {
         let Some(assembly) = self.assembly.as_ref().filter(|a| a.is_complete()) else {
             return Ok(None);
         };
@@ -301,7 +301,10 @@
     }
 
     /// Rebuilds a text from a peer's delta and offers it.
-    pub fn apply_delta(&mut self, delta: &BundleDelta) -> Result<Option<Arc<SignedText>>, Refusal> {
+    pub fn apply_delta(
+        &mut self,
+        delta: &BundleDelta,
+    ) -> Result<Option<Arc<SignedText>>, TextError> {
         if !self.wants((delta.version, delta.digest)) {
             return Ok(None);
         }
@@ -313,8 +316,8 @@
         self.offer(&text)
     }
 
-    fn find_base(&self, digest: Digest) -> Result<&str, Refusal> {
+    fn find_base(&self, digest: Digest) -> Result<&str, TextError> {
         let found = self.texts.iter().find(|t| t.digest == digest);
-        found.map(|t| &*t.text).ok_or(Refusal::UnknownBase)
+        found.map(|t| &*t.text).ok_or(TextError::UnknownBase)
     }
 }
--- a/lib/src/spread/pieces.rs
+++ b/lib/src/spread/pieces.rs
@@ -1,6 +1,6 @@
 //! Splitting of a bundle's text into pieces, so that only changes are sent.
 
-use super::{MAX_TEXT, Refusal, error};
+use super::{MAX_TEXT, TextError, error};
 use crate::{collections::Map, message::Piece};
 use snafu::{OptionExt, ensure};
 
@@ -80,7 +80,7 @@
 }
 
 /// Rebuilds the text whose delta to `base` is `ops`.
-pub fn rebuild(base: &str, ops: &[Piece]) -> Result<String, Refusal> {
+pub fn rebuild(base: &str, ops: &[Piece]) -> Result<String, TextError> {
     let old = split(base);
     let mut text = String::with_capacity(base.len());
     for op in ops {
@@ -94,7 +94,7 @@
     Ok(text)
 }
 
-fn copy(text: &mut String, old: &[&str], first: u32, count: u32) -> Result<(), Refusal> {
+fn copy(text: &mut String, old: &[&str], first: u32, count: u32) -> Result<(), TextError> {
     let outside = error::OutOfRangeSnafu { first, count, pieces: old.len() };
     let end = first.checked_add(count).context(outside)?;
     let run = old.get(first as usize..end as usize).context(outside)?;
--- a/lib/tests/fleet/test_spread.rs
+++ b/lib/tests/fleet/test_spread.rs
@@ -5,7 +5,7 @@
     control::Event,
     ids::{DomainName, Version},
     message::{BundleDelta, BundleRequest, Message, Piece},
-    spread::{Refusal, Spread, diff, digest, rebuild, split},
+    spread::{Spread, TextError, diff, digest, rebuild, split},
     time::Millis,
 };
 use proptest::prelude::*;
@@ -229,8 +229,8 @@
     let far =
         BundleDelta { pieces: vec![Piece::Copy { first: 3, count: u32::MAX }], ..right.clone() };
 
-    assert!(matches!(spread.apply_delta(&wrong), Err(Refusal::Digest)));
-    assert!(matches!(spread.apply_delta(&far), Err(Refusal::OutOfRange { .. })));
+    assert!(matches!(spread.apply_delta(&wrong), Err(TextError::Digest)));
+    assert!(matches!(spread.apply_delta(&far), Err(TextError::OutOfRange { .. })));
     assert!(spread.apply_delta(&right).expect("accepted").is_some());
 }
 
--- a/load/examples/overload.rs
+++ b/load/examples/overload.rs
@@ -34,7 +34,7 @@
 
 const SCENES: [Played; 5] = [
     ("half of the targets gone", Scene::half_gone, (4_000, 10_000)),
-    ("a quarter more than that", Scene::more_asked, (4_000, 10_000)),
+    ("a quarter more than that", Scene::more_requests, (4_000, 10_000)),
     ("a crowd after an outage", Scene::outage, (4_000, 8_000)),
     ("an ordinary day", Scene::site, (0, 14_000)),
     ("work of 2/3 of the goal", Scene::slow, (3_000, 14_000)),
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -45,7 +45,7 @@
     /// The target is no longer listed but has answered since then: its entry lapsed.
     Unlisted,
     /// Something sent to the target recently got no answer.
-    Doubtful,
+    Suspected,
 }
 
 /// A target that could take a flow.
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -72,7 +72,7 @@
     }
 
     /// The same with a quarter more requests.
-    pub fn more_asked(seed: u64) -> Scene {
+    pub fn more_requests(seed: u64) -> Scene {
         Scene { requests: 104.0, feeds: 365.0, ..Scene::half_gone(seed) }
     }
 
--- a/load/tests/test_overload.rs
+++ b/load/tests/test_overload.rs
@@ -29,7 +29,7 @@
 /// all the rest late.
 #[test]
 fn a_larger_overload_gains_more() {
-    let [without, with] = compare(Scene::more_asked, 4_000, 10_000);
+    let [without, with] = compare(Scene::more_requests, 4_000, 10_000);
 
     assert!(
         with.fraction_in_time() > without.fraction_in_time() + 0.12,
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -349,7 +349,7 @@
     assert_eq!(instance.out.resets, [(flow(1, REQUEST), 0, Refusal::Warming)]);
 }
 
-/// Guards against a service without targets after all of them were released: without a limit by
+/// Guards against a service without targets after all of them were replaced: without a limit by
 /// operators, a target in slow start gets fewer flows, but not none.
 #[test]
 fn targets_in_slow_start_are_used_if_their_rate_is_not_limited() {
--- a/testutils/tests/test_faults.rs
+++ b/testutils/tests/test_faults.rs
@@ -22,7 +22,7 @@
     (answer.status().as_u16(), answer.body_mut().read_to_string().unwrap())
 }
 
-fn impatient() -> Timeouts {
+fn short_timeouts() -> Timeouts {
     Timeouts { handshake: Millis::secs(2), ..Timeouts::default() }
 }
 
@@ -33,9 +33,9 @@
     fabric.set_list(vec![relay("x", &targets), relay("y", &targets)]);
 
     fabric.block(&["x"]);
-    let one = call(&fabric, vec![stream(2, Class::Request, 20)], impatient());
+    let one = call(&fabric, vec![stream(2, Class::Request, 20)], short_timeouts());
     fabric.block(&["x", "y"]);
-    let none = call(&fabric, vec![stream(2, Class::Request, 20)], impatient());
+    let none = call(&fabric, vec![stream(2, Class::Request, 20)], short_timeouts());
 
     let row = |report: &medlarspur_testutils::report::Report| {
         let (_, _, row) = report.iter().next().unwrap();
@@ -54,7 +54,7 @@
     listed.state = ListedState::Leaving;
     fabric.set_list(vec![listed]);
 
-    let report = call(&fabric, vec![stream(2, Class::Request, 20)], impatient());
+    let report = call(&fabric, vec![stream(2, Class::Request, 20)], short_timeouts());
 
     let (_, _, row) = report.iter().next().unwrap();
     assert_eq!((row.completed, row.unanswered), (0, 20));
--- a/testutils/tests/test_path.rs
+++ b/testutils/tests/test_path.rs
@@ -24,7 +24,7 @@
 
 const ADDRESS: Ipv4Addr = Ipv4Addr::new(10, 70, 0, 1);
 /// Timeouts for work that must complete even on a busy machine.
-const PATIENT: Timeouts = Timeouts { handshake: Millis::secs(60), idle: Millis::secs(60) };
+const LONG_TIMEOUTS: Timeouts = Timeouts { handshake: Millis::secs(60), idle: Millis::secs(60) };
 const PORTS: [(u16, Class); 3] = [(1, Class::Feed), (2, Class::Request), (3, Class::Upload)];
 
 pub fn targets(fabric: &Fabric) -> Targets {
@@ -78,7 +78,7 @@
     fabric.set_list(vec![relay("x", &targets), relay("y", &targets)]);
     let streams = PORTS.iter().map(|&(port, class)| stream(port, class, 40)).collect();
 
-    let report = call(&fabric, streams, PATIENT);
+    let report = call(&fabric, streams, LONG_TIMEOUTS);
 
     let completed = report.iter().map(|(_, _, row)| row.completed).collect::<Vec<_>>();
     assert_eq!(completed, [40, 40, 40], "{report:?}");
