--- a/daemon/src/gate.rs
+++ b/daemon/src/gate.rs
@@ -60,8 +60,8 @@
     gate: load::Gate,
     positions: Map<TargetId, (ServiceIx, TargetIx)>,
     names: Map<TargetName, TargetId>,
-    /// Usually few or none. Views are published often, and only these targets are
-    /// checked for each.
+    /// Leaving targets that still own a bucket, usually few or none. Views are
+    /// published often, and only these targets are checked for each.
     leaving_owners: Vec<LeavingOwner>,
     retry_after: Vec<Millis>,
     decided: Vec<(FlowId, load::Verdict)>,
--- a/daemon/src/marked/inbox.rs
+++ b/daemon/src/marked/inbox.rs
@@ -57,7 +57,7 @@
     Operator(OperatorQuery),
 }
 
-/// An operator's query, with a channel that has capacity for the answer.
+/// An operator's query, with a channel for the answer that has capacity for it.
 #[derive(Debug)]
 pub enum OperatorQuery {
     /// Returns the state of the instance.
--- a/daemon/src/marked/instance/report.rs
+++ b/daemon/src/marked/instance/report.rs
@@ -20,8 +20,8 @@
 };
 
 /// Delay from the start until the metrics are served. Starting the server takes some
-/// milliseconds of processor time, or tens of milliseconds on a twentieth of a core, which
-/// packets queued at the start need more urgently.
+/// milliseconds of processor time, or tens of milliseconds on a twentieth of a core. Packets
+/// queued at the start need that time more urgently.
 const METRICS_DELAY: Millis = Millis::secs(3);
 
 /// The metrics and their server, once it is started.
--- a/daemon/tests/marked.rs
+++ b/daemon/tests/marked.rs
@@ -37,7 +37,7 @@
     site.add_callers(Class::Upload, 2);
 }
 
-/// Waits until a condition holds. `what` names it if it never does.
+/// Waits until a condition holds. If it never does, the test fails with the message `what`.
 pub fn wait_until(what: &str, holds: impl Fn() -> bool) {
     let end = Instant::now() + TIMEOUT;
     while !holds() {
--- a/daemon/tests/test_gate.rs
+++ b/daemon/tests/test_gate.rs
@@ -122,8 +122,8 @@
     assert!(matches!(verdict, Verdict::Refuse { .. }), "{verdict:?}");
 }
 
-/// Guards against the same if the process sleeps after it has learned that the target leaves and
-/// before it has carried out the moves.
+/// Guards against opening flows at a leaving target if the process sleeps after it has learned
+/// that the target leaves and before it has carried out the moves.
 #[test]
 fn after_a_sleep_during_a_move_no_flow_is_opened_at_the_old_owner() {
     let (mut draft, mut gate) = started("active");
--- a/daemon/tests/test_marked_instances.rs
+++ b/daemon/tests/test_marked_instances.rs
@@ -68,8 +68,8 @@
     stop_callers(&site);
 }
 
-/// Guards against an instance that was paused for seconds and serves with an outdated catalog,
-/// after a target has left meanwhile.
+/// Guards against an instance that serves with an outdated catalog after it was paused for seconds
+/// while a target left.
 #[test]
 fn a_paused_instance_serves_again() {
     let mut site = site(8, 3);
--- a/daemon/tests/test_marked_pictures.rs
+++ b/daemon/tests/test_marked_pictures.rs
@@ -74,7 +74,7 @@
                     assert_eq!((from, update.revision), (address, Revision::new(0, 7)));
                     pulled += 1;
                 }
-                // Too many at once: the requester pulls again, or from another instance.
+                // Rejected because of too many pulls at once: the requester pulls again.
                 Event::PullFailed(from) => assert_eq!(from, address),
                 other => panic!("{other:?}"),
             }
--- a/daemon/tests/test_marked_soak.rs
+++ b/daemon/tests/test_marked_soak.rs
@@ -34,7 +34,7 @@
     soak(125);
 }
 
-/// Guards against the same with an instance that was paused meanwhile.
+/// Guards against the same check when an instance was paused meanwhile.
 #[test]
 fn seed_165_is_sound() {
     soak(165);
@@ -46,13 +46,13 @@
     soak(3_012);
 }
 
-/// First seed on which targets start again under their ids and are full.
+/// First seed with targets that restart under their ids and targets that are full.
 #[test]
 fn seed_1000_is_sound() {
     soak(1_000);
 }
 
-/// First seed on which the store is restored from copies.
+/// First seed with restores of the store from copies.
 #[test]
 fn seed_9000_is_sound() {
     soak(9_000);
--- a/lib/src/control/event.rs
+++ b/lib/src/control/event.rs
@@ -60,7 +60,7 @@
     /// The members have changed; the list is complete and begins with this
     /// instance.
     Members(Vec<Member>),
-    /// A plan is to be followed from now on.
+    /// Follow a plan from now on.
     Plan(ServicePlan),
     /// Whether to watch the platform.
     ReadPlatform(bool),
--- a/lib/src/members/mod.rs
+++ b/lib/src/members/mod.rs
@@ -50,8 +50,8 @@
         pub advertised: u64,
     }
 
-    /// An entry of the platform's list of instances. The list lags, so it only
-    /// tells which instances to probe.
+    /// An entry of the platform's list of instances. The list lags, so it is
+    /// only used to choose instances to probe.
     pub struct Candidate {
         /// Its name.
         pub name: InstanceName,
--- a/lib/src/members/rumours.rs
+++ b/lib/src/members/rumours.rs
@@ -1,4 +1,4 @@
-//! Rumours: updates of members that are still to be gossiped.
+//! Rumours: updates of members that are still to be propagated by gossip.
 
 use super::{Member, NEIGHBOURS};
 use crate::{collections::Map, ids::InstanceName};
--- a/lib/src/spread/error.rs
+++ b/lib/src/spread/error.rs
@@ -1,10 +1,9 @@
-//! Reasons for which a bundle's text is refused.
+//! Reasons why a bundle's text is refused.
 
 use super::MAX_TEXT;
 use snafu::Snafu;
 
-/// The reason for which a text did not come into force. The bundle in force
-/// stays.
+/// The reason why a text did not come into force. The bundle in force stays.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(super)))]
 pub enum TextError {
--- a/lib/src/spread/mod.rs
+++ b/lib/src/spread/mod.rs
@@ -46,7 +46,7 @@
 
 /// Checks a whole signed text: signature, schema and cross-checks.
 pub trait Check {
-    /// The reason for which a text is refused.
+    /// The reason why a text is refused.
     type Error: std::error::Error + Send + Sync + 'static;
 
     /// Returns the version of `text` if it may come into force.
--- a/lib/src/view/bucket.rs
+++ b/lib/src/view/bucket.rs
@@ -38,13 +38,13 @@
 /// An earlier owner of a bucket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EarlierOwner {
-    /// The former owner.
+    /// The target that owned the bucket.
     pub target: TargetId,
     /// The time at which this instance saw it lose the bucket.
     pub since: Millis,
-    /// Whether it was the owner here. Otherwise it was only about to become the
-    /// owner when the move was called off, and hardly any flows were opened at
-    /// it.
+    /// Whether it was the owner in this instance's view. Otherwise it was only
+    /// about to become the owner when the move was cancelled, and hardly any
+    /// flows were opened at it.
     pub owned: bool,
 }
 
--- a/lib/src/view/draft.rs
+++ b/lib/src/view/draft.rs
@@ -306,8 +306,8 @@
     if wanted.is_none() {
         carry_out_to(&mut next, None, now);
     }
-    // An instance that was ahead may have carried out a move that was called
-    // off, so its target may hold flows.
+    // An instance that was ahead may have carried out a move that was
+    // cancelled, so its target may hold flows.
     if let Some(pending) = state.pending()
         && ongoing.is_none()
     {
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -44,7 +44,7 @@
     Good,
     /// The target is no longer listed but has answered since then: its entry lapsed.
     Unlisted,
-    /// Something sent to the target recently got no answer.
+    /// A packet or probe sent to the target recently got no answer.
     Suspected,
 }
 
--- a/load/src/warmup.rs
+++ b/load/src/warmup.rs
@@ -1,7 +1,7 @@
 //! Decides which instances may open flows at a target in slow start.
 //!
-//! Handles most targets of a service being in slow start at once: after a release of all,
-//! the return of a failure domain, or a power outage. Until a target is warm, it can take
+//! Most targets of a service may be in slow start at once: after all were replaced, after
+//! the return of a failure domain, or after a power outage. Until a target is warm, it can take
 //! only a limited number of requests a second from all instances together, and no instance
 //! sees what the others open there. Dividing the bound among the instances does not help:
 //! the bound is a few requests a second and there are hundreds of instances. Without any
--- a/load/tests/model/work.rs
+++ b/load/tests/model/work.rs
@@ -4,7 +4,7 @@
 use medlarspur_load::random::Random;
 use std::net::Ipv4Addr;
 
-/// A piece of work that a caller wants done.
+/// A piece of work that a caller requests.
 #[derive(Debug, Clone)]
 pub struct Work {
     pub class: Class,
--- a/load/tests/overload.rs
+++ b/load/tests/overload.rs
@@ -88,7 +88,7 @@
         Scene { outage: (0, 0), requests: 185.0, feeds: 655.0, ..Scene::outage(seed) }
     }
 
-    /// The site with the longest work per request; nobody is served for 1.7 s.
+    /// The site with the longest work per request; no caller is served for 1.7 s.
     pub fn outage(seed: u64) -> Scene {
         Scene {
             instances: 8,
--- a/marked/tests/net.rs
+++ b/marked/tests/net.rs
@@ -19,7 +19,7 @@
 const WATCH_TIME: u64 = 1_500;
 /// Time that a reader waits after changes, to gather more.
 const GATHER_TIME: u64 = 600;
-/// Number of successive answers of an earlier era after which a reader believes it.
+/// Number of successive answers of an earlier era after which a reader accepts it.
 const EARLIER_ERA_LIMIT: u32 = 8;
 /// Length of a step of virtual time.
 const STEP: u64 = 10;
--- a/marked/tests/test_restarts.rs
+++ b/marked/tests/test_restarts.rs
@@ -156,8 +156,8 @@
     assert!(instance.out.sent.iter().all(|(to, ..)| *to != other.incarnation));
 }
 
-/// Guards against wrong targets while some instances know the later start and others do not:
-/// packets of a flow may reach any of them.
+/// Guards against a flow whose packets go to different processes while only some instances know
+/// the later start. Packets of the flow may reach any instance.
 #[test]
 fn instances_with_different_catalogs_send_a_flow_to_the_same_process() {
     let mut ahead = Instance::new(&[started(1, "desk", FIRST)]);
--- a/tests/examples/moves/run.rs
+++ b/tests/examples/moves/run.rs
@@ -15,7 +15,7 @@
 const BATCH: usize = 10;
 /// Time between two batches, for two thousand new flows per second.
 const BATCH_INTERVAL: Millis = Millis(5);
-/// Resolution of the seconds in which control bytes are counted.
+/// Step of the virtual time at which control bytes per second are counted.
 const STEP: Millis = Millis(100);
 /// Time in which the fabric still sends to an instance that is gone.
 const LIST_LAG: Millis = Millis::secs(1);
@@ -181,14 +181,14 @@
         flows.map(|flow| flow.opened).max().unwrap_or(since).since(since)
     }
 
-    /// Returns broken flows and imbalance of the fleet.
+    /// Returns the number of broken flows and the imbalance of the fleet.
     pub fn outcome(&self) -> (usize, f64) {
         let broken = self.traffic.flows.iter().filter(|flow| flow.broken).count();
         let ends = self.traffic.flows.iter().filter_map(|flow| flow.target);
         (broken, imbalance(&self.site.bundle(), ends))
     }
 
-    /// Returns broken flows and imbalance of a baseline on the same packets.
+    /// Returns the number of broken flows and the imbalance of a baseline on the same packets.
     pub fn baseline(&self, baseline: Baseline) -> (usize, f64) {
         let replays: Vec<_> =
             self.traffic.flows.iter().map(|flow| self.history.replay(baseline, flow)).collect();
--- a/testutils/src/bin/capacity/main.rs
+++ b/testutils/src/bin/capacity/main.rs
@@ -19,7 +19,7 @@
 const SLOPES: &str = "docs/measures/slopes.yaml";
 const CURVES: &str = "docs/measures/slopes.svg";
 
-/// Why the costs can't be computed.
+/// Reasons why the costs can't be computed.
 #[derive(Debug, Snafu)]
 enum CapacityError {
     /// A file can't be read or written.
--- a/testutils/src/bin/capacity/slopes.rs
+++ b/testutils/src/bin/capacity/slopes.rs
@@ -8,7 +8,7 @@
 /// Minimum number of measured sizes of a slope.
 const MIN_POINTS: usize = 4;
 
-/// Why the slopes can't be used.
+/// Reasons why the slopes can't be used.
 #[derive(Debug, Snafu)]
 pub enum SlopesError {
     /// The text is not valid YAML or not a list of slopes.
--- a/testutils/src/bin/site.rs
+++ b/testutils/src/bin/site.rs
@@ -26,7 +26,7 @@
     time::{Duration, Instant},
 };
 
-/// Why the trial has no result.
+/// Reasons why the trial has no result.
 #[derive(Debug, Snafu)]
 enum Error {
     /// The site can't be started or changed.
--- a/testutils/src/client.rs
+++ b/testutils/src/client.rs
@@ -15,7 +15,7 @@
 pub struct Outcome {
     /// The work.
     pub work: Work,
-    /// How the work ended.
+    /// End of the work.
     pub end: End,
     /// Name of the target that answered, if any.
     pub target: Option<String>,
--- a/testutils/src/fabric.rs
+++ b/testutils/src/fabric.rs
@@ -34,7 +34,7 @@
     pub callers: SocketAddrV4,
     /// Address for answers of targets and instances.
     pub returns: SocketAddrV4,
-    /// How packets are spread.
+    /// Method by which packets are spread over instances.
     pub mode: Mode,
     /// Seed of the random choices.
     pub seed: u64,
--- a/testutils/src/fleet.rs
+++ b/testutils/src/fleet.rs
@@ -292,8 +292,8 @@
         self.announce_members(self.network.detection);
     }
 
-    /// Runs a round of anti-entropy: an instance whose history differs from that of
-    /// another on its side is sent the other's.
+    /// Runs a round of anti-entropy: an instance receives the history of another one on
+    /// its side if the two differ.
     fn exchange_history(&mut self) {
         let now = self.now;
         let known: Vec<_> = self
@@ -383,7 +383,7 @@
             return;
         }
         if self.nodes[ix].state == State::Frozen {
-            // Anti-entropy sends these again; other messages are lost.
+            // Only these are sent again, by anti-entropy; other messages are lost.
             if matches!(
                 delivery.message,
                 Message::Bundle(_) | Message::Plan(_) | Message::Members | Message::History(_)
--- a/testutils/src/host.rs
+++ b/testutils/src/host.rs
@@ -278,7 +278,7 @@
         entry.stage = entry.next_stage();
         self.ready.insert(conn);
         let next = self.iface.poll_at(now, &entry.sockets).map(millis);
-        // A connection that is due at the present time would be polled for ever.
+        // A connection due at the present time would be polled again without end.
         let next = next.map(|at| at.max(self.now + Millis(1)));
         self.schedule(conn, next);
     }
--- a/testutils/src/packet.rs
+++ b/testutils/src/packet.rs
@@ -6,7 +6,7 @@
 use smoltcp::wire::{IpProtocol, Ipv4Packet, TcpPacket, UdpPacket};
 use std::net::SocketAddrV4;
 
-/// What a packet does to its flow.
+/// Effect of a packet on its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// A TCP SYN without an acknowledgement.
@@ -26,7 +26,7 @@
     pub src: SocketAddrV4,
     /// Its destination.
     pub dst: SocketAddrV4,
-    /// What it does to its flow.
+    /// Its effect on its flow.
     pub kind: Kind,
 }
 
--- a/testutils/src/platform.rs
+++ b/testutils/src/platform.rs
@@ -30,7 +30,7 @@
     pub delay_ms: u64,
     /// Serves the bundle and list from the time at which this was set.
     pub stale: bool,
-    /// A bundle that every other read gets in place of the right one.
+    /// Bundle that every second read gets instead of the published one.
     pub second: Option<String>,
 }
 
@@ -67,7 +67,7 @@
     _served: HttpServers,
 }
 
-/// Why the list of instances can't be read.
+/// Reasons why the list of instances can't be read.
 #[derive(Debug, Snafu)]
 pub enum ListError {
     /// The request failed.
--- a/testutils/src/process.rs
+++ b/testutils/src/process.rs
@@ -80,7 +80,7 @@
     },
 }
 
-/// Why no signal was sent to a child process.
+/// Reasons why no signal was sent to a child process.
 #[derive(Debug, Snafu)]
 pub enum SignalError {
     /// The process has ended.
--- a/testutils/src/report.rs
+++ b/testutils/src/report.rs
@@ -32,7 +32,7 @@
     pub targets: BTreeMap<String, u64>,
     /// Answered work of the busiest target, divided by the mean of all targets that answered.
     pub imbalance: f64,
-    /// Ids of the refused work, none of which may be among the targets' runs.
+    /// Ids of the refused work. No target may have run any of it.
     pub turned: Vec<String>,
     /// The work that broke.
     pub breaks: Vec<Break>,
@@ -47,7 +47,7 @@
     pub id: String,
     /// Name of the target that answered, if any.
     pub target: Option<String>,
-    /// Why it broke.
+    /// Cause of the break.
     pub cause: BreakCause,
     /// Time of the break, in milliseconds since the callers' start.
     pub at: Millis,
--- a/testutils/src/spread.rs
+++ b/testutils/src/spread.rs
@@ -7,7 +7,7 @@
     str::FromStr,
 };
 
-/// How a fabric spreads packets over instances.
+/// Method by which a fabric spreads packets over instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
     /// Each packet goes to a random instance.
--- a/testutils/src/target.rs
+++ b/testutils/src/target.rs
@@ -49,7 +49,7 @@
     pub load: f64,
 }
 
-/// Why the targets can't be started.
+/// Reasons why the targets can't be started.
 #[derive(Debug, Snafu)]
 pub enum TargetError {
     /// A socket can't be bound.
--- a/testutils/src/task.rs
+++ b/testutils/src/task.rs
@@ -36,7 +36,7 @@
     Wrong,
 }
 
-/// Why established work broke.
+/// Reasons why established work broke.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum BreakCause {
--- a/testutils/src/traffic.rs
+++ b/testutils/src/traffic.rs
@@ -12,7 +12,7 @@
 /// Time after which a caller sends its SYN again.
 const RETRANSMIT: Millis = Millis(1_000);
 
-/// How the fabric distributes packets over the instances.
+/// Method by which the fabric distributes packets over the instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Distribution {
     /// Each packet goes to a random instance.
@@ -21,7 +21,7 @@
     PerFlow,
 }
 
-/// What a TCP segment does to its flow.
+/// Effect of a TCP segment on its flow.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SegmentKind {
     /// A SYN, which opens the flow.
--- a/testutils/src/udp.rs
+++ b/testutils/src/udp.rs
@@ -5,7 +5,7 @@
 
 /// Maximum size of a datagram in bytes.
 const MAX_DATAGRAM: usize = 65_536;
-/// Maximum number of datagrams received in one call, so that other work is not delayed.
+/// Maximum number of datagrams received in one call, which bounds the delay of other work.
 const MAX_BATCH: usize = 256;
 
 /// A UDP socket with its receive buffer.
--- a/testutils/src/web.rs
+++ b/testutils/src/web.rs
@@ -9,7 +9,7 @@
 };
 use tokio::runtime::{Builder, Runtime};
 
-/// Why a server can't be started.
+/// Reasons why a server can't be started.
 #[derive(Debug, Snafu)]
 pub enum WebError {
     /// The server's threads can't be started.
@@ -80,7 +80,7 @@
         let up = AdHoc::on_liftoff("report the port", move |rocket| {
             let port = rocket.config().port;
             Box::pin(async move {
-                // This fails if the receiver has been dropped, and then nobody needs the port.
+                // Fails if the receiver has been dropped; the port is not needed then.
                 let _ = sender.send(port);
             })
         });
