--- a/lib/tests/fleet/test_faults.rs
+++ b/lib/tests/fleet/test_faults.rs
@@ -89,11 +89,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After any combination of faults, no instance reverts to an older bundle,
-    /// and soon after the faults end, all have the highest bundle, follow the
-    /// same plans and see each other as live. Otherwise some callers would be
-    /// sent by a withdrawn bundle, or two new flows of one bucket to two
-    /// targets, without anybody noticing.
+    /// Guards against disagreement after any combination of faults: no instance
+    /// may revert to an older bundle, and soon after the faults end, all must
+    /// have the highest bundle, follow the same plans and see each other as
+    /// live. Otherwise some callers would be sent by a withdrawn bundle, or two
+    /// new flows of one bucket to two targets, without any sign of it.
     #[test]
     fn fleet_agrees_after_any_faults(
         seed in any::<u64>(),
@@ -124,8 +124,8 @@
         prop_assert!(plans.clone().all(|digest| Some(digest) == plans.clone().next()), "plans differ");
     }
 
-    /// Updates of members arrive in any order, some repeatedly. Instances that
-    /// received the same updates must have the same view.
+    /// Guards against instances with different views after the same updates of
+    /// members arrived in different order, some repeatedly.
     #[test]
     fn merge_of_members_does_not_depend_on_order(
         updates in proptest::collection::vec((1usize..4, 1u64..4, 0usize..3), 1..20)
@@ -148,8 +148,8 @@
     }
 }
 
-/// An update older than a member's death arrives late. If it revived the dead
-/// member, duties would be assigned to it and questions to it would time out.
+/// Guards against a dead member that is revived by a late update older than its
+/// death. Duties would be assigned to it, and questions to it would time out.
 #[test]
 fn late_update_does_not_revive_a_dead_member() {
     let mut roster = Roster::new(member(0, 1, 1));
--- a/lib/tests/fleet/test_members.rs
+++ b/lib/tests/fleet/test_members.rs
@@ -8,8 +8,8 @@
     time::Millis,
 };
 
-/// An instance is killed. If its peers didn't notice, they would go on sending
-/// it questions, and callers would wait for each.
+/// Guards against a killed instance that its peers don't notice. They would go
+/// on sending it questions, and callers would wait for each.
 #[test]
 fn killed_instance_is_found_dead() {
     let mut net = Net::new(8, 4, 1);
@@ -23,8 +23,8 @@
     }
 }
 
-/// An instance is replaced under its old name, with an empty memory. The belief
-/// that the old one is dead must not exclude the new one.
+/// Guards against excluding an instance that replaces a dead one under the same
+/// name, with an empty memory.
 #[test]
 fn replaced_instance_is_live_again() {
     let mut net = Net::new(8, 4, 1);
@@ -39,8 +39,9 @@
     assert!(net.nodes[3].ready.is_some());
 }
 
-/// An instance is frozen, once for less than the time until it counts as dead
-/// and once for longer. Unless it refutes on waking, it is excluded for good.
+/// Guards against excluding a frozen instance for good because it does not
+/// refute its suspicion or death on waking. It is frozen once for less than the
+/// time until it counts as dead and once for longer.
 #[test]
 fn frozen_instance_is_live_again_after_waking() {
     for frozen in [5, 40] {
@@ -57,8 +58,8 @@
     }
 }
 
-/// After a sleep all others seem silent to an instance. If it took them for
-/// dead, it would take over all duties at once.
+/// Guards against an instance that takes all others for dead after a sleep,
+/// since all seem silent to it, and takes over all duties at once.
 #[test]
 fn woken_instance_suspects_nobody() {
     let mut net = Net::new(8, 4, 1);
@@ -74,8 +75,8 @@
     assert_eq!(net.nodes[3].slept, 1);
 }
 
-/// The platform's list is empty for a while, or still names an instance that is
-/// gone. Neither must change what peers found out by heartbeats.
+/// Guards against a platform's list that overrides what heartbeats have shown,
+/// when it is empty for a while or still names an instance that is gone.
 #[test]
 fn platform_list_does_not_override_heartbeats() {
     let mut net = Net::new(8, 4, 1);
@@ -90,8 +91,9 @@
     assert_eq!(net.belief(0, 2).map(|m| m.state), Some(MemberState::Live));
 }
 
-/// A failure domain is cut off and reachable again. Both sides have to go on
-/// alone, and all instances have to see each other after healing.
+/// Guards against a fleet that stops, or does not reunite, when a failure
+/// domain is cut off and reachable again. Both sides have to go on alone, and
+/// all instances have to see each other after healing.
 #[test]
 fn cut_off_domain_is_dead_and_returns() {
     let mut net = Net::new(8, 4, 1);
@@ -108,9 +110,10 @@
     assert!(net.all_live());
 }
 
-/// A partition heals when the seeds of the settings are replaced and the
-/// platform's list is empty. Each side believes the other dead; unless dead
-/// members are probed too, the sides never find each other again.
+/// Guards against sides of a partition that never find each other again. The
+/// partition heals after the seeds of the settings were replaced and while the
+/// platform's list is empty, and each side believes the other dead, so dead
+/// members have to be probed too.
 #[test]
 fn sides_of_a_cut_find_each_other_without_seeds_and_list() {
     let mut net = Net::new(8, 4, 1);
@@ -127,8 +130,8 @@
     assert!(net.all_live());
 }
 
-/// An instance leaves. If it were seen as live, it would be given new duties
-/// that end a moment later.
+/// Guards against a leaving instance that is seen as live. It would be given
+/// new duties that end a moment later.
 #[test]
 fn leaving_instance_is_seen_as_leaving_and_reads_no_more() {
     let mut net = Net::new(8, 4, 1);
@@ -141,8 +144,9 @@
     assert!(!net.nodes[3].reading);
 }
 
-/// Heartbeats to all members would make control traffic grow with the fleet,
-/// and a member without a watcher would be believed live after its death.
+/// Guards against control traffic that grows with the fleet, as with heartbeats
+/// to all members, and against a member without a watcher, which would be
+/// believed live after its death.
 #[test]
 fn neighbours_are_few_and_watch_everybody() {
     let members: Vec<Member> = (0..100).map(|ix| member(ix, 10, 1)).collect();
--- a/lib/tests/fleet/test_plan.rs
+++ b/lib/tests/fleet/test_plan.rs
@@ -64,9 +64,9 @@
     assert_eq!((plan.sequence, plan.moves.len()), (1, 3));
 }
 
-/// A failure domain is cut off and each side has its own author for a while. If
-/// two plans remained after healing, two instances would send the same new flow
-/// to different targets.
+/// Guards against two plans that remain after a partition in which each side
+/// had its own author. Two instances would send the same new flow to different
+/// targets.
 #[test]
 fn plans_of_both_sides_of_a_cut_merge_to_one() {
     let mut net = settled();
@@ -83,9 +83,9 @@
     assert!((0..40).all(|n| all_follow_one(&net, n)));
 }
 
-/// The author is frozen, and another instance takes its place and plans. On
-/// waking, the old author still believes that it plans. If its plan won,
-/// buckets would be moved by a stale view.
+/// Guards against a plan made by a stale view. The author is frozen, another
+/// instance takes its place and plans, and on waking the old author still
+/// believes that it plans.
 #[test]
 fn woken_author_yields() {
     let mut net = settled();
@@ -110,9 +110,9 @@
     assert_eq!((plan.sequence, plan.moves.len()), (3, 3));
 }
 
-/// The author is frozen and nobody plans meanwhile. On waking, its loads and
-/// members are stale; a plan made from them would be the highest one and all
-/// would follow it.
+/// Guards against a plan made from stale loads and members by an author that
+/// was frozen while no other instance planned. It would be the highest plan,
+/// and all would follow it.
 #[test]
 fn woken_author_plans_nothing_until_refreshed() {
     let mut net = settled();
@@ -136,8 +136,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Plans of several authors arrive in any order, some repeatedly. Some
-    /// authors lost their memory and use a sequence twice.
+    /// Guards against instances that follow different plans after the same
+    /// plans of several authors arrived in different order, some repeatedly.
+    /// Some authors lost their memory and use a sequence twice.
     #[test]
     fn merge_does_not_depend_on_order(
         plans in proptest::collection::vec((0u8..3, 0u64..4, 0u8..3, 0u16..3), 1..20)
--- a/lib/tests/fleet/test_spread.rs
+++ b/lib/tests/fleet/test_spread.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// The platform falls back to an older copy of itself. If instances followed,
-/// callers would be sent by a withdrawn bundle.
+/// Guards against following a platform that falls back to an older copy of
+/// itself. Callers would be sent by a withdrawn bundle.
 #[test]
 fn stale_platform_brings_nothing_back() {
     let mut net = settled(8);
@@ -58,9 +58,9 @@
     assert!(net.never_reverted());
 }
 
-/// An instance is replaced while the platform returns an older bundle. Its
-/// memory is empty, so only its peers can tell it of the later one. If it were
-/// ready earlier, callers would be sent by a withdrawn bundle.
+/// Guards against a replaced instance that serves from a withdrawn bundle,
+/// because the platform returns an older one. Its memory is empty, so only its
+/// peers have the later bundle.
 #[test]
 fn restarted_instance_serves_from_the_highest_bundle_only() {
     let mut net = settled(8);
@@ -78,9 +78,9 @@
     assert!(net.all_have(&text(3, 4)));
 }
 
-/// As before, with a slow network: the stale platform answers at once and the
-/// peers a second later. If the instance were ready on the first answer, it
-/// would serve from the withdrawn bundle for that second.
+/// Guards against a replaced instance that is ready on the first answer. The
+/// network is slow: the stale platform answers at once and the peers a second
+/// later, so it would serve from the withdrawn bundle for that second.
 #[test]
 fn restarted_instance_waits_for_slow_peers() {
     let mut net = settled(8);
@@ -99,8 +99,8 @@
     assert!(node.ready.is_some_and(|ready| ready >= last.0));
 }
 
-/// An instance is replaced while the platform is down. Only its peers can give
-/// it the bundle, and without one it can serve nobody.
+/// Guards against an instance that can serve no caller because it was replaced
+/// while the platform is down. Only its peers can give it the bundle.
 #[test]
 fn restarted_instance_learns_the_bundle_from_peers_alone() {
     let mut net = settled(8);
@@ -115,8 +115,9 @@
     assert!(net.all_have(&text(2, 3_000)));
 }
 
-/// Without platform and peers there is no bundle. An instance that reported
-/// itself ready would be given packets that it can't forward.
+/// Guards against an instance that reports itself ready without a bundle, as it
+/// has neither platform nor peers. It would be given packets that it can't
+/// forward.
 #[test]
 fn instance_without_platform_and_peers_is_not_ready() {
     let mut net = Net::new(1, 1, 1);
@@ -127,9 +128,10 @@
     assert_eq!(net.nodes[0].ready, None);
 }
 
-/// Two operators publish at once, both as version 2, and the platform returns
-/// either to different readers. Parts of the fleet could stay with different
-/// bundles, and one operator could believe that the wrong one is in force.
+/// Guards against a fleet that stays with two bundles of one version. Two
+/// operators publish at once, both as version 2, and the platform returns
+/// either to different readers. The operators must see it, or one would believe
+/// that the wrong bundle is in force.
 #[test]
 fn two_contents_under_one_version_converge_and_are_flagged() {
     let mut net = settled(8);
@@ -146,8 +148,9 @@
     assert!(net.nodes.iter().any(|n| n.controller.spread().conflict == Some(Version(2))));
 }
 
-/// A failure domain is cut off while a bundle is published, so no push reaches
-/// it. After healing only heartbeats show that it is behind.
+/// Guards against a failure domain that stays behind because it was cut off
+/// while a bundle was published, so that no push reached it. After healing only
+/// heartbeats show that it is behind.
 #[test]
 fn cut_off_domain_catches_up_after_healing() {
     let mut net = settled(8);
@@ -165,8 +168,8 @@
     assert!(net.all_live());
 }
 
-/// An instance is frozen while many bundles are published. On waking it claims
-/// the old one that it still has in force.
+/// Guards against a fleet that reverts to the old bundle of an instance that
+/// was frozen while many bundles were published and claims its own on waking.
 #[test]
 fn woken_instance_reverts_nobody_and_catches_up() {
     let mut net = settled(8);
@@ -197,8 +200,8 @@
     assert_eq!(rebuild(&base, &ops).expect("the delta fits its base"), next);
 }
 
-/// A peer without the base text must not answer with a delta to a text that the
-/// requester lacks, nor send a megabyte in one message.
+/// Guards against a peer without the base text that answers with a delta to a
+/// text that the requester lacks, or with a megabyte in one message.
 #[test]
 fn unknown_base_is_answered_by_an_outline() {
     let mut spread = Spread::new(VersionCheck);
@@ -211,9 +214,9 @@
     assert_eq!(outline.pieces.len(), split(&text(1, 9)).len());
 }
 
-/// A faulty peer announces a bundle and sends a delta that rebuilds to another
-/// text. That text must not come into force, and must not keep out the
-/// announced one when a correct peer sends it.
+/// Guards against a faulty peer that announces a bundle and sends a delta that
+/// rebuilds to another text. That text must not come into force, and must not
+/// keep out the announced one when a correct peer sends it.
 #[test]
 fn wrong_delta_is_refused_and_the_right_one_accepted() {
     let mut spread = Spread::new(VersionCheck);
@@ -249,17 +252,18 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// With a byte too many or too few the signature does not hold, and the
-    /// change would be in force on the readers of the platform only.
+    /// Guards against a rebuilt text with a byte too many or too few. Its
+    /// signature would not hold, and the change would be in force on the
+    /// readers of the platform only.
     #[test]
     fn any_text_rebuilds_byte_for_byte(base in any_text(), next in any_text()) {
         prop_assert_eq!(split(&next).concat(), next.as_str());
         prop_assert_eq!(rebuild(&base, &diff(&base, &next)).expect("the delta fits its base"), next);
     }
 
-    /// The platform, peers and two operators offer bundles in any order, some
-    /// repeatedly. Instances that received the same bundles must have the same
-    /// one in force.
+    /// Guards against instances with different bundles after the platform,
+    /// peers and two operators offered the same bundles in different order,
+    /// some repeatedly.
     #[test]
     fn bundle_in_force_does_not_depend_on_order(
         offers in proptest::collection::vec((1u64..5, 1usize..5), 1..12),
--- a/tests/tests/test_changes.rs
+++ b/tests/tests/test_changes.rs
@@ -148,9 +148,9 @@
 /// and a seed.
 type Case = (&'static [(Change, u64)], bool, u64);
 
-/// Each case broke at least one flow in an earlier version, each for a different
-/// cause, which the commits of the packet path describe. Users had silent feeds
-/// after changes that were all planned.
+/// Guards against flows that break during overlapping planned changes, which users
+/// notice as silent feeds. Each case broke at least one flow in an earlier version,
+/// each for a different cause, which the commits of the packet path describe.
 #[test]
 fn earlier_failures_break_no_flow() {
     use Change::{Grow, Join, Leave, Retire, Return};
@@ -179,9 +179,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 48, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Bundles are published faster than they spread while instances are
-    /// replaced. A flow that breaks by such a planned change is a user's feed
-    /// that becomes silent without a failure.
+    /// Guards against flows that break while bundles are published faster than they
+    /// spread and instances are replaced. A flow that breaks by such a planned
+    /// change is a user's feed that becomes silent without a failure.
     #[test]
     fn planned_changes_break_no_flow(
         changes in prop::collection::vec((change(), 50..4_000u64), 1..7),
--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -64,9 +64,10 @@
     traffic.record_arrivals(fleet);
 }
 
-/// A new bundle drains a target for maintenance. Packets of its feeds reach any
-/// instance, also instances that do not know the feed. If one sends a packet to
-/// another target, the user gets a reset and loses alerts until it has reconnected.
+/// Guards against feeds that break when a bundle drains their target. Packets of a
+/// feed reach any instance, also instances that don't know the feed. If one sends a
+/// packet to another target, the user gets a reset and loses alerts until it has
+/// reconnected.
 #[test]
 fn a_leaving_target_keeps_its_flows() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -86,8 +87,8 @@
     }
 }
 
-/// If new flows reached a target later than two seconds after the bundle in which
-/// it leaves, their work would be interrupted when its host goes down.
+/// Guards against new flows at a target later than two seconds after the bundle in
+/// which it leaves. Their work would be interrupted when its host goes down.
 #[test]
 fn a_leaving_target_gets_no_new_flow_after_two_seconds() {
     let site = SiteBuilder::new(14, 4);
@@ -102,10 +103,10 @@
     assert!(traffic.flows.iter().all(|flow| flow.target != Some(leaving)));
 }
 
-/// A plan moves the buckets of an unhealthy target. One instance gets the plan
-/// 400 ms before another and opens a flow at the new owner; the flow's next packet
-/// reaches the other instance. If that sends it to the old owner, a user's feed
-/// breaks right after it was opened.
+/// Guards against a feed that breaks right after it was opened, while a plan
+/// spreads that moves the buckets of an unhealthy target. One instance gets the
+/// plan 400 ms before another and opens a flow at the new owner. The next packet
+/// reaches the other instance, which must not send it to the old owner.
 #[test]
 fn a_planned_move_breaks_no_flow_while_it_spreads() {
     let site = SiteBuilder::new(14, 4);
@@ -129,9 +130,9 @@
     assert_eq!(traffic.count_broken(), 0);
 }
 
-/// An instance is replaced while a target drains. The new one has an empty flow
-/// table and gets packets of unknown flows, and the old one stays in the fabric's
-/// list for a while. A misdirected packet breaks a feed although nothing failed.
+/// Guards against feeds that break when an instance is replaced while a target
+/// drains. The new instance has an empty flow table and gets packets of unknown
+/// flows, and the old one stays in the fabric's list for a while.
 #[test]
 fn replacing_an_instance_while_a_target_drains_breaks_no_flow() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -155,9 +156,10 @@
     }
 }
 
-/// The host of an instance suspends it, a target leaves meanwhile, and the instance
-/// wakes up with queued packets and its old table. If it used that table without
-/// asking peers, packets would go to a target that does not know their flow.
+/// Guards against packets sent to a target that does not know their flow. The host
+/// of an instance suspends it, a target leaves meanwhile, and the instance wakes up
+/// with queued packets and its old table. It must ask its peers before it uses that
+/// table.
 #[test]
 fn an_instance_that_slept_asks_peers_before_it_forwards() {
     let site = SiteBuilder::new(14, 4);
@@ -181,8 +183,8 @@
     assert_eq!(traffic.count_broken(), 0);
 }
 
-/// Operators cancel the leaving of a target soon after they published it. Flows
-/// opened before and after the cancellation must stay at their targets.
+/// Guards against flows that change their target when operators cancel the leaving
+/// of a target soon after they published it.
 #[test]
 fn a_cancelled_move_breaks_no_flow() {
     for pause in [100, 700, 1500, 5000] {
@@ -202,9 +204,9 @@
     }
 }
 
-/// The flows of a killed instance must survive. Under a fabric that sprays packets
-/// other instances know them. Under one that hashes flows their target is the
-/// owner of their bucket, as long as the bucket has not moved.
+/// Guards against the loss of the flows of a killed instance. Under a fabric that
+/// sprays packets other instances know them. Under one that hashes flows their
+/// target is the owner of their bucket, as long as the bucket has not moved.
 #[test]
 fn a_killed_instance_breaks_no_flow_while_no_bucket_moves() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -222,11 +224,11 @@
     }
 }
 
-/// A network partition separates two of four failure domains for a minute. Each
-/// side serves its callers, but only one side receives the bundles in which a target
-/// leaves and becomes active again, so the other never learns of the move. After the
-/// partition a packet may reach any instance. A feed that was opened during the move
-/// must not be sent to another target by an instance of the other side.
+/// Guards against feeds sent to another target after a network partition has
+/// healed. Two of four failure domains are separated for a minute, and only one
+/// side receives the bundles in which a target leaves and becomes active again. The
+/// other side never learns of the move, and after the partition a packet of a feed
+/// that was opened during the move may reach it.
 #[test]
 fn a_healed_partition_breaks_no_flow() {
     let sides = [vec![0, 1, 4, 5], vec![2, 3, 6, 7]];
@@ -267,9 +269,9 @@
     assert_eq!(traffic.map(|traffic| traffic.count_broken()), [0, 0]);
 }
 
-/// A caller uses TCP Fast Open, which sends its request with the SYN. If the answer
-/// is lost and the SYN is retransmitted while its bucket moves, a second target would
-/// get it, and a booking would be committed twice.
+/// Guards against a request that runs twice, such as a booking. A caller uses TCP
+/// Fast Open, which sends its request with the SYN. If the answer is lost and the
+/// SYN is retransmitted while its bucket moves, a second target would get it.
 #[test]
 fn a_syn_with_data_reaches_no_target() {
     let site = SiteBuilder::new(14, 4);
@@ -287,10 +289,11 @@
     assert_eq!(fleet.nodes[0].forwarder.counters().syn_with_data, 1);
 }
 
-/// A target began to leave some minutes ago and nothing has changed since. Each feed
-/// that stays with it is known to one instance and to its keepers. If that instance
-/// dies and a keeper has forgotten the feeds, the keeper denies them, and they are sent
-/// to the present owner of their bucket, which breaks them.
+/// Guards against keepers that forget flows and then deny them. A target began to
+/// leave some minutes ago and nothing has changed since, so each feed that stays
+/// with it is known to one instance and to its keepers only. When that instance
+/// dies, denied feeds would be sent to the present owner of their bucket, which
+/// breaks them.
 #[test]
 fn keepers_remember_flows_while_nothing_changes() {
     let site = SiteBuilder::new(14, 4);
--- a/tests/tests/test_processes.rs
+++ b/tests/tests/test_processes.rs
@@ -142,9 +142,10 @@
     }
 }
 
-/// The host of an instance loses power. The fabric still sends it a third of all
-/// packets for a while, and what only that instance knew is lost. If another one
-/// guesses a flow's target wrong, the user gets a reset and loses the feed.
+/// Guards against feeds that break when the host of an instance loses power. The
+/// fabric still sends it a third of all packets for a while, and what only that
+/// instance knew is lost. If another one guesses a flow's target wrong, the user
+/// gets a reset.
 #[test]
 fn a_killed_instance_breaks_no_feed() {
     let mut trial = trial(3);
@@ -160,10 +161,10 @@
     trial.conclude();
 }
 
-/// The host of an instance suspends it, and a target leaves meanwhile. It wakes up
-/// with an old bundle and with old packets in its socket. If it used the old bundle,
-/// feeds would break, or a request that another instance has already sent to a target
-/// would run a second time.
+/// Guards against an instance that uses an old bundle after its host has suspended
+/// it. A target leaves meanwhile, and the instance wakes up with old packets in its
+/// socket. By the old bundle, feeds would break, or a request that another instance
+/// has already sent to a target would run a second time.
 #[test]
 fn a_frozen_instance_takes_the_newer_bundle() {
     let mut trial = trial(3);
@@ -181,10 +182,10 @@
     trial.conclude();
 }
 
-/// The platform's configuration service has an outage and is restored from an old
-/// copy. An instance that starts meanwhile can get the bundle only from its peers.
-/// If an instance accepted the old bundle, a target that has left would get new
-/// work, and flows of its buckets would break.
+/// Guards against the return of an old bundle when the platform's configuration
+/// service has an outage and is restored from an old copy. A target that has left
+/// would get new work, and flows of its buckets would break. An instance that
+/// starts during the outage can get the bundle only from its peers.
 #[test]
 fn an_outage_of_the_platform_changes_nothing() {
     let mut trial = trial(2);
@@ -207,10 +208,10 @@
     trial.conclude();
 }
 
-/// Two operators publish at once and both increment the same version. The platform
-/// gives one bundle to some readers and the other to the rest. If the instances did
-/// not agree, they would send one flow to two targets. Operators must see the
-/// conflict, because one of their changes is not in force.
+/// Guards against instances with different bundles after two operators published at
+/// once under the same version. The platform gives one bundle to some readers and
+/// the other to the rest. Without agreement one flow would be sent to two targets.
+/// Operators must see the conflict, because one of their changes is not in force.
 #[test]
 fn concurrent_publications_converge_on_one_bundle() {
     let mut trial = trial(3);
@@ -236,8 +237,8 @@
     trial.conclude();
 }
 
-/// An instance leaves for an update while uploads pass through it. Users notice
-/// uploads that break and have to be sent again.
+/// Guards against uploads that break, and have to be sent again, when an instance
+/// leaves for an update while they pass through it.
 #[test]
 fn a_leaving_instance_breaks_no_upload() {
     let mut trial = trial(3);
--- a/tests/tests/test_refusals.rs
+++ b/tests/tests/test_refusals.rs
@@ -107,10 +107,10 @@
     forwarder
 }
 
-/// The site is overloaded and its bundle has a refusal text. The caller's packets
-/// reach different instances, none of which keeps state of a refused caller. Without
-/// a common SYN cookie the second instance would treat the packet as part of a flow
-/// at a target, and the caller would get a reset instead of the time to retry.
+/// Guards against a reset instead of the refusal text with the time to retry. The
+/// packets of a refused caller reach different instances, none of which keeps state
+/// of it. Without a common SYN cookie the second instance would treat the packet as
+/// part of a flow at a target.
 #[test]
 fn a_refused_caller_gets_the_refusal_text() {
     let mut scene = Scene::new(&SiteBuilder::new(4, 2).refusal(REFUSAL));
@@ -127,8 +127,9 @@
     assert_eq!(scene.sent.forwarded, 0);
 }
 
-/// Without a refusal text a reset must show at once that nothing was run. A caller
-/// without any answer would wait for its own timeout.
+/// Guards against a refused caller that gets no answer and waits for its own
+/// timeout, if the service has no refusal text. A reset shows at once that nothing
+/// was run.
 #[test]
 fn a_refused_caller_gets_a_reset_without_refusal_text() {
     let mut scene = Scene::new(&SiteBuilder::new(4, 2));
--- a/tests/tests/test_services.rs
+++ b/tests/tests/test_services.rs
@@ -43,9 +43,10 @@
     FlowKey { protocol: Protocol::Tcp, caller, service: FEEDS }
 }
 
-/// An instance that has slept asks for the target of a feed, and a faulty peer
-/// answers with a target of the ingest service. If the instance used the answer, a
-/// subscriber's acknowledgement would reach a host that takes it for part of an upload.
+/// Guards against packets at a target of another service. An instance that has
+/// slept asks for the target of a feed, and a faulty peer answers with a target of
+/// the ingest service, which would take a subscriber's acknowledgement for part of
+/// an upload.
 #[test]
 fn a_wrong_answer_leads_to_no_target_of_another_service() {
     let mut fleet = Fleet::new(4, 2, &SiteBuilder::new(4, 4).bundle(), Network::default());
--- a/tests/tests/test_udp.rs
+++ b/tests/tests/test_udp.rs
@@ -68,10 +68,11 @@
     })
 }
 
-/// A target leaves while callers send datagrams through any instance, with and without
-/// an instance that died just before, after which no keeper can deny a flow for a while.
-/// A flow that moves to another target loses its state at the first one; a new flow at
-/// the leaving target is interrupted when its host goes down.
+/// Guards against UDP flows that lose their state at another target while theirs
+/// leaves, and against new flows at the leaving target, which are interrupted when
+/// its host goes down. Callers send through any instance, with and without an
+/// instance that died just before, after which no keeper can deny a flow for a
+/// while.
 #[test]
 fn datagrams_stay_at_their_target_and_new_ones_avoid_a_leaving_one() {
     for dies in [false, true] {
--- a/testutils/tests/test_faults.rs
+++ b/testutils/tests/test_faults.rs
@@ -79,8 +79,8 @@
     assert_eq!(overridden, (200, r#"{"connections":0,"slots":0,"load":0.9}"#.into()));
 }
 
-/// Requests arrive faster than a target processes them. The target resets those
-/// beyond its queue, which the caller sees after its connection was established.
+/// Requests arrive faster than a target processes them. It resets those beyond its
+/// queue, which the caller sees after its connection was established.
 #[test]
 fn target_sheds_requests_beyond_its_queue() {
     let (mut client, mut server) = (client(), server());
--- a/testutils/tests/test_host.rs
+++ b/testutils/tests/test_host.rs
@@ -92,8 +92,8 @@
     assert_eq!((server.counts.runs.len(), server.counts.late), (0, 1));
 }
 
-/// A target dies while a feed is open and sends nothing more. The caller must
-/// report its feed as broken and not wait for ever.
+/// Guards against a caller that waits without end for a target that died while its
+/// feed was open. The feed must be reported as broken.
 #[test]
 fn silent_target_breaks_its_feed() {
     let (mut client, mut server) = (client(), server());
@@ -104,8 +104,8 @@
     assert_eq!(ends(&outcomes), [End::Broken(BreakCause::Silent)]);
 }
 
-/// A caller dies while its request is processed. The request must count as run,
-/// or a repetition of it would not be noticed.
+/// Guards against repetitions of a request that are not noticed, because its first
+/// run was interrupted by the death of its caller and not counted.
 #[test]
 fn interrupted_request_counts_as_run() {
     let (mut client, mut server) = (client(), server());
@@ -139,8 +139,8 @@
     }
 }
 
-/// With a fabric that sprays, packets of a flow overtake each other. TCP must put
-/// them in order again, and work must not be delayed by other work.
+/// Guards against work that breaks, or is delayed by other work, when packets of a
+/// flow overtake each other in a fabric that sprays.
 #[test]
 fn reordered_packets_only_delay_work() {
     let (mut client, mut server) = (client(), server());
--- a/testutils/tests/test_path.rs
+++ b/testutils/tests/test_path.rs
@@ -89,8 +89,9 @@
     assert_eq!(runs, 40);
 }
 
-/// The host of a target loses power. Callers of that target must get no answer;
-/// those of the other target must not be affected.
+/// Guards against a simulated power loss that is incomplete or too wide: callers of
+/// the dead target must get no answer, and those of the other target must not be
+/// affected.
 #[test]
 fn dead_target_answers_nobody() {
     let fabric = Fabric::start(&fabric::Settings::new(Mode::Hash)).unwrap();
--- a/testutils/tests/test_process.rs
+++ b/testutils/tests/test_process.rs
@@ -23,9 +23,9 @@
     assert_eq!(status.signal(), Some(Signal::SIGTERM as i32));
 }
 
-/// A child has ended and was waited for, so that its process id may belong to another
-/// process. A signal to that id would hit that process, for example end the test runner
-/// although no test failed.
+/// Guards against signals to unrelated processes. The id of a child that has ended
+/// and was waited for may belong to another process, for example the test runner,
+/// which would end although no test failed.
 #[test]
 fn ended_child_gets_no_signal() {
     let mut child = child("0");
