--- a/lib/tests/fleet/test_members.rs
+++ b/lib/tests/fleet/test_members.rs
@@ -39,7 +39,7 @@
     assert!(net.nodes[3].ready.is_some());
 }
 
-/// Guards against excluding a frozen instance for good because it does not
+/// Guards against excluding a frozen instance permanently because it does not
 /// refute its suspicion or death on waking. It is frozen once for less than the
 /// time until it counts as dead and once for longer.
 #[test]
--- a/load/src/placement.rs
+++ b/load/src/placement.rs
@@ -72,7 +72,7 @@
 /// With a larger one, a slow target would not be noticed.
 const CONVERGENCE: f64 = 0.05;
 /// Factor by which the least mean grows with each hold time, so that work that has become
-/// longer for good is not taken for waiting forever.
+/// longer permanently is not counted as waiting forever.
 const LEAST_GROWTH: f64 = 1.0 + 1e-5;
 /// Minimum number of hold times for a comparable mean.
 const MIN_SAMPLES: u32 = 8;
--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -41,7 +41,7 @@
 }
 
 /// A request that is not idempotent is answered where a slot is free now. Open idle feeds
-/// hardly delay it, a request in flight does.
+/// hardly delay it; a request in flight does.
 #[test]
 fn idle_feeds_count_less_than_work() {
     let feeds = Candidate { idle_feeds: 5, ..idle() };
@@ -50,7 +50,8 @@
     assert_eq!(choose(&[works, feeds], Class::Request, 0), Some(1));
 }
 
-/// A target that has just started takes longer for all work.
+/// Guards against preferring an idle target that has just started, which takes longer for all
+/// work.
 #[test]
 fn a_cold_target_is_chosen_only_when_others_are_busy() {
     let cold = Candidate { cold: true, ..idle() };
@@ -60,8 +61,9 @@
     assert_eq!(choose(&[cold, busy], Class::Feed, 0), Some(0));
 }
 
-/// A failure domain is cut off, and its targets answer nobody here. However idle they look,
-/// new flows must not go there while other targets can take them.
+/// Guards against new flows to a failure domain that is cut off and whose targets don't
+/// answer here. However idle they look, they are used only if no other target can take
+/// the flow.
 #[test]
 fn a_suspected_target_is_the_last_choice() {
     let suspected = Candidate { tier: Tier::Suspected, ..idle() };
@@ -97,8 +99,8 @@
     assert!(counts.iter().all(|count| (900..1100).contains(count)), "{counts:?}");
 }
 
-/// Open feeds send requests whatever the instances decide. At targets without feeds,
-/// requests don't wait behind them.
+/// Guards against requests that wait behind feeds, which send requests whatever the
+/// instances decide. Targets without feeds are left to requests.
 #[test]
 fn feeds_leave_reserved_targets_to_requests_while_others_have_capacity() {
     let reserved = Candidate { reserved: true, ..idle() };
--- a/load/tests/test_estimate.rs
+++ b/load/tests/test_estimate.rs
@@ -30,7 +30,8 @@
     );
 }
 
-/// Queues fill. The estimate must follow before healthy targets look dead.
+/// Guards against healthy targets that look dead while queues fill, because the estimate
+/// follows too slowly.
 #[test]
 fn the_bound_follows_within_a_dozen_answers() {
     let estimate = estimate_of([60; 50].into_iter().chain([300; 12]));
--- a/load/tests/test_gate.rs
+++ b/load/tests/test_gate.rs
@@ -47,8 +47,8 @@
     assert_eq!(gate.open(Millis(1), &request(1)), Verdict::Admit);
 }
 
-/// A caller gets no answer for a second and repeats its opening. With a new decision under
-/// load, the caller would be told *not run* about work that runs.
+/// Guards against a new decision on a repeated opening, whose caller got no answer for a
+/// second. Under load, the caller would receive *not run* for work that runs.
 #[test]
 fn a_repeated_opening_is_answered_as_the_first() {
     let mut gate = gate();
@@ -62,8 +62,8 @@
     assert!(first.iter().any(|v| matches!(v, Verdict::Refuse { .. })));
 }
 
-/// A burst leaves openings in the queue. Without one final verdict within the maximum wait,
-/// a caller would hold a connection that never opens.
+/// Guards against openings that a burst leaves in the queue without one final verdict
+/// within the maximum wait. Their callers would hold connections that never open.
 #[test]
 fn a_waiting_opening_gets_one_final_verdict_in_time() {
     let mut gate = gate();
@@ -120,10 +120,10 @@
 
 const IDLE: LoadReport = LoadReport { healthy: true, draining: false, work: 0, connections: 0 };
 
-/// Stations send small images that are stored in milliseconds. Under a spraying fabric an
-/// instance sees the end of one in four of the uploads that it admitted. With an assumed
-/// duration of five seconds until eight ends were seen, idle targets refused two thirds of
-/// them.
+/// Guards against refusing short uploads at idle targets. Stations send small images that
+/// are stored in milliseconds, and under a spraying fabric an instance sees the end of
+/// one in four of the uploads that it admitted. With an assumed duration of five seconds
+/// until eight ends were seen, two thirds of them were refused.
 #[test]
 fn idle_targets_get_short_uploads_after_a_few_ends() {
     let mut gate = ingest();
@@ -150,9 +150,8 @@
     assert!(late >= 27, "{late} of 30");
 }
 
-/// An instance admits what fits its initial estimate and then sees the end of one upload.
-/// If the others were still charged at that estimate, callers would be refused by an idle
-/// target for most of a minute.
+/// Guards against charging admitted work at the initial estimate after the end of one
+/// upload was seen. Callers would be refused by an idle target for most of a minute.
 #[test]
 fn an_end_lowers_the_cost_of_work_admitted_before_it() {
     let mut gate = ingest();
--- a/load/tests/test_limit.rs
+++ b/load/tests/test_limit.rs
@@ -43,9 +43,9 @@
     limit
 }
 
-/// Answers are slow for seconds, and then a few in a row are fast. A feed admitted then
-/// stays open and prolongs the overload after the pause. A request admitted then has ended
-/// by that time.
+/// Guards against a feed that is admitted when a few answers in a row are fast during
+/// seconds of slow ones. It would stay open and prolong the overload after the pause. A
+/// request admitted then has ended by that time.
 #[test]
 fn a_short_pause_in_a_burst_admits_requests_and_no_feed() {
     let mut limit = overloaded_limit(10);
@@ -59,7 +59,7 @@
     assert!(!limit.admits(Class::Feed, all_classes(0), Millis(8_160)));
 }
 
-/// The burst is over and answers stay fast. Feeds must not be blocked any longer.
+/// Guards against feeds that stay blocked after a burst is over and answers stay fast.
 #[test]
 fn feeds_are_admitted_once_a_burst_is_over() {
     let mut limit = overloaded_limit(10);
@@ -96,8 +96,8 @@
     assert!(!limit.admits(Class::Feed, all_classes(2), Millis(8_000)));
 }
 
-/// Open feeds continue whatever the limit. Requests, which operators prioritize and callers
-/// can't repeat, would otherwise wait for them.
+/// Guards against requests that wait for open feeds, which continue whatever the limit.
+/// Operators prioritize requests, and callers can't repeat them.
 #[test]
 fn requests_may_use_twice_the_limit() {
     let limit = overloaded_limit(10);
@@ -106,8 +106,9 @@
     assert!(!limit.admits(Class::Request, of_requests(4), Millis(8_000)));
 }
 
-/// The answers to some requests passed through another instance, so that they seem to be in
-/// flight here for seconds. Callers must not be refused for work that nobody does.
+/// Guards against refusing callers for work that no target does. The answers to some
+/// requests passed through another instance, so that they seem to be in flight here for
+/// seconds.
 #[test]
 fn the_limit_outgrows_work_that_only_seems_to_be_in_flight() {
     let mut limit = overloaded_limit(10);
@@ -128,8 +129,8 @@
     assert!(!limit.is_slow(Millis(10_000)));
 }
 
-/// A machine froze for seconds, or one packet was lost. One such time does not show a
-/// queue.
+/// Guards against taking one long answer for a queue, after a machine froze for seconds
+/// or one packet was lost.
 #[test]
 fn one_long_answer_does_not_show_a_queue() {
     let mut limit = limit_after(45, 10, 50);
@@ -186,8 +187,8 @@
     assert_eq!(backlog.len(), 1);
 }
 
-/// A caller gives up an opening after 1.4 s and should be refused before that, however long
-/// its latency objective.
+/// Guards against an opening that waits longer than its caller, who gives up after 1.4 s,
+/// however long its latency objective. It should be refused before that.
 #[test]
 fn no_opening_waits_longer_than_callers_do() {
     assert_eq!(max_wait(Millis(150)), Millis(600));
@@ -202,8 +203,8 @@
     assert_eq!(refused.count(), 2_000 - 1_024);
 }
 
-/// The answers of a service always take 0.8 of their latency objective. That does not show
-/// a queue.
+/// Guards against taking answers for slow that always take 0.8 of their latency
+/// objective, which does not show a queue.
 #[test]
 fn answers_that_always_take_long_are_not_slow() {
     let limit = limit_after(120, 10, 300);
@@ -212,9 +213,9 @@
     assert!(limit.admits(Class::Feed, all_classes(50), Millis(6_000)));
 }
 
-/// A service has a third of its usual targets when the instance starts, and each answer
-/// waits for a whole queue. If the instance took that for normal, it would admit
-/// everything, and nearly all answers would be late until the overload ends.
+/// Guards against an instance that takes an overload for normal because it started during
+/// one. A service has a third of its usual targets, and each answer waits for a whole
+/// queue. Without a limit, nearly all answers would be late until the overload ends.
 #[test]
 fn an_instance_that_starts_during_an_overload_limits_it() {
     let limit = limit_after(210, 10, 300);
@@ -235,8 +236,8 @@
     assert!(!limit.admits(Class::Feed, all_classes(10), Millis(3_400)));
 }
 
-/// Half of the targets of a service are gone for ten seconds. That must not be taken for
-/// the normal state.
+/// Guards against taking an overload for normal while half of the targets of a service
+/// are gone for ten seconds.
 #[test]
 fn a_long_overload_is_not_taken_for_normal() {
     let mut limit = limit_after(45, 10, 150);
--- a/load/tests/test_overload.rs
+++ b/load/tests/test_overload.rs
@@ -11,9 +11,10 @@
     })
 }
 
-/// Eight of 14 targets are gone for five seconds and their successors are not known. The
-/// other six could answer nine of ten requests in time, but their queues fill, each request
-/// waits for the whole queue, and nearly every answer is late.
+/// Guards against late answers to nearly all requests while eight of 14 targets are gone
+/// for five seconds and their successors are not known. The other six could answer nine
+/// of ten requests in time, but their queues fill, and each request waits for the whole
+/// queue.
 #[test]
 fn more_are_answered_in_time_while_half_of_the_targets_are_gone() {
     let [without, with] = compare(Scene::half_gone, 4_000, 10_000);
@@ -25,8 +26,8 @@
     assert!(with.refused < without.refused * 2, "{without:?}, then {with:?}");
 }
 
-/// The same with a quarter more requests than usual. Work that can't be done must not make
-/// all the rest late.
+/// Guards against work that can't be done and makes all the rest late, in the same scene
+/// with a quarter more requests than usual.
 #[test]
 fn a_larger_overload_gains_more() {
     let [without, with] = compare(Scene::more_requests, 4_000, 10_000);
@@ -38,8 +39,8 @@
     assert!(with.refused < without.refused, "{without:?}, then {with:?}");
 }
 
-/// Nobody is served for 1.7 s, and what was sent meanwhile arrives within the next second.
-/// Fewer callers are refused, and no fewer are answered in time.
+/// Guards against refusing callers after an outage of 1.7 s, whose packets arrive within
+/// the next second. Fewer are refused, and no fewer are answered in time.
 #[test]
 fn a_burst_after_an_outage_is_served_with_fewer_refusals() {
     let [without, with] = compare(Scene::outage, 4_000, 8_000);
@@ -48,7 +49,8 @@
     assert!(with.refused * 2 < without.refused, "{without:?}, then {with:?}");
 }
 
-/// Nothing waits where targets keep up: the limit must cost nothing under ordinary load.
+/// Guards against openings that wait although targets keep up. Under ordinary load the
+/// limit must have no cost.
 #[test]
 fn ordinary_load_is_not_affected() {
     let [without, with] = compare(Scene::site, 0, 14_000);
@@ -60,8 +62,9 @@
     );
 }
 
-/// Requests of a site take two thirds of their latency objective, so answers always look
-/// slow. Held back for that, they would be later still while targets are idle.
+/// Guards against holding back requests of a site that take two thirds of their latency
+/// objective, so that answers always look slow. They would be later still while targets
+/// are idle.
 #[test]
 fn a_service_with_long_work_is_not_limited() {
     let [without, with] = compare(Scene::slow, 3_000, 14_000);
@@ -72,8 +75,8 @@
     );
 }
 
-/// A burst arrives, mostly on open feeds, which continue whatever the limit. Requests wait
-/// only for requests, so that they are not late first.
+/// Guards against requests that are late first in a burst that is mostly on open feeds,
+/// which continue whatever the limit. Requests wait only for requests.
 #[test]
 fn requests_are_not_late_first_in_an_excess_of_feeds() {
     let of = |class| {
--- a/load/tests/test_patterns.rs
+++ b/load/tests/test_patterns.rs
@@ -32,9 +32,9 @@
     outcome.fraction_done(scene, Class::Request, |_| true)
 }
 
-/// For a minute, three times as many motorists try to book as the site can serve. If all
-/// were admitted, they would wait longer than they stay, and the targets would work for
-/// nobody: the site is busy and no booking succeeds.
+/// Guards against a busy site at which no booking succeeds. For a minute, three times as
+/// many motorists try to book as the site can serve. If all were admitted, they would
+/// wait longer than they stay, and the targets would do work whose callers have gone.
 #[test]
 fn saturation_keeps_goodput_high() {
     for site in both(alertdesk, ajanvaraus) {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The same without admission, to show that the model has the failure.
+/// The same without admission, which shows that the model has the failure.
 #[test]
 fn saturation_without_admission_wastes_work() {
     let scene = scenes::requests("saturation", &alertdesk(), 30_000, (0.6, 3.0));
@@ -56,8 +56,8 @@
     assert!(outcome.goodput(&scene) < 0.6, "{}", outcome.goodput(&scene));
 }
 
-/// A storm front: ten times the usual acknowledgements arrive in one second. If they were
-/// refused, they would return as a second burst.
+/// Guards against refusing a storm front: ten times the usual acknowledgements arrive in
+/// one second. Refused, they would return as a second burst.
 #[test]
 fn a_burst_of_a_second_is_served() {
     for site in both(alertdesk, ajanvaraus) {
@@ -69,8 +69,9 @@
     }
 }
 
-/// Three misconfigured callers open four times as much as all others together. Served in
-/// order of arrival, the callers of a whole town would find the site full.
+/// Guards against three misconfigured callers that open four times as much as all others
+/// together. If all were served in order of arrival, the callers of a whole town would
+/// find the site full.
 #[test]
 fn a_few_callers_do_not_shut_out_the_others() {
     for site in both(alertdesk, ajanvaraus) {
@@ -82,8 +83,8 @@
     }
 }
 
-/// Stations upload twice what the slots can take while acknowledgements arrive. Without
-/// reserved capacity these wait behind uploads for seconds.
+/// Guards against acknowledgements that wait behind uploads for seconds. Stations upload
+/// twice what the slots can take, and requests need reserved capacity.
 #[test]
 fn requests_are_served_beside_long_uploads() {
     for site in both(alertdesk, ajanvaraus) {
@@ -94,8 +95,8 @@
     }
 }
 
-/// The same while the targets' load endpoints don't answer. Accumulated shares would be
-/// spent on uploads at once, and requests would wait behind them.
+/// The same while the targets' load endpoints don't answer. Accumulated shares must not
+/// be spent on uploads at once, or requests would wait behind them.
 #[test]
 fn requests_are_served_beside_long_uploads_without_reports() {
     for site in both(alertdesk, ajanvaraus) {
@@ -106,8 +107,8 @@
     }
 }
 
-/// Three times as many feeds arrive as there are connections. A target that is full of
-/// feeds drops the openings of acknowledgements.
+/// Guards against targets that are full of feeds and drop the openings of
+/// acknowledgements. Three times as many feeds arrive as there are connections.
 #[test]
 fn requests_are_served_beside_too_many_feeds() {
     for site in both(alertdesk, ajanvaraus) {
@@ -119,8 +120,8 @@
     }
 }
 
-/// A target's load endpoint always reports idle, or always reports full. If it were
-/// believed, the first would attract all work and the second would push its own onto the
+/// Guards against trusting a target's load endpoint that always reports idle, or always
+/// full. The first would attract all work, and the second would push its own onto the
 /// others.
 #[test]
 fn a_wrong_report_moves_little_load() {
@@ -134,8 +135,8 @@
     }
 }
 
-/// One target works at a fifth of its speed, or resets half of its openings. Callers that
-/// the table sends there wait or fail while the others are idle.
+/// Guards against callers that wait or fail while targets are idle, because the table
+/// sends them to one that works at a fifth of its speed or resets half of its openings.
 #[test]
 fn a_bad_target_costs_no_request() {
     for site in both(alertdesk, ajanvaraus) {
@@ -148,8 +149,8 @@
     }
 }
 
-/// A database behind all targets halves their speed at once. If the slowest ones were
-/// removed, the rest would be overloaded one after the other.
+/// Guards against removing the slowest targets when a database behind all of them halves
+/// their speed at once. The rest would be overloaded one after the other.
 #[test]
 fn no_target_is_removed_when_all_are_slow() {
     for site in both(alertdesk, ajanvaraus) {
@@ -162,8 +163,8 @@
     }
 }
 
-/// Uploads arrive at three times the slots of a service that has nothing else. Instances
-/// that each used all slots would overload the targets.
+/// Guards against instances that each use all slots and together overload the targets.
+/// Uploads arrive at three times the slots of a service that has nothing else.
 #[test]
 fn uploads_share_slots_among_instances() {
     for (stale, least) in [(false, 0.93), (true, 0.9)] {
--- a/load/tests/test_placement.rs
+++ b/load/tests/test_placement.rs
@@ -46,8 +46,8 @@
     assert_eq!(weights[4], FULL_WEIGHT);
 }
 
-/// A firewall between instances and callers resets flows of ten of fourteen targets. If
-/// these were removed, their work would overload the other four.
+/// Guards against removing most targets. A firewall between instances and callers resets
+/// flows of ten of fourteen targets, whose work would overload the other four.
 #[test]
 fn no_target_is_removed_when_most_look_bad() {
     let mut stats = targets(14);
@@ -55,8 +55,8 @@
     assert_eq!(weights(&mut stats, 0, 10), [FULL_WEIGHT; 14]);
 }
 
-/// A target that has just started has cold caches; with a full share at once its callers
-/// would wait.
+/// Guards against a full share at once for a target that has just started. Its caches are
+/// cold, and its callers would wait.
 #[test]
 fn a_new_target_gets_its_share_step_by_step() {
     let mut stats = targets(13);
@@ -66,7 +66,7 @@
     assert_eq!(weights(&mut stats, 6, 15)[13], FULL_WEIGHT);
 }
 
-/// Instances that leave a bad target at once would all return at once.
+/// Guards against instances that leave a bad target at once and all return at once.
 #[test]
 fn a_weight_moves_in_small_steps() {
     let mut stats = targets(14);
@@ -82,8 +82,8 @@
     assert_eq!((weights[2], weights[3]), (0, FULL_WEIGHT));
 }
 
-/// A faulty release of the targets' health endpoint reports draining on all of them. If
-/// that were believed, a whole service would stop.
+/// Guards against a whole service that stops because a faulty release of the targets'
+/// health endpoint reports draining on all of them.
 #[test]
 fn reports_of_draining_from_most_targets_are_ignored() {
     let mut stats = targets(14);
--- a/load/tests/test_properties.rs
+++ b/load/tests/test_properties.rs
@@ -58,9 +58,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// While a decision is stored, a repeated opening gets the same one; a waiting opening
-    /// gets one final verdict by the promised time; and a leaving target gets nothing new.
-    /// Otherwise a caller is told *not run* about work that runs, or gets no answer.
+    /// Guards against callers that receive *not run* for work that runs, or get no
+    /// answer. While a decision is stored, a repeated opening gets the same one; a
+    /// waiting opening gets one final verdict by the promised time; and a leaving target
+    /// gets nothing new.
     #[test]
     fn every_opening_gets_one_lasting_verdict(steps in proptest::collection::vec(step(), 1..300)) {
         let mut gate = Gate::new(Settings::default(), 1);
@@ -140,8 +141,8 @@
         }
     }
 
-    /// The cache stays bounded for any input. Otherwise a flood of openings would take the
-    /// instance down.
+    /// Guards against a flood of openings that takes the instance down, as the cache of
+    /// decisions would grow without bound.
     #[test]
     fn decision_cache_is_bounded(flows in proptest::collection::vec(any::<u64>(), 1..2_000)) {
         let mut cache = DecisionCache::default();
--- a/load/tests/test_refusal.rs
+++ b/load/tests/test_refusal.rs
@@ -17,7 +17,7 @@
     wait_times.iter().sum::<u64>() / wait_times.len() as u64
 }
 
-/// Callers with the same retry time would return all at once.
+/// Guards against callers that return all at once because they got the same retry time.
 #[test]
 fn callers_get_different_retry_times() {
     let mut wait_times = wait_times(10);
@@ -36,8 +36,9 @@
     assert!(longest.iter().all(|&wait| wait <= 45_000));
 }
 
-/// All callers of a failed target repeat at once, again and again. Admitted like new ones,
-/// they would prolong the overload after its cause is gone.
+/// Guards against an overload that lasts after its cause is gone. All callers of a failed
+/// target repeat at once, again and again, and would prolong it if they were admitted
+/// like new ones.
 #[test]
 fn early_repetitions_get_a_fraction_of_what_new_openings_get() {
     let mut budget = RetryBudget::new();
--- a/load/tests/test_reserve.rs
+++ b/load/tests/test_reserve.rs
@@ -32,8 +32,8 @@
     assert_eq!(share_after(2_000, 55, 0, 0).reserved_targets(14), 14);
 }
 
-/// Feeds open in the first seconds and stay; a share that is learnt later comes too late
-/// for them.
+/// Guards against a share that is learnt too late. Feeds open in the first seconds and
+/// stay.
 #[test]
 fn some_targets_are_reserved_before_any_answer() {
     assert_eq!(
@@ -42,7 +42,8 @@
     );
 }
 
-/// A burst of feeds lasts for seconds; if it counted, feeds would move back and forth.
+/// Guards against feeds that move back and forth because a burst of feeds, which lasts
+/// for seconds, counts too much.
 #[test]
 fn a_short_burst_moves_little() {
     let mut share = share_after(830, 72, 2_920, 55);
--- a/load/tests/test_warmup.rs
+++ b/load/tests/test_warmup.rs
@@ -32,8 +32,8 @@
         prop_assert_eq!(seats.filter(|seat| seat.owns(target)).count(), 1);
     }
 
-    /// Several instances act as owners of one target. The openings of all of them together
-    /// stay within the bound.
+    /// Guards against more openings at a target than the bound while several instances
+    /// act as its owner.
     #[test]
     fn several_owners_stay_within_the_bound(
         rate in 1..100u32, phases in proptest::collection::vec(0..10_000u64, 1..=MAX_OWNERS as usize)
@@ -42,8 +42,8 @@
     }
 }
 
-/// All targets of a service are slow at once. Each can take four requests a second, of
-/// which its owner opens two; without owners all callers would be refused.
+/// Guards against refusing all callers while all targets of a service are slow at once.
+/// Each can take four requests a second, of which its owner opens two.
 #[test]
 fn an_owner_opens_half_of_what_a_target_can_take() {
     assert_eq!(most_per_second(4, &[0]), 2);
--- a/marked/src/forwarder/probing.rs
+++ b/marked/src/forwarder/probing.rs
@@ -65,7 +65,7 @@
     }
 
     /// Handles the removal of the entry of a target that was not leaving: either the target
-    /// died or its entry lapsed. A probe tells which, and matters if flows are there. All
+    /// died or its entry lapsed. A probe shows which, and matters if flows are there. All
     /// entries of a failure domain may lapse at once; if every instance probed all of its
     /// targets, the probes would be targets times instances. One instance of the domain probes
     /// each target nevertheless, for the sake of new flows; without a seat each instance probes
--- a/marked/tests/test_catalog.rs
+++ b/marked/tests/test_catalog.rs
@@ -216,7 +216,7 @@
     assert_eq!(catalog.revision(), Revision::new(0, 10));
 }
 
-/// Guards against a target that stays listed for good because it was removed before the reader's
+/// Guards against a target that stays listed forever because it was removed before the reader's
 /// full read.
 #[test]
 fn a_reader_after_a_full_read_does_not_hide_earlier_removals() {
--- a/marked/tests/test_convergence.rs
+++ b/marked/tests/test_convergence.rs
@@ -28,7 +28,7 @@
     count: u64,
 }
 
-/// A store, with what its writers want it to contain.
+/// A store, with the items that its writers intend it to contain.
 #[derive(Debug, Default)]
 struct Store {
     items: Items,
--- a/marked/tests/test_evacuation.rs
+++ b/marked/tests/test_evacuation.rs
@@ -108,8 +108,8 @@
     assert_eq!(instance.last_target(), south);
 }
 
-/// Guards against an instance that sends an unanswered opening into an evacuated domain once
-/// more by itself.
+/// Guards against an instance that itself sends an unanswered opening again, into a domain that
+/// was evacuated in the meantime.
 #[test]
 fn an_opening_that_is_sent_again_leaves_an_evacuated_domain() {
     let (mut instance, north, south) = two_domains();
@@ -336,7 +336,7 @@
 }
 
 /// Guards against requests beyond the limit while all targets of the service are in slow start:
-/// anything that this instance sent would come on top of what others send.
+/// anything that this instance sent would be in addition to what others send.
 #[test]
 fn callers_are_refused_at_once_while_all_targets_are_warming() {
     let mut instance = Instance::new(&[]);
@@ -509,7 +509,7 @@
 }
 
 /// Guards against two owners of a target in slow start: owners are in the target's domain, and
-/// with that domain partitioned, instances of others may take themselves for its owner too.
+/// with that domain partitioned, an instance of another domain may assume to be the owner too.
 #[test]
 fn targets_in_slow_start_are_owned_within_their_domain() {
     let mut instance = Instance::new(&[]);
--- a/marked/tests/test_forwarder.rs
+++ b/marked/tests/test_forwarder.rs
@@ -59,7 +59,7 @@
 }
 
 /// Guards against requests to a dead target that wait until the caller's deadline. The caller's
-/// retransmission gives the target away, while others answer.
+/// retransmission makes the target suspected, while others answer.
 #[test]
 fn a_retransmitted_request_has_its_target_probed() {
     let mut instance = Instance::new(&[target(1, "desk"), target(2, "ingest")]);
--- a/marked/tests/test_full.rs
+++ b/marked/tests/test_full.rs
@@ -110,7 +110,7 @@
     assert_eq!(usage(&instance, at, 1_350), TargetUse::Lost);
 }
 
-/// Guards against a dead target whose idle feeds must each find out for themselves.
+/// Guards against a dead target whose loss each of its idle feeds must detect separately.
 #[test]
 fn the_first_unanswered_feed_of_a_silent_target_has_all_reset() {
     let (mut instance, feed, at) = two_targets();
