--- a/tests/tests/test_moves.rs
+++ b/tests/tests/test_moves.rs
@@ -130,9 +130,10 @@
     assert_eq!(traffic.count_broken(), 0);
 }
 
-/// Guards against feeds that break when an instance is replaced while a target
-/// drains. The new instance has an empty flow table and gets packets of unknown
-/// flows, and the old one stays in the fabric's list for a while.
+/// Guards against feeds that break, although nothing failed, when an instance is
+/// replaced while a target drains. The new instance has an empty flow table and
+/// gets packets of unknown flows, and the old one stays in the fabric's list for a
+/// while.
 #[test]
 fn replacing_an_instance_while_a_target_drains_breaks_no_flow() {
     for distribution in [Distribution::PerPacket, Distribution::PerFlow] {
@@ -184,7 +185,8 @@
 }
 
 /// Guards against flows that change their target when operators cancel the leaving
-/// of a target soon after they published it.
+/// of a target soon after they published it. This concerns flows opened before and
+/// after the cancellation.
 #[test]
 fn a_cancelled_move_breaks_no_flow() {
     for pause in [100, 700, 1500, 5000] {
--- a/tests/tests/test_processes.rs
+++ b/tests/tests/test_processes.rs
@@ -145,7 +145,7 @@
 /// Guards against feeds that break when the host of an instance loses power. The
 /// fabric still sends it a third of all packets for a while, and what only that
 /// instance knew is lost. If another one guesses a flow's target wrong, the user
-/// gets a reset.
+/// gets a reset and loses the feed.
 #[test]
 fn a_killed_instance_breaks_no_feed() {
     let mut trial = trial(3);
--- a/tests/tests/test_udp.rs
+++ b/tests/tests/test_udp.rs
@@ -68,9 +68,9 @@
     })
 }
 
-/// Guards against UDP flows that lose their state at another target while theirs
-/// leaves, and against new flows at the leaving target, which are interrupted when
-/// its host goes down. Callers send through any instance, with and without an
+/// Guards against known UDP flows that move away from a leaving target, which loses
+/// their state, and against new flows there, which are interrupted when its host
+/// goes down. Callers send datagrams through any instance, with and without an
 /// instance that died just before, after which no keeper can deny a flow for a
 /// while.
 #[test]
--- a/testutils/tests/test_process.rs
+++ b/testutils/tests/test_process.rs
@@ -25,7 +25,7 @@
 
 /// Guards against signals to unrelated processes. The id of a child that has ended
 /// and was waited for may belong to another process, for example the test runner,
-/// which would end although no test failed.
+/// which would then end although no test failed.
 #[test]
 fn ended_child_gets_no_signal() {
     let mut child = child("0");
