--- a/peer/src/error.rs
+++ b/peer/src/error.rs
@@ -1,6 +1,5 @@
 //! Errors of the control connections.
 
-use crate::MAX_BATCH_BYTES;
 use snafu::Snafu;
 
 /// Error of starting the control connections.
@@ -30,20 +29,22 @@
 }
 
 /// Why a batch from a peer was refused.
+///
+/// These texts are sent to the peer as the message of a gRPC status, so they are part of the protocol.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum BatchError {
     /// The batch is from another site.
-    #[snafu(display("the batch is from another site"))]
+    #[snafu(display("the batch is of another site"))]
     Site,
     /// The batch is too large.
-    #[snafu(display("the batch has {bytes} bytes; the maximum is {MAX_BATCH_BYTES}"))]
+    #[snafu(display("the batch has {bytes} bytes, more than allowed"))]
     Oversize {
         /// Size of the batch.
         bytes: usize,
     },
     /// A message in the batch is invalid.
-    #[snafu(display("a message of the batch is malformed"))]
+    #[snafu(display("a message is malformed"))]
     Malformed {
         /// Why the message is invalid.
         source: WireError,
