--- a/lib/src/packet/flow.rs
+++ b/lib/src/packet/flow.rs
@@ -23,7 +23,7 @@
     pub service: SocketAddrV4,
 }
 
-/// Error from parsing a flow.
+/// Error from parsing a flow. Its text is sent to operators as the body of an HTTP response.
 #[derive(Debug, Snafu)]
 pub enum FlowKeyError {
     /// The text doesn't have the expected form.
@@ -33,7 +33,7 @@
         text: String,
     },
     /// An address is not valid.
-    #[snafu(display("{text:?} is not an IPv4 address with a port"))]
+    #[snafu(display("{text:?} is no IPv4 address with a port"))]
     Address {
         /// The text.
         text: String,
