--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -59,7 +59,7 @@
             reading: true,
             members: 3,
             flows: 12,
-            picture: picture(self.version, self.era),
+            picture: catalog_status(self.version, self.era),
             services: vec![MarkedService {
                 name: ServiceName::new("alertdesk"),
                 pressure: 31,
@@ -76,12 +76,12 @@
             class: Some(Class::Feed),
             target: marked_targets().pop(),
             candidates: marked_targets(),
-            picture: picture(self.version, self.era),
+            picture: catalog_status(self.version, self.era),
         })
     }
 }
 
-fn picture(version: Option<u64>, era: u32) -> CatalogStatus {
+fn catalog_status(version: Option<u64>, era: u32) -> CatalogStatus {
     let evacuated = EvacuatedDomain { domain: DomainName::new("mladost"), revision: 40 };
     CatalogStatus {
         version: version.map(Version),
--- a/lib/examples/bundle_cost.rs
+++ b/lib/examples/bundle_cost.rs
@@ -14,9 +14,10 @@
     time::{Duration, Instant},
 };
 
-/// Numbers of services. The last one is the target size, with 5,600 targets.
+/// Numbers of services. The last one is the largest that the design allows for,
+/// with 5,600 targets.
 const SIZES: [usize; 5] = [200, 400, 850, 1700, 3400];
-/// Targets per service at the target size.
+/// Targets per service at the largest size.
 const TARGETS: f64 = 5600.0 / 3400.0;
 const REPEATS: usize = 9;
 
--- a/lib/src/bundle/mod.rs
+++ b/lib/src/bundle/mod.rs
@@ -82,8 +82,8 @@
         pub ports: Vec<Port>,
         /// Number of buckets that the flows are hashed into; a power of two.
         pub buckets: u16,
-        /// Maximum time between two packets of a healthy flow. It limits how
-        /// long an unknown flow may stay unseen after an instance has died.
+        /// Maximum time between two packets of a healthy flow. After
+        /// an instance has died, flows that only it knew show up within this time.
         pub keepalive: Millis,
         /// Text sent to refused callers, if the service has one. `{seconds}` in
         /// it is replaced by the time after which to try again.
@@ -137,9 +137,9 @@
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "lowercase")]
     pub enum Protocol {
-        /// TCP: the first packet of a flow is marked as such.
+        /// TCP: the SYN flag shows the first packet of a flow.
         Tcp,
-        /// UDP: the first packet of a flow has no mark.
+        /// UDP: nothing distinguishes the first packet of a flow.
         Udp,
     }
 
--- a/lib/src/document/reader.rs
+++ b/lib/src/document/reader.rs
@@ -209,7 +209,7 @@
         let Value::String(text) = self.value else {
             return self.wrong_type(EXPECTED);
         };
-        let Some(found) = parse_span(text) else {
+        let Some(found) = parse_duration(text) else {
             return self.wrong_format(EXPECTED);
         };
         if range.contains(&found) {
@@ -346,7 +346,7 @@
         && text.chars().all(|c| allowed(c) || c == '-' || c == '.')
 }
 
-fn parse_span(text: &str) -> Option<Millis> {
+fn parse_duration(text: &str) -> Option<Millis> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let (count, unit) = text.split_at(digits);
     let scale = match unit {
--- a/lib/src/packet/mod.rs
+++ b/lib/src/packet/mod.rs
@@ -163,8 +163,8 @@
             return 0;
         };
         let offset = usize::from(head[12] >> 4) * 4;
-        let marks = u32::from(head[13] & FIN != 0) + u32::from(head[13] & SYN != 0);
-        segment.len().saturating_sub(offset) as u32 + marks
+        let syn_and_fin = u32::from(head[13] & FIN != 0) + u32::from(head[13] & SYN != 0);
+        segment.len().saturating_sub(offset) as u32 + syn_and_fin
     }
 
     /// Returns whether a TCP segment has the ACK flag.
--- a/operator/src/meters/family.rs
+++ b/operator/src/meters/family.rs
@@ -13,7 +13,7 @@
     Bundles,
     /// Control messages of peers, by event.
     Messages,
-    /// Flow lookups at peers, by answer.
+    /// Questions to peers about flows, by answer.
     Questions,
     /// Times that a ring between threads was full, by ring.
     Rings,
