--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -28,7 +28,7 @@
     }
 }
 
-/// Why a command failed.
+/// Reason why a command failed.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum CommandError {
@@ -53,7 +53,7 @@
     InvalidKey {
         /// Path of the file.
         path: PathBuf,
-        /// Why it is invalid.
+        /// Reason why it is invalid.
         source: KeyError,
     },
     /// A bundle is invalid.
@@ -69,7 +69,7 @@
     Refused {
         /// Path of the file.
         path: PathBuf,
-        /// Why they would refuse it.
+        /// Reason why they would refuse it.
         source: BundleError,
     },
     /// The command line names no instance.
@@ -98,7 +98,7 @@
     InvalidAnswer {
         /// Address of the instance.
         address: SocketAddr,
-        /// Why it is invalid.
+        /// Reason why it is invalid.
         source: serde_json::Error,
     },
     /// A value can't be written as JSON.
--- a/cli/tests/test_key.rs
+++ b/cli/tests/test_key.rs
@@ -15,8 +15,8 @@
     assert_eq!((folder.mode("site.key"), folder.mode("site.key.pub")), (0o600, 0o644));
 }
 
-/// Guards against overwriting the key in use by a new one of the same name. Nobody could sign
-/// for the site's instances any more.
+/// Guards against overwriting the key in use by a new one of the same name. Without the old
+/// key, no bundle can be signed for the site's instances.
 #[test]
 fn a_key_is_never_overwritten() {
     let folder = folder();
--- a/lib/examples/fleet_slopes.rs
+++ b/lib/examples/fleet_slopes.rs
@@ -43,7 +43,7 @@
     let before = resident();
     let mut net = fleet(nodes, services);
     let joined = until(&mut net, 300, |net| all_know_all(net, nodes));
-    // Time until the updates from the start of all instances at once are no
+    // All instances start at once. This lasts until the resulting updates are no
     // longer propagated.
     net.run(Millis::secs(30 + nodes as u64 / 4));
     let memory = resident().saturating_sub(before) / nodes as u64;
--- a/lib/examples/table_cost.rs
+++ b/lib/examples/table_cost.rs
@@ -1,5 +1,5 @@
-//! Measures the assignment of buckets beside weighted rendezvous hashing: how
-//! far the shares are from the weights, and how many more buckets move than
+//! Compares the assignment of buckets with weighted rendezvous hashing: how far
+//! the shares are from the weights, and how many more buckets move than
 //! necessary when a target leaves. `docs/design/table.md` explains the output.
 //!
 //! ```text
--- a/lib/src/bundle/diff.rs
+++ b/lib/src/bundle/diff.rs
@@ -52,7 +52,7 @@
 }
 
 value! {
-    /// A difference because of which instances don't accept the later bundle.
+    /// A difference that keeps instances from accepting the later bundle.
     #[derive(serde::Serialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum Obstacle {
--- a/lib/src/keepers.rs
+++ b/lib/src/keepers.rs
@@ -3,9 +3,10 @@
 //!
 //! A keeper receives adverts of the flows of a moved bucket that go elsewhere
 //! than to the bucket's present owner. A service has at most
-//! [`SERVICE_KEEPERS`] keepers, so that reporting all exceptions as advertised
-//! takes a handful of messages per change, however large the fleet; each bucket
-//! uses two of them. See `docs/design/keepers.md`.
+//! [`SERVICE_KEEPERS`] keepers, and each bucket uses two of them. After a
+//! change, an instance reports to each keeper that it has advertised all its
+//! exceptions. With so few keepers this takes a handful of messages, however
+//! large the fleet. See `docs/design/keepers.md`.
 
 use crate::{
     ids::{Bucket, DomainName, InstanceName, ServiceName},
@@ -22,7 +23,7 @@
 pub struct Keepers(Vec<InstanceName>);
 
 impl Keepers {
-    /// Chooses keepers by rendezvous hash among the members that stay.
+    /// Chooses keepers by rendezvous hash among the live and suspect members.
     /// Consecutive keepers are in different failure domains where possible, so
     /// that the two keepers of a bucket are not lost together.
     pub fn choose(service: &ServiceName, members: &[Member]) -> Keepers {
--- a/lib/src/message/mod.rs
+++ b/lib/src/message/mod.rs
@@ -27,7 +27,7 @@
         pub digest: Digest,
         /// A digest over the members known to the sender.
         pub members: u64,
-        /// A digest over the plans of all services that the sender follows.
+        /// A digest over the plans that the sender follows, of all services.
         pub plans: u64,
         /// A digest over the bucket history known to the sender.
         pub history: u64,
--- a/lib/src/packet/flow.rs
+++ b/lib/src/packet/flow.rs
@@ -23,7 +23,8 @@
     pub service: SocketAddrV4,
 }
 
-/// Error from parsing a flow. Its text is sent to operators as the body of an HTTP response.
+/// Error from parsing a flow. Its text is sent to operators in the body of an
+/// HTTP response.
 #[derive(Debug, Snafu)]
 pub enum FlowKeyError {
     /// The text doesn't have the expected form.
--- a/lib/src/plan.rs
+++ b/lib/src/plan.rs
@@ -2,8 +2,8 @@
 //!
 //! The instance that ranks first for a service plans for it. Several may
 //! believe at once that they rank first, and one that slept may still believe
-//! it on waking. Plans are therefore ordered and every instance follows the
-//! highest, so two authors cost some balance and never a flow. See
+//! it on waking. Plans are therefore ordered, and every instance follows the
+//! highest. Two authors can thus make the balance worse, but break no flow. See
 //! `docs/design/plan.md`.
 
 use crate::{
--- a/lib/src/question.rs
+++ b/lib/src/question.rs
@@ -65,7 +65,7 @@
 /// The reason for which a datagram of a peer is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Snafu)]
 pub enum QuestionError {
-    /// The datagram has the length of no message.
+    /// No message has the length of the datagram.
     #[snafu(display("the datagram has a length that no message has"))]
     Length,
     /// The checksum does not match: the datagram was altered or comes from
--- a/lib/src/time.rs
+++ b/lib/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as a value, in milliseconds of a monotonic clock that the caller reads.
+//! Time as a value, in milliseconds of a monotonic clock that other crates read.
 
 use std::{
     fmt,
--- a/lib/tests/product/mutate.rs
+++ b/lib/tests/product/mutate.rs
@@ -1,4 +1,4 @@
-//! Mutations of valid texts, such as typing errors and broken transfers cause.
+//! Mutations of valid texts, like those from typing errors and broken transfers.
 
 use medlarspur_lib::document::Report;
 use proptest::{prelude::*, sample::Index};
--- a/lib/tests/product/test_outdated.rs
+++ b/lib/tests/product/test_outdated.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Two replicas of the platform's service may serve different bundles in turns.
+/// Two replicas of the platform's service may serve different bundles in turn.
 /// Guards against checking the old one each time, which would take the readers'
 /// CPU time, so that they miss heartbeats and delay new flows.
 #[test]
--- a/operator/src/meters/class.rs
+++ b/operator/src/meters/class.rs
@@ -103,8 +103,8 @@
 }
 
 impl ClassMeters {
-    /// Records the time from a packet's arrival until it was sent on. Callers sample
-    /// packets: reading the clock for each one costs more than the lookup that is measured.
+    /// Records the time from a packet's arrival until it was sent on. Only a sample of the
+    /// packets is timed: reading the clock for each costs more than the lookup that is measured.
     pub fn record_forward(&self, time: Duration) {
         self.forward.record(time.as_secs_f64());
     }
--- a/operator/src/server.rs
+++ b/operator/src/server.rs
@@ -54,7 +54,7 @@
     StartTimeout {
         /// The configured address.
         address: SocketAddrV4,
-        /// Why the wait ended.
+        /// Reason why the wait ended.
         source: RecvTimeoutError,
     },
 }
@@ -71,7 +71,7 @@
 }
 
 impl OperatorServer {
-    /// Serves at `address` on a thread of its own. Callers set up a logger first, or
+    /// Serves at `address` on a thread of its own. A logger must be set up before, or
     /// rocket installs its own.
     ///
     /// # Errors
--- a/operator/tests/test_routes.rs
+++ b/operator/tests/test_routes.rs
@@ -12,8 +12,8 @@
     assert_eq!(get(&operator, "/healthz"), (200, "ok\n".to_owned()));
 }
 
-/// Guards against an instance that is ready without a bundle, as it starts while neither the
-/// platform nor a peer answers. The fabric would send it packets that it has to drop.
+/// Guards against an instance that is ready without a bundle because it started while neither
+/// the platform nor a peer answered. The fabric would send it packets that it has to drop.
 #[test]
 fn an_instance_without_a_bundle_is_not_ready_and_reports_the_reason() {
     let (operator, instance, _) = start_server(false);
--- a/peer/src/client.rs
+++ b/peer/src/client.rs
@@ -16,7 +16,7 @@
 use tonic::transport::{Channel, ClientTlsConfig, Endpoint};
 
 /// Maximum number of messages that wait for one peer. It keeps a peer that hangs from taking
-/// up the memory of all others.
+/// memory that the others need.
 const MAX_QUEUED: usize = 64;
 /// Size in bytes from which no more messages are added to a batch.
 const BATCH_BYTES: usize = MAX_BATCH_BYTES / 4;
--- a/peer/src/error.rs
+++ b/peer/src/error.rs
@@ -28,9 +28,10 @@
     },
 }
 
-/// Why a batch from a peer was refused.
+/// Reason why a batch from a peer was refused.
 ///
-/// These texts are sent to the peer as the message of a gRPC status, so they are part of the protocol.
+/// These texts are sent to the peer as the message of a gRPC status, so they are part of the
+/// protocol.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum BatchError {
@@ -46,12 +47,12 @@
     /// A message in the batch is invalid.
     #[snafu(display("a message is malformed"))]
     Malformed {
-        /// Why the message is invalid.
+        /// Reason why the message is invalid.
         source: WireError,
     },
 }
 
-/// Why a received message is invalid.
+/// Reason why a received message is invalid.
 #[derive(Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum WireError {
--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -26,6 +26,6 @@
     start::{PeerHandle, Peers},
 };
 
-/// Maximum size of a received batch, in bytes. A bundle of one megabyte fits, as a delta
-/// that shares nothing with its base, along with the other messages of the batch.
+/// Maximum size of a received batch, in bytes. A batch can contain a bundle of one megabyte,
+/// sent as a delta that shares nothing with its base, and other messages.
 pub const MAX_BATCH_BYTES: usize = 2 << 20;
--- a/peer/tests/test_fleet.rs
+++ b/peer/tests/test_fleet.rs
@@ -89,8 +89,8 @@
     fleet.iter_mut().for_each(Instance::step);
 }
 
-/// Guards against a bundle or a change of it that doesn't reach all instances, when one of
-/// them reads it and they know only one address to start from.
+/// Guards against a bundle, or a change of it, that doesn't reach all instances. Only one of
+/// them reads each, and at the start the others know a single address.
 #[test]
 fn bundle_reaches_all_over_mutual_tls() {
     let mut fleet = fleet();
