--- a/fabric/tests/test_memory.rs
+++ b/fabric/tests/test_memory.rs
@@ -1,3 +1,5 @@
+//! The wire without a socket.
+
 use medlarspur_fabric::{Batch, Datagram, MAX_BATCH, MAX_DATAGRAM, MemoryWire, Wire};
 use proptest::prelude::*;
 use std::{net::SocketAddrV4, time::Duration};
--- a/fabric/tests/test_outbox.rs
+++ b/fabric/tests/test_outbox.rs
@@ -1,3 +1,5 @@
+//! Datagrams that are collected and sent in batches.
+
 use medlarspur_fabric::{MAX_BATCH, MemoryWire, Outbox};
 use proptest::prelude::*;
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/fabric/tests/test_socket.rs
+++ b/fabric/tests/test_socket.rs
@@ -1,3 +1,5 @@
+//! The wire over a UDP socket.
+
 use medlarspur_fabric::{Batch, Datagram, Listener, MAX_BATCH, MAX_DATAGRAM, Socket, Wire};
 use std::{
     net::{Ipv4Addr, SocketAddrV4, UdpSocket},
--- a/lib/examples/fleet_slopes.rs
+++ b/lib/examples/fleet_slopes.rs
@@ -73,8 +73,8 @@
     let changed = version as usize * 37 % services;
     for ix in 0..services {
         let start = text.len();
-        let mark = if ix == changed { version } else { 0 };
-        write!(text, "  - name: s{ix}\n    balance: {mark}\n    note: ")
+        let balance = if ix == changed { version } else { 0 };
+        write!(text, "  - name: s{ix}\n    balance: {balance}\n    note: ")
             .expect("writing to a string succeeds");
         while text.len() < start + SERVICE_BYTES {
             text.push('x');
@@ -131,11 +131,11 @@
         worst = worst.max(delays.into_iter().max().unwrap_or(0));
     }
     let end = total(net);
-    let more = Traffic {
+    let extra = Traffic {
         messages: (end.messages - base.messages).saturating_sub(CHANGES * idle.messages),
         bytes: (end.bytes - base.bytes).saturating_sub(CHANGES * idle.bytes),
     };
-    Change { sent: rate(Traffic::default(), more, nodes as u64 * CHANGES, 11), mean, worst }
+    Change { sent: rate(Traffic::default(), extra, nodes as u64 * CHANGES, 11), mean, worst }
 }
 
 struct Failures {
--- a/lib/examples/table_cost.rs
+++ b/lib/examples/table_cost.rs
@@ -36,9 +36,9 @@
     let before = assign(&service);
     let mut moved = Vec::new();
     for leaver in 0..size {
-        let mut less = service.clone();
-        less.targets[leaver].state = TargetState::Leaving;
-        let after = assign(&less);
+        let mut reduced = service.clone();
+        reduced.targets[leaver].state = TargetState::Leaving;
+        let after = assign(&reduced);
         moved.push(before.iter().zip(&after).filter(|(a, b)| a != b).count());
     }
     let share = |count: usize| count as f64 * 100.0 / f64::from(BUCKETS);
@@ -59,9 +59,9 @@
 /// logarithm of a hash scaled by the weight.
 fn rendezvous(service: &Service) -> Vec<usize> {
     let best = |bucket: u16| {
-        let takers = service.targets.iter().enumerate();
-        let takers = takers.filter(|(_, target)| target.state == TargetState::Active);
-        let scored = takers.map(|(ix, target)| (score(bucket, target), ix));
+        let eligible = service.targets.iter().enumerate();
+        let eligible = eligible.filter(|(_, target)| target.state == TargetState::Active);
+        let scored = eligible.map(|(ix, target)| (score(bucket, target), ix));
         scored.max_by(|a, b| a.0.total_cmp(&b.0)).map_or(0, |(_, ix)| ix)
     };
     (0..BUCKETS).map(best).collect()
--- a/lib/src/planner.rs
+++ b/lib/src/planner.rs
@@ -24,13 +24,13 @@
 /// if these are too many to be plausible. The previous plan then stays.
 pub fn avoid_targets(service: &Service, bad: &Set<TargetName>) -> Option<Moves> {
     let eligible = service.targets.iter().filter(|target| table::takes_new_flows(target));
-    let (all, out) = eligible.fold((0, 0), |(all, out), target| {
-        (all + 1, out + usize::from(bad.contains(&target.name)))
+    let (total, avoided) = eligible.fold((0, 0), |(total, avoided), target| {
+        (total + 1, avoided + usize::from(bad.contains(&target.name)))
     });
-    if out == 0 {
+    if avoided == 0 {
         return Some(Vec::new());
     }
-    if out * 100 > all * MAX_BAD_PERCENT {
+    if avoided * 100 > total * MAX_BAD_PERCENT {
         return None;
     }
     let assigned = table::assign_buckets(service)?;
--- a/lib/tests/edge/test_draft.rs
+++ b/lib/tests/edge/test_draft.rs
@@ -1,3 +1,5 @@
+//! Drafts of the next view.
+
 use medlarspur_lib::{
     bundle::{Bundle, Class, Limits, Port, Protocol, Seed, Service, Target, TargetState},
     ids::{DomainName, Incarnation, InstanceName, ServiceName, SiteName, TargetName, Version},
--- a/lib/tests/edge/test_rank.rs
+++ b/lib/tests/edge/test_rank.rs
@@ -1,3 +1,5 @@
+//! Ranks by rendezvous hashing.
+
 use medlarspur_lib::members::{is_top, top};
 use proptest::prelude::*;
 
--- a/targets/tests/test_assignment.rs
+++ b/targets/tests/test_assignment.rs
@@ -1,3 +1,5 @@
+//! Assignment of targets to the instances that probe them.
+
 use medlarspur_lib::ids::{InstanceName, TargetName};
 use medlarspur_target::{PROBERS_PER_DOMAIN, is_prober};
 
--- a/targets/tests/test_http.rs
+++ b/targets/tests/test_http.rs
@@ -1,3 +1,5 @@
+//! Probes over HTTP.
+
 use medlarspur_target::{Http, LoadReport, Outcome, Probe};
 use std::{
     io::{BufRead, BufReader, Write},
--- a/targets/tests/test_prober.rs
+++ b/targets/tests/test_prober.rs
@@ -1,3 +1,5 @@
+//! The threads that probe targets.
+
 use medlarspur_lib::{ids::TargetName, time::Millis};
 use medlarspur_target::{Answer, Event, HealthVerdict, LoadReport, Outcome, Probe, Prober};
 use std::{
--- a/targets/tests/test_schedule.rs
+++ b/targets/tests/test_schedule.rs
@@ -1,3 +1,5 @@
+//! The schedule of probes.
+
 use medlarspur_lib::{ids::TargetName, time::Millis};
 use medlarspur_target::{HealthVerdict, INTERVAL, Job, Next, Outcome, Schedule};
 use std::net::{Ipv4Addr, SocketAddrV4};
--- a/targets/tests/test_verdict.rs
+++ b/targets/tests/test_verdict.rs
@@ -1,3 +1,5 @@
+//! Verdicts on a target's health.
+
 use medlarspur_target::{HealthTracker, HealthVerdict, Outcome};
 use proptest::prelude::*;
 
