--- a/daemon/tests/test_marked_pictures.rs
+++ b/daemon/tests/test_marked_pictures.rs
@@ -74,7 +74,8 @@
                     assert_eq!((from, update.revision), (address, Revision::new(0, 7)));
                     pulled += 1;
                 }
-                // Rejected as there are too many at once. An instance pulls again, or from another one.
+                // Rejected as there are too many at once: the requester pulls again, or from
+                // another instance.
                 Event::PullFailed(from) => assert_eq!(from, address),
                 other => panic!("{other:?}"),
             }
--- a/marked/tests/test_fleet.rs
+++ b/marked/tests/test_fleet.rs
@@ -271,8 +271,8 @@
     assert_eq!(net.behind(), []);
 }
 
-/// Guards against an instance without a catalog that starts while no instance can reach the store. The
-/// others still have snapshots.
+/// Guards against an instance without a catalog that starts while no instance can reach the store.
+/// The others still have snapshots.
 #[test]
 fn an_instance_that_starts_without_the_store_learns_from_others() {
     let mut net = settled_net(3, 4);
