--- a/lib/src/bundle/mod.rs
+++ b/lib/src/bundle/mod.rs
@@ -143,7 +143,8 @@
         Udp,
     }
 
-    /// Class of the work on a port. It determines priority and limits.
+    /// Class of the work on a port. It determines priority and limits. Bundles and the log contain
+    /// the variant names in lower case.
     #[derive(serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "lowercase")]
     pub enum Class {
--- a/load/src/choice.rs
+++ b/load/src/choice.rs
@@ -37,7 +37,7 @@
 const OUTSIDE_SUBSET_COST: f32 = 0.15;
 
 /// Preference of a target. An earlier tier always goes before a later one, whatever the
-/// load.
+/// load. The log prints the variant names in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Tier {
     /// The target is listed and not suspected.
@@ -45,7 +45,7 @@
     /// The target is no longer listed but has answered since then: its entry lapsed.
     Unlisted,
     /// A packet or probe sent to the target recently got no answer.
-    Suspected,
+    Doubtful,
 }
 
 /// A target that could take a flow.
--- a/load/tests/test_choice.rs
+++ b/load/tests/test_choice.rs
@@ -65,14 +65,14 @@
 /// answer here. However idle they look, they are used only if no other target can take
 /// the flow.
 #[test]
-fn a_suspected_target_is_the_last_choice() {
-    let suspected = Candidate { tier: Tier::Suspected, ..idle() };
+fn a_doubtful_target_is_the_last_choice() {
+    let doubtful = Candidate { tier: Tier::Doubtful, ..idle() };
     let unlisted = Candidate { tier: Tier::Unlisted, in_flight: 9, ..idle() };
     let busy = Candidate { in_flight: 9, ..idle() };
 
-    assert_eq!(choose(&[suspected, unlisted, busy], Class::Feed, 0), Some(2));
-    assert_eq!(choose(&[suspected, unlisted], Class::Feed, 0), Some(1));
-    assert_eq!(choose(&[suspected], Class::Feed, 0), Some(0));
+    assert_eq!(choose(&[doubtful, unlisted, busy], Class::Feed, 0), Some(2));
+    assert_eq!(choose(&[doubtful, unlisted], Class::Feed, 0), Some(1));
+    assert_eq!(choose(&[doubtful], Class::Feed, 0), Some(0));
 }
 
 /// An upload carries 80 kB to its target, a request of a feed hardly anything.
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -126,7 +126,7 @@
         match candidate.map(|it| it.tier) {
             Some(Tier::Good) => TargetUse::Good,
             Some(Tier::Unlisted) => TargetUse::Unlisted,
-            Some(Tier::Suspected) => TargetUse::Doubtful,
+            Some(Tier::Doubtful) => TargetUse::Doubtful,
             None if entry.target.leaving => TargetUse::Leaving,
             None if is_lost && entry.is_listed() => TargetUse::Lost,
             None if matches!(entry.presence, Presence::Unusable(_)) => TargetUse::Unusable,
--- a/marked/src/forwarder/output.rs
+++ b/marked/src/forwarder/output.rs
@@ -29,7 +29,7 @@
     Length(Millis),
 }
 
-/// Reason of a reset.
+/// Reason of a reset. The log prints the variant names in lower case, with hyphens: `no-route`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Refusal {
     /// No route has the address and port. No packet was sent to a target.
@@ -54,7 +54,8 @@
     TargetLost,
 }
 
-/// Reason why a packet is dropped without a reset.
+/// Reason why a packet is dropped without a reset. The log prints the variant names in lower
+/// case, with hyphens: `unknown-mark`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Unroutable {
     /// The packet is in mid-flow and carries no mark.
--- a/marked/src/forwarder/placing.rs
+++ b/marked/src/forwarder/placing.rs
@@ -283,7 +283,7 @@
                 return None;
             }
             Presence::Unusable(_) | Presence::Replaced(_) => return None,
-            _ if is_suspected => Tier::Suspected,
+            _ if is_suspected => Tier::Doubtful,
             Presence::Removed(_) => Tier::Unlisted,
             Presence::Listed => Tier::Good,
         };
--- a/marked/src/health.rs
+++ b/marked/src/health.rs
@@ -16,7 +16,7 @@
 /// Maximum time between two probes of a lost target.
 const MAX_LOST_INTERVAL: Millis = Millis(2_000);
 
-/// Result of probing a target.
+/// Result of probing a target. The log prints the variant names in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProbeResult {
     /// This incarnation answers. The health that it reports is not considered.
--- a/marked/src/note.rs
+++ b/marked/src/note.rs
@@ -163,7 +163,7 @@
     },
 }
 
-/// State of a target's entry.
+/// State of a target's entry. The log prints the variant names in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EntryState {
     /// The target takes new flows.
--- a/targets/src/verdict.rs
+++ b/targets/src/verdict.rs
@@ -27,7 +27,7 @@
 /// Assumed health of a target.
 ///
 /// No verdict ends a flow: the endpoint may be down while the service works, and TCP connections
-/// survive a network partition of minutes.
+/// survive a network partition of minutes. The log prints the variant names as they are.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthVerdict {
     /// The target accepts new work.
