--- a/cli/src/commands/bundle_check.rs
+++ b/cli/src/commands/bundle_check.rs
@@ -1,4 +1,4 @@
-//! `bundle check`: every fault of a bundle.
+//! `bundle check`: lists the faults of a bundle.
 
 use super::{read, read_key};
 use crate::{
@@ -7,12 +7,13 @@
     output,
 };
 use medlarspur_lib::{
-    bundle::{Bundle, Keys, PublicKey, Signed, content},
+    bundle::{Bundle, PublicKey, SignedBundle, TrustedKeys, strip_signature},
     document::{Problem, Report},
 };
 use serde::Serialize;
 use snafu::ResultExt;
 
+/// A fault of a bundle, as printed in JSON.
 #[derive(Serialize)]
 struct Fault {
     line: Option<usize>,
@@ -34,38 +35,41 @@
 
 pub fn run(flags: &Check) -> Result<Code, CommandError> {
     let text = read(&flags.file)?;
-    let bundle = match Bundle::parse(content(&text)) {
+    let bundle = match Bundle::parse(strip_signature(&text)) {
         Ok(bundle) => bundle,
-        Err(report) => return faulty(flags, &report),
+        Err(report) => return print_faults(flags, &report),
     };
     let keys: Result<Vec<PublicKey>, _> = flags.trust.iter().map(|path| read_key(path)).collect();
-    let keys = Keys::new(keys?);
+    let keys = TrustedKeys::new(keys?);
     if keys.iter().next().is_some() {
-        Signed::check(text.as_bytes(), &keys, &bundle.site)
+        SignedBundle::check(text.as_bytes(), &keys, &bundle.site)
             .context(RefusedSnafu { path: &flags.file })?;
     }
     if flags.json {
-        output::json(&Vec::<Fault>::new())?;
+        output::print_json(&Vec::<Fault>::new())?;
     } else {
-        output::line(&summary(flags, &bundle));
+        output::print_line(&summary(flags, &bundle));
         for warning in bundle.warnings() {
-            output::line(&format!("{}: warning: {warning}", flags.file.display()));
+            output::print_line(&format!("{}: warning: {warning}", flags.file.display()));
         }
     }
     Ok(Code::Done)
 }
 
-fn faulty(flags: &Check, report: &Report) -> Result<Code, CommandError> {
+fn print_faults(flags: &Check, report: &Report) -> Result<Code, CommandError> {
     if flags.json {
         let faults: Vec<Fault> = report.problems.iter().map(Fault::from).collect();
-        output::json(&faults)?;
+        output::print_json(&faults)?;
         return Ok(Code::No);
     }
     for problem in &report.problems {
         let line = problem.line.unwrap_or(0);
         let fault = Fault::from(problem);
-        let place = format!("{}:{line}", flags.file.display());
-        output::line(&format!("{place}: {}: {}; {}", fault.path, fault.fault, fault.advice));
+        let location = format!("{}:{line}", flags.file.display());
+        output::print_line(&format!(
+            "{location}: {}: {}; {}",
+            fault.path, fault.fault, fault.advice
+        ));
     }
     Ok(Code::No)
 }
--- a/cli/src/commands/bundle_show.rs
+++ b/cli/src/commands/bundle_show.rs
@@ -1,4 +1,4 @@
-//! `bundle show`: a bundle with its defaults filled in.
+//! `bundle show`: prints a bundle with its defaults filled in.
 
 use super::read_bundle;
 use crate::{
@@ -8,13 +8,13 @@
 };
 use medlarspur_lib::{
     bundle::{Bundle, Service},
-    time::Span,
+    time::HumanDuration,
 };
 
 pub fn run(flags: &Show) -> Result<Code, CommandError> {
     let bundle = read_bundle(&flags.file)?;
     if flags.json {
-        output::json(&bundle)?;
+        output::print_json(&bundle)?;
         return Ok(Code::Done);
     }
     print(&bundle);
@@ -22,21 +22,21 @@
 }
 
 fn print(bundle: &Bundle) {
-    output::line(&format!("version {} for {}", bundle.version, bundle.site));
-    output::line(&format!("seed {}", bundle.seed));
+    output::print_line(&format!("version {} for {}", bundle.version, bundle.site));
+    output::print_line(&format!("seed {}", bundle.seed));
     let limits = &bundle.limits;
-    output::line(&format!(
+    output::print_line(&format!(
         "limits: reserve {}, caller {}, network {}, booking {}, patience {}, retries {}",
         or_dash(limits.reserve),
         or_dash(limits.caller),
         or_dash(limits.network),
         or_dash(limits.booking),
-        or_dash(limits.patience.map(Span)),
+        or_dash(limits.patience.map(HumanDuration)),
         or_dash(limits.retries),
     ));
     if !bundle.evacuated.is_empty() {
-        let domains: Vec<&str> = bundle.evacuated.iter().map(|it| it.as_str()).collect();
-        output::line(&format!("evacuated: {}", domains.join(", ")));
+        let domains: Vec<&str> = bundle.evacuated.iter().map(|domain| domain.as_str()).collect();
+        output::print_line(&format!("evacuated: {}", domains.join(", ")));
     }
     for service in &bundle.services {
         print_service(service);
@@ -45,19 +45,19 @@
 
 fn print_service(service: &Service) {
     let ports: Vec<String> = service.ports.iter().map(|port| port.to_string()).collect();
-    output::line("");
-    output::line(&format!("{} at {}: {}", service.name, service.address, ports.join(", ")));
-    output::line(&format!(
+    output::print_line("");
+    output::print_line(&format!("{} at {}: {}", service.name, service.address, ports.join(", ")));
+    output::print_line(&format!(
         "  {} buckets, keepalive {}, balance {}, refusal {}",
         service.buckets,
-        Span(service.keepalive),
+        HumanDuration(service.keepalive),
         service.balance,
         or_dash(service.refusal.as_ref().map(|text| format!("{text:?}"))),
     ));
     let heading = ["  TARGET", "ADDRESS", "DOMAIN", "STATE", "WEIGHT", "SLOTS", "CONNECTIONS"];
     let mut table = Table::new(&[&heading[..], &["PROBE"]].concat());
     for target in &service.targets {
-        table.row(vec![
+        table.add_row(vec![
             format!("  {}", target.name),
             target.address.to_string(),
             target.domain.to_string(),
--- a/cli/tests/instances.rs
+++ b/cli/tests/instances.rs
@@ -1,4 +1,4 @@
-//! Instances that answer the tool from fixed values.
+//! Instances with a fixed state, which the tool can query.
 
 use medlarspur_lib::{
     bundle::{Class, TargetState},
@@ -8,13 +8,13 @@
     members::MemberState,
     packet::FlowKey,
     status::{
-        BundleStatus, EvacuatedDomain, Explanation, FlowStatus, Life, MarkedExplanation,
-        MarkedReason, MarkedService, MarkedStatus, MarkedTarget, MemberStatus, Owner, Picture,
-        PlanStatus, Reason, ServiceStatus, Status, TargetStatus, TargetUse, Unready,
+        BundleStatus, CatalogStatus, EvacuatedDomain, Explanation, FlowStatus, Life,
+        MarkedExplanation, MarkedReason, MarkedService, MarkedStatus, MarkedTarget, MemberStatus,
+        Owner, PlanStatus, Reason, ServiceStatus, Status, TargetStatus, TargetUse, Unready,
     },
     time::Millis,
 };
-use medlarspur_operator::{Family, MarkedSource, Meters, Operator, Source};
+use medlarspur_operator::{Family, MarkedSource, Meters, OperatorServer, Source};
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     sync::Arc,
@@ -26,25 +26,27 @@
     era: u32,
 }
 
-/// Starts an instance with a bundle of this version in force, or none.
-pub fn instance(name: &'static str, version: Option<u64>) -> Operator {
+/// Starts an instance with a bundle of this version in force, or without one.
+pub fn start_instance(name: &'static str, version: Option<u64>) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
-    meters.count(Family::Packets, "received").add(10);
+    meters.counter(Family::Packets, "received").add(10);
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-    Operator::start(address, Arc::new(Instance { name, version, era: 0 }), meters).expect("starts")
+    OperatorServer::start(address, Arc::new(Instance { name, version, era: 0 }), meters)
+        .expect("starts")
 }
 
-/// Starts an instance where marks are used, with a config of this version in force.
-pub fn marked(name: &'static str, version: Option<u64>) -> Operator {
-    marked_in_era(name, version, 0)
+/// Starts an instance at a site whose fabric returns marks, with a config of this version in
+/// force, or without one.
+pub fn start_marked(name: &'static str, version: Option<u64>) -> OperatorServer {
+    start_marked_in_era(name, version, 0)
 }
 
-/// The same, of a platform that has come back from a copy as often.
-pub fn marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> Operator {
+/// Like [`start_marked`], at a platform that has been restored from a copy `era` times.
+pub fn start_marked_in_era(name: &'static str, version: Option<u64>, era: u32) -> OperatorServer {
     let meters = Meters::new().expect("metrics");
     let address = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
     let source = Arc::new(Instance { name, version, era });
-    Operator::start_marked(address, source, meters).expect("starts")
+    OperatorServer::start_marked(address, source, meters).expect("starts")
 }
 
 impl MarkedSource for Instance {
@@ -57,7 +59,7 @@
             reading: true,
             members: 3,
             flows: 12,
-            picture: picture(self.version, self.era),
+            picture: catalog_status(self.version, self.era),
             services: vec![MarkedService {
                 name: ServiceName::new("alertdesk"),
                 pressure: 31,
@@ -74,14 +76,14 @@
             class: Some(Class::Feed),
             target: marked_targets().pop(),
             candidates: marked_targets(),
-            picture: picture(self.version, self.era),
+            picture: catalog_status(self.version, self.era),
         })
     }
 }
 
-fn picture(version: Option<u64>, era: u32) -> Picture {
+fn catalog_status(version: Option<u64>, era: u32) -> CatalogStatus {
     let evacuated = EvacuatedDomain { domain: DomainName::new("mladost"), revision: 40 };
-    Picture {
+    CatalogStatus {
         version: version.map(Version),
         era,
         revision: 41,
--- a/daemon/src/marked/meters.rs
+++ b/daemon/src/marked/meters.rs
@@ -1,13 +1,13 @@
-//! What the instance shows in its metrics.
+//! The instance's metrics.
 //!
-//! The main thread counts in numbers of its own and publishes a copy after each
-//! round; a scrape reads the copy, so it never holds packets up.
+//! The main thread keeps its own counters and publishes a copy after each round. A scrape
+//! reads the copy, so it never delays packets.
 
-use super::store::Calls;
-use crate::{clock::Clock, sink::Sink};
-use medlarspur_fabric::Counts as Wire;
+use super::store::CallCounts;
+use crate::{clock::Clock, sink::LogSink};
+use medlarspur_fabric::Counts as SocketCounts;
 use medlarspur_lib::{bundle::Class, collections::Map, ids::ServiceName, time::Millis};
-use medlarspur_marked::{Counts, Finding, Revision, Span};
+use medlarspur_marked::{Counts, ProbeResult, Revision, Span};
 use medlarspur_operator::{ClassMeters, Family, Gauge, Meters};
 use medlarspur_platform::site::packet::PacketError;
 use std::{
@@ -15,66 +15,66 @@
     time::Duration,
 };
 
-/// A copy of what the main thread counts and knows.
+/// Copy of the main thread's counters and state.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Numbers {
-    /// Packets that were taken from the fabric.
+pub struct Stats {
+    /// Number of packets received from the fabric.
     pub received: u64,
-    /// Packets that are none, by reason.
+    /// Number of malformed packets, by reason.
     pub malformed: [u64; PacketError::ALL.len()],
-    /// What the forwarder counts.
+    /// The forwarder's counters.
     pub counts: Counts,
-    /// What the socket counts.
-    pub wire: Wire,
-    /// Flows with a record.
+    /// The packet socket's counters.
+    pub wire: SocketCounts,
+    /// Number of flows in the flow table.
     pub flows: u64,
-    /// Other instances that are known.
+    /// Number of other known instances.
     pub members: u64,
-    /// Whether it is ready.
+    /// Whether the instance is ready.
     pub ready: bool,
-    /// Whether it reads the store.
+    /// Whether the instance reads the store.
     pub reading: bool,
-    /// When its picture was confirmed last.
+    /// Time at which the catalog was last confirmed.
     pub confirmed: Option<Millis>,
-    /// Up to which revision it knows all changes.
+    /// Revision up to which all changes are known.
     pub revision: Revision,
-    /// The version of the config in force.
+    /// Version of the config in force.
     pub version: u64,
-    /// Listed targets that answer, and that don't.
-    pub reach: (usize, usize),
-    /// Targets that take no openings.
+    /// Numbers of listed targets that answer and that don't.
+    pub live_and_lost: (usize, usize),
+    /// Number of targets that accept no openings.
     pub full: usize,
-    /// Failure domains that operators have emptied.
+    /// Number of evacuated failure domains.
     pub evacuated: usize,
-    /// Routes of the config in force that can't be served.
+    /// Number of routes of the config in force that can't be served.
     pub omitted: u32,
-    /// Targets that were not taken because another one has their number.
-    pub clashes: u64,
+    /// Number of targets that were rejected because another one has the same number.
+    pub collisions: u64,
 }
 
-/// The copy that scrapes read.
+/// The published copy, read by scrapes.
 #[derive(Debug, Default, Clone)]
-pub struct Published(Arc<Mutex<Numbers>>);
+pub struct SharedStats(Arc<Mutex<Stats>>);
 
-impl Published {
+impl SharedStats {
     /// Replaces the copy.
-    pub fn set(&self, numbers: Numbers) {
-        *self.lock() = numbers;
+    pub fn set(&self, stats: Stats) {
+        *self.lock() = stats;
     }
 
-    fn get(&self) -> Numbers {
+    fn get(&self) -> Stats {
         *self.lock()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Numbers> {
+    fn lock(&self) -> MutexGuard<'_, Stats> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// One series and where its value is found.
-type Series = (Family, &'static str, fn(&Numbers) -> u64);
+/// Family and label of a series, and the function that reads its value.
+type CounterSeries = (Family, &'static str, fn(&Stats) -> u64);
 
-const SERIES: [Series; 33] = [
+const COUNTERS: [CounterSeries; 33] = [
     (Family::Packets, "received", |it| it.received),
     (Family::Packets, "forwarded", |it| it.counts.passed),
     (Family::Packets, "reopened", |it| it.counts.reopened),
@@ -95,7 +95,7 @@
     (Family::Flows, "reset-target-lost", |it| it.counts.lost),
     (Family::Drops, "unmarked", |it| it.counts.unmarked),
     (Family::Drops, "unknown-mark", |it| it.counts.unknown),
-    (Family::Drops, "record-clash", |it| it.clashes),
+    (Family::Drops, "record-clash", |it| it.collisions),
     (Family::Drops, "oversize", |it| it.wire.oversize),
     (Family::Drops, "empty", |it| it.wire.empty),
     (Family::Drops, "send-full", |it| it.wire.full),
@@ -104,90 +104,90 @@
     (Family::Drops, "send-failed", |it| it.wire.failed),
     (Family::Platform, "restored", |it| it.counts.restores),
     (Family::Probes, "asked", |it| it.counts.asked),
-    (Family::Probes, "answers", |it| it.counts.found[Finding::Answers as usize]),
-    (Family::Probes, "declines", |it| it.counts.found[Finding::Declines as usize]),
-    (Family::Probes, "gone", |it| it.counts.found[Finding::Gone as usize]),
-    (Family::Probes, "silent", |it| it.counts.found[Finding::Silent as usize]),
+    (Family::Probes, "answers", |it| it.counts.found[ProbeResult::Answers as usize]),
+    (Family::Probes, "declines", |it| it.counts.found[ProbeResult::Declines as usize]),
+    (Family::Probes, "gone", |it| it.counts.found[ProbeResult::Gone as usize]),
+    (Family::Probes, "silent", |it| it.counts.found[ProbeResult::Silent as usize]),
 ];
 
-/// One gauge and where its value is found.
-type Level = (Gauge, fn(&Numbers) -> u64);
+/// A gauge and the function that reads its value.
+type GaugeSeries = (Gauge, fn(&Stats) -> u64);
 
-const LEVELS: [Level; 12] = [
+const GAUGES: [GaugeSeries; 12] = [
     (Gauge::Ready, |it| u64::from(it.ready)),
     (Gauge::FlowsHeld, |it| it.flows),
     (Gauge::MembersLive, |it| it.members + 1),
     (Gauge::BundleVersion, |it| it.version),
     (Gauge::Reading, |it| u64::from(it.reading)),
-    (Gauge::PictureRevision, |it| it.revision.count),
-    (Gauge::PictureEra, |it| it.revision.era.into()),
-    (Gauge::TargetsLive, |it| it.reach.0 as u64),
-    (Gauge::TargetsLost, |it| it.reach.1 as u64),
+    (Gauge::CatalogRevision, |it| it.revision.count),
+    (Gauge::CatalogEra, |it| it.revision.era.into()),
+    (Gauge::TargetsLive, |it| it.live_and_lost.0 as u64),
+    (Gauge::TargetsLost, |it| it.live_and_lost.1 as u64),
     (Gauge::TargetsFull, |it| it.full as u64),
     (Gauge::DomainsEvacuated, |it| it.evacuated as u64),
     (Gauge::RoutesOmitted, |it| u64::from(it.omitted)),
 ];
 
-/// Shows all numbers.
+/// Registers the metrics.
 pub fn register(
     meters: &Meters,
-    published: &Published,
-    calls: &Arc<Calls>,
-    sink: Option<Sink>,
+    published: &SharedStats,
+    calls: &Arc<CallCounts>,
+    sink: Option<LogSink>,
     clock: Clock,
 ) {
-    for (family, label, value) in SERIES {
+    for (family, label, value) in COUNTERS {
         let read = published.clone();
-        meters.observe(family, label, move || value(&read.get()));
+        meters.observe_counter(family, label, move || value(&read.get()));
     }
     for error in PacketError::ALL {
         let read = published.clone();
         let value = move || read.get().malformed[error as usize];
-        meters.observe(Family::Drops, error.label(), value);
+        meters.observe_counter(Family::Drops, error.label(), value);
     }
-    for (gauge, value) in LEVELS {
+    for (gauge, value) in GAUGES {
         let read = published.clone();
-        meters.gauge(gauge, move || value(&read.get()));
+        meters.observe_gauge(gauge, move || value(&read.get()));
     }
     let read = published.clone();
-    meters.gauge(Gauge::PictureAge, move || {
+    meters.observe_gauge(Gauge::CatalogAge, move || {
         read.get().confirmed.map_or(u64::MAX, |at| clock.now().since(at).0)
     });
     let read = calls.clone();
-    meters.observe(Family::Platform, "answered", move || read.answered.load(Relaxed));
+    meters.observe_counter(Family::Platform, "answered", move || read.answered.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Platform, "failed", move || read.failed.load(Relaxed));
+    meters.observe_counter(Family::Platform, "failed", move || read.failed.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Drops, "record", move || read.omitted.load(Relaxed));
+    meters.observe_counter(Family::Drops, "record", move || read.omitted.load(Relaxed));
     let read = calls.clone();
-    meters.observe(Family::Platform, "assumed", move || read.assumed.load(Relaxed));
+    meters.observe_counter(Family::Platform, "assumed", move || read.assumed.load(Relaxed));
     if let Some(sink) = sink {
-        meters.observe(Family::Rings, "log", move || sink.lost());
+        meters.observe_counter(Family::Rings, "log", move || sink.lost());
     }
 }
 
-/// Records measured times, with the histograms at hand.
+/// Records measured times, with a cache of the histograms in use.
 #[derive(Clone)]
-pub struct Times {
+pub struct Histograms {
     meters: Meters,
     classes: Map<(ServiceName, Class), Arc<ClassMeters>>,
 }
 
-impl Times {
-    /// Records into these metrics.
-    pub fn new(meters: Meters) -> Times {
-        Times { meters, classes: Map::default() }
+impl Histograms {
+    /// Creates a recorder for these metrics.
+    pub fn new(meters: Meters) -> Histograms {
+        Histograms { meters, classes: Map::default() }
     }
 
-    /// Records one time.
+    /// Records a time of a class of a service.
     pub fn record(&mut self, service: &ServiceName, class: Class, span: Span) {
         let key = (service.clone(), class);
         let meters = &self.meters;
         let times = self.classes.entry(key).or_insert_with(|| meters.class(service, class));
         match span {
-            Span::Handshake(span) => times.handshake(Duration::from_millis(span.0)),
-            Span::Answer(span) => times.answer(Duration::from_millis(span.0)),
-            Span::Length(span) => times.length(Duration::from_millis(span.0)),
+            Span::Handshake(span) => times.record_handshake(Duration::from_millis(span.0)),
+            Span::Answer(span) => times.record_answer(Duration::from_millis(span.0)),
+            Span::Length(span) => times.record_lifetime(Duration::from_millis(span.0)),
         }
     }
 }
--- a/daemon/src/packets.rs
+++ b/daemon/src/packets.rs
@@ -1,15 +1,16 @@
-//! The packet thread: callers' packets and peers' questions in, packets to
-//! targets out. It alone has the flow table, so nothing here waits for a lock.
+//! The packet thread: forwards callers' packets to targets and answers peers' questions.
+//!
+//! It is the only owner of the flow table, so the packet path takes no lock.
 
 use crate::{
     clock::Clock,
     gate::LoadGate,
     outbox::Outbox,
     sample::Sampler,
-    shared::{Command, Known, Look, Outgoing, Shared},
+    shared::{Command, FlowQuery, KeeperAdvert, KnownFlow, Shared},
 };
 use arc_swap::Cache;
-use medlarspur_fabric::{Batch, Listener, Socket, SocketError, Wire, wait};
+use medlarspur_fabric::{Batch, Listener, Socket, SocketError, Wire, wait_readable};
 use medlarspur_lib::{
     forwarder::Forwarder, question::Datagram, settings::Secret, time::Millis, view::View,
 };
@@ -20,87 +21,91 @@
     time::Duration,
 };
 
-/// How long the thread sleeps at most: bounds how late a held packet's time
-/// limit is noticed.
-const WAIT: Duration = Duration::from_millis(5);
+/// Maximum sleep of a round; bounds the delay in noticing that a held packet's
+/// deadline has passed.
+const MAX_WAIT: Duration = Duration::from_millis(5);
 
-/// How often counters are published.
-const PUBLISH: Millis = Millis(250);
+/// Interval at which counters are published.
+const PUBLISH_INTERVAL: Millis = Millis(250);
 
-/// A gap between two rounds that means that the process slept. A busy machine
-/// delays a round by tens of milliseconds, not by this.
-const SLEPT: Millis = Millis(500);
+/// Gap between two rounds from which on the process counts as having slept. A busy machine
+/// delays a round by tens of milliseconds only.
+const SLEEP_GAP: Millis = Millis(500);
 
-/// For how many flows there is room from the start.
-const CAPACITY: usize = 65_536;
+/// Number of flows for which the flow table has capacity from the start.
+const INITIAL_FLOWS: usize = 65_536;
 
-/// What the packet thread works with.
-pub struct Packets {
-    /// Takes packets from the fabric.
+/// The inputs and outputs of the packet thread.
+pub struct PacketParts {
+    /// Socket for packets from the fabric.
     pub fabric: Listener,
-    /// Exchanges questions with peers.
+    /// Socket for questions and answers of peers.
     pub questions: Listener,
-    /// Where packets for callers go.
-    pub returns: std::net::SocketAddrV4,
-    /// The key of the questions.
+    /// Address to which packets for callers are sent.
+    pub return_address: std::net::SocketAddrV4,
+    /// Key that authenticates questions and answers.
     pub secret: Secret,
-    /// What other threads ask.
+    /// Commands from the control thread.
     pub commands: Consumer<Command>,
-    /// What operators ask.
-    pub looks: Receiver<Look>,
-    /// Adverts for keepers.
-    pub adverts: Producer<Outgoing>,
-    /// The decisions on openings.
+    /// Queries of operators.
+    pub queries: Receiver<FlowQuery>,
+    /// Adverts for keepers, sent by the control thread.
+    pub adverts: Producer<KeeperAdvert>,
+    /// Admission control for openings.
     pub gate: LoadGate,
-    /// Measures how long packets stay here.
+    /// Measures the time that packets spend in the thread.
     pub sampler: Sampler,
     /// The clock of the process.
     pub clock: Clock,
-    /// What the threads share.
+    /// State that the threads share.
     pub shared: Arc<Shared>,
 }
 
-/// Runs until told to stop.
-pub fn run(parts: Packets) -> Result<(), SocketError> {
-    let Packets {
+/// Runs the packet thread until the instance stops.
+///
+/// # Errors
+///
+/// Fails if a socket can't be read.
+pub fn run(parts: PacketParts) -> Result<(), SocketError> {
+    let PacketParts {
         fabric,
         questions,
-        returns,
+        return_address,
         secret,
         commands,
-        looks,
+        queries,
         adverts,
         gate,
         sampler,
         clock,
         shared,
     } = parts;
-    let outbox = Outbox::new(returns, secret.clone(), adverts, shared.clone());
-    let mut thread = Thread {
-        forwarder: Forwarder::new(gate, CAPACITY),
+    let outbox = Outbox::new(return_address, secret.clone(), adverts, shared.clone());
+    let mut thread = PacketThread {
+        forwarder: Forwarder::new(gate, INITIAL_FLOWS),
         view: Cache::new(&shared.view),
-        installed: 0,
+        installed_epoch: 0,
         fabric: fabric.into(),
         questions: questions.into(),
         secret,
         outbox,
         sampler,
         commands,
-        looks,
-        published: Millis(0),
-        last: clock.now(),
+        queries,
+        last_published: Millis(0),
+        last_round: clock.now(),
     };
     let mut batch = Batch::new();
-    while !shared.stops() {
-        wait([thread.fabric.as_fd(), thread.questions.as_fd()], Some(WAIT))?;
+    while !shared.should_stop() {
+        wait_readable([thread.fabric.as_fd(), thread.questions.as_fd()], Some(MAX_WAIT))?;
         let now = clock.now();
-        thread.watch_clock(now);
-        thread.follow(now);
-        thread.obey(now);
+        thread.detect_sleep(now);
+        thread.install_view(now);
+        thread.handle_commands(now);
         thread.answer_peers(now, &mut batch)?;
         let received = thread.forward(now, &mut batch)?;
         if received > 0 {
-            shared.heard.store(now.0, Relaxed);
+            shared.last_packet.store(now.0, Relaxed);
         }
         thread.forwarder.tick(now, &mut thread.outbox);
         thread.outbox.flush(&mut thread.fabric, &mut thread.questions);
@@ -110,82 +115,82 @@
     Ok(())
 }
 
-struct Thread<'a> {
+struct PacketThread<'a> {
     forwarder: Forwarder<LoadGate>,
     view: Cache<&'a arc_swap::ArcSwapOption<View>, Option<Arc<View>>>,
-    installed: u64,
+    installed_epoch: u64,
     fabric: Socket,
     questions: Socket,
     secret: Secret,
     outbox: Outbox,
     sampler: Sampler,
     commands: Consumer<Command>,
-    looks: Receiver<Look>,
-    published: Millis,
-    last: Millis,
+    queries: Receiver<FlowQuery>,
+    last_published: Millis,
+    last_round: Millis,
 }
 
-impl Thread<'_> {
-    fn watch_clock(&mut self, now: Millis) {
-        if now.since(self.last) > SLEPT {
+impl PacketThread<'_> {
+    fn detect_sleep(&mut self, now: Millis) {
+        if now.since(self.last_round) > SLEEP_GAP {
             self.wake(now);
-            log::warn!("slept_ms={}", now.since(self.last));
+            log::warn!("slept_ms={}", now.since(self.last_round));
         }
-        self.last = now;
+        self.last_round = now;
     }
 
     fn wake(&mut self, now: Millis) {
         self.forwarder.wake(now);
-        self.forwarder.gate().wake(now);
+        self.forwarder.gate_mut().wake(now);
     }
 
-    fn follow(&mut self, now: Millis) {
+    fn install_view(&mut self, now: Millis) {
         let Some(view) = self.view.load() else { return };
-        if view.epoch == self.installed {
+        if view.epoch == self.installed_epoch {
             return;
         }
-        if self.installed == 0 {
-            // A new instance knows no flow and not yet what moved before it
-            // came; until its peers have told it, it asks.
+        if self.installed_epoch == 0 {
+            // A new instance knows neither the flows nor the earlier moves of
+            // buckets. It asks its peers until it has received both.
             self.forwarder.distrust(now);
         }
-        self.installed = view.epoch;
+        self.installed_epoch = view.epoch;
         self.forwarder.install(view.clone(), now);
     }
 
-    fn obey(&mut self, now: Millis) {
+    fn handle_commands(&mut self, now: Millis) {
         while let Ok(command) = self.commands.pop() {
             match command {
-                Command::Advert(advert) => self.forwarder.advert(now, &advert),
-                Command::Distrust => self.wake(now),
-                Command::Probed(event) => self.forwarder.gate().probed(now, &event),
+                Command::Advert(advert) => self.forwarder.handle_advert(now, &advert),
+                Command::Slept => self.wake(now),
+                Command::Probed(event) => self.forwarder.gate_mut().record_probe(now, &event),
             }
         }
-        while let Ok(look) = self.looks.try_recv() {
-            self.look(look, now);
+        while let Ok(query) = self.queries.try_recv() {
+            self.answer_query(query, now);
         }
     }
 
-    /// Answers an operator; one that has gone away misses the answer.
-    fn look(&self, look: Look, now: Millis) {
+    /// Answers an operator's query. The answer is dropped if the operator has disconnected.
+    fn answer_query(&self, query: FlowQuery, now: Millis) {
         let flows = self.forwarder.flows();
-        let known = |(id, flow): (_, &medlarspur_lib::flows::Flow)| Known {
+        let known = |(id, flow): (_, &medlarspur_lib::flows::Flow)| KnownFlow {
             id,
             flow: *flow,
             age: flow.age(now),
             idle: flow.idle(now),
         };
-        match look {
-            Look::One(key, reply) => {
+        match query {
+            FlowQuery::One(key, reply) => {
                 let id = self.forwarder.view().map(|view| view.hasher.id(&key));
                 let found = id.and_then(|id| flows.get(id).map(|flow| known((id, flow))));
                 let _ = reply.try_send(found);
             }
-            Look::Some(limit, reply) => {
+            FlowQuery::List(limit, reply) => {
                 let some = flows.iter().take(limit).map(known).collect();
                 let _ = reply.try_send(some);
             }
-            Look::Counts(reply) => {
+            FlowQuery::Counts(reply) => {
                 let mut counts = Vec::new();
                 for (_, flow) in flows.iter() {
                     let ix = flow.target.0 as usize;
@@ -202,9 +207,9 @@
         for received in batch.iter() {
             match Datagram::decode(received.bytes, &self.secret) {
                 Ok(datagram) => {
-                    self.forwarder.datagram(now, received.from, datagram, &mut self.outbox);
+                    self.forwarder.handle_datagram(now, received.from, datagram, &mut self.outbox);
                 }
-                Err(error) => self.forwarder.refuse_datagram(error),
+                Err(error) => self.forwarder.count_refused_datagram(error),
             }
         }
         Ok(())
@@ -216,17 +221,17 @@
             self.sampler.begin(now, first.bytes, self.forwarder.view());
         }
         for received in batch.iter() {
-            self.forwarder.packet(now, received.bytes, &mut self.outbox);
+            self.forwarder.handle_packet(now, received.bytes, &mut self.outbox);
         }
         Ok(received)
     }
 
     fn publish(&mut self, now: Millis, shared: &Shared) {
-        if now.since(self.published) < PUBLISH {
+        if now.since(self.last_published) < PUBLISH_INTERVAL {
             return;
         }
-        self.published = now;
-        shared.told.store(self.forwarder.has_told(), Relaxed);
+        self.last_published = now;
+        shared.advertised_all.store(self.forwarder.has_advertised_all(), Relaxed);
         shared.counters.store(Arc::new(self.forwarder.counters().clone()));
         shared.fabric.store(Arc::new(self.fabric.counts()));
         shared.questions.store(Arc::new(self.questions.counts()));
--- a/fabric/src/memory.rs
+++ b/fabric/src/memory.rs
@@ -1,46 +1,46 @@
 //! A wire without a socket, for tests and benchmarks of the packet thread.
 
-use crate::{Batch, Counts, Datagram, MAX_DATAGRAM, Wire, batch::NOBODY};
+use crate::{Batch, Counts, Datagram, MAX_DATAGRAM, Wire, batch::NO_ADDRESS};
 use std::{collections::VecDeque, net::SocketAddrV4, time::Duration};
 
-/// Hands out the datagrams that were put in and keeps those that were sent.
+/// A wire that returns the datagrams that were pushed and keeps those that were sent.
 #[derive(Debug, Default)]
-pub struct Memory {
-    arriving: VecDeque<Vec<u8>>,
+pub struct MemoryWire {
+    incoming: VecDeque<Vec<u8>>,
     sent: Vec<(SocketAddrV4, Vec<u8>)>,
     counts: Counts,
 }
 
-/// There is no error of memory.
+/// Error of a [`MemoryWire`]; there is none.
 #[derive(Debug, snafu::Snafu)]
 pub enum MemoryError {}
 
-impl Memory {
-    /// Lets a datagram arrive.
-    pub fn arrive(&mut self, bytes: &[u8]) {
-        self.arriving.push_back(bytes.to_vec());
+impl MemoryWire {
+    /// Queues a datagram to be received.
+    pub fn push_incoming(&mut self, bytes: &[u8]) {
+        self.incoming.push_back(bytes.to_vec());
     }
 
-    /// Takes what was sent since the last call.
+    /// Takes the datagrams that were sent since the last call.
     pub fn take_sent(&mut self) -> Vec<(SocketAddrV4, Vec<u8>)> {
         std::mem::take(&mut self.sent)
     }
 }
 
-impl Wire for Memory {
+impl Wire for MemoryWire {
     type Error = MemoryError;
 
     fn receive(&mut self, batch: &mut Batch, _timeout: Duration) -> Result<usize, MemoryError> {
         batch.clear();
-        while let Some(bytes) = self.arriving.front() {
+        while let Some(bytes) = self.incoming.front() {
             if bytes.is_empty() {
                 self.counts.empty += 1;
             } else if bytes.len() > MAX_DATAGRAM {
                 self.counts.oversize += 1;
-            } else if !batch.push(NOBODY, bytes) {
+            } else if !batch.push(NO_ADDRESS, bytes) {
                 break;
             }
-            self.arriving.pop_front();
+            self.incoming.pop_front();
         }
         self.counts.received += batch.len() as u64;
         Ok(batch.len())
--- a/lib/src/bundle/parse.rs
+++ b/lib/src/bundle/parse.rs
@@ -1,4 +1,4 @@
-//! From the YAML text of a bundle to its values.
+//! Parsing and checking of a bundle's YAML text.
 
 use super::{Bundle, Class, Limits, Port, Protocol, Seed, Service, Target, TargetState, check};
 use crate::{
@@ -11,27 +11,28 @@
     sync::Arc,
 };
 
-/// The greatest length of a bundle in bytes; the platform's service holds no
-/// larger values.
-pub const MAX_TEXT: usize = 1 << 20;
-/// The buckets of a service that names no number.
-const BUCKETS: u16 = 1024;
-/// The most buckets of a service; bounds an instance's tables.
+/// Maximum length of a bundle in bytes. The platform's service stores no larger
+/// values.
+pub const MAX_BUNDLE_SIZE: usize = 1 << 20;
+/// Default number of buckets of a service.
+const DEFAULT_BUCKETS: u16 = 1024;
+/// Maximum number of buckets of a service. It limits the size of an instance's
+/// tables.
 const MAX_BUCKETS: u64 = 1 << 15;
-/// The fewest buckets to a target: with fewer, one bucket too many is more
-/// than an eighth of a target's share.
-const BUCKETS_PER_TARGET: u64 = 8;
-/// The longest silence of a flow in a service that names none.
-const KEEPALIVE: Millis = Millis::secs(30);
-/// The longest answer for refused callers, so that it fits one segment.
+/// Minimum number of buckets per target. With fewer, one bucket too many is
+/// more than an eighth of a target's share.
+const MIN_BUCKETS_PER_TARGET: u64 = 8;
+/// Default maximum time between two packets of a flow.
+const DEFAULT_KEEPALIVE: Millis = Millis::secs(30);
+/// Maximum length of the text for refused callers, in bytes. It has to fit into
+/// one segment.
 const MAX_REFUSAL: usize = 1024;
-/// Broken flows and imbalance weigh alike if a service says nothing.
-const BALANCE: u8 = 50;
-/// A full share of new flows.
-const WEIGHT: u16 = 100;
-/// Slots and connections of a target that names none.
-const SLOTS: u16 = 2;
-const CONNECTIONS: u32 = 2000;
+/// Default weight of imbalance: broken flows and imbalance weigh the same.
+const DEFAULT_BALANCE: u8 = 50;
+/// Weight of a target with a full share of new flows.
+const DEFAULT_WEIGHT: u16 = 100;
+const DEFAULT_SLOTS: u16 = 2;
+const DEFAULT_CONNECTIONS: u32 = 2000;
 
 const BUNDLE_FIELDS: &[&str] = &["version", "site", "seed", "services", "limits", "evacuated"];
 const LIMIT_FIELDS: &[&str] = &["reserve", "caller", "network", "booking", "patience", "retries"];
@@ -42,37 +43,37 @@
     &["name", "address", "domain", "weight", "slots", "connections", "state", "probe"];
 
 impl Bundle {
-    /// Reads and checks the text of a bundle.
+    /// Parses and checks the text of a bundle.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the text, each with its line and what to do.
+    /// Returns all faults of the text, each with its line and advice.
     pub fn parse(text: &str) -> Result<Bundle, Report> {
-        document::read(text, MAX_TEXT, Lines::Find, bundle)
+        document::read(text, MAX_BUNDLE_SIZE, Lines::Find, parse_bundle)
     }
 
-    /// As [`Bundle::parse`], but faults have no lines, which costs as much as
-    /// reading a sound bundle at most.
+    /// Like [`Bundle::parse`], but doesn't look up the lines of faults. A
+    /// faulty text then takes no longer than a valid one.
     ///
     /// # Errors
     ///
-    /// Returns every fault of the text.
-    pub fn parse_quickly(text: &str) -> Result<Bundle, Report> {
-        document::read(text, MAX_TEXT, Lines::Skip, bundle)
+    /// Returns all faults of the text.
+    pub fn parse_without_lines(text: &str) -> Result<Bundle, Report> {
+        document::read(text, MAX_BUNDLE_SIZE, Lines::Skip, parse_bundle)
     }
 }
 
-fn bundle(top: &Node<'_>) -> Option<Bundle> {
+fn parse_bundle(top: &Node<'_>) -> Option<Bundle> {
     let fields = top.fields(BUNDLE_FIELDS)?;
     let version = fields.required("version").and_then(|node| node.integer(1..=u64::MAX));
     let site = fields.required("site").and_then(|node| node.name());
-    let seed = fields.required("seed").and_then(|node| seed(&node));
-    let services = fields.required("services").and_then(|node| services(&node));
-    let limits = fields.or("limits", Limits::default(), limits);
-    let known = services.as_deref().unwrap_or_default();
-    let evacuated = fields.or("evacuated", Vec::new(), |node| evacuated(node, known));
+    let seed = fields.required("seed").and_then(|node| parse_seed(&node));
+    let services = fields.required("services").and_then(|node| parse_services(&node));
+    let limits = fields.parse_or("limits", Limits::default(), parse_limits);
+    let parsed = services.as_deref().unwrap_or_default();
+    let evacuated = fields.parse_or("evacuated", Vec::new(), |node| parse_evacuated(node, parsed));
     let evacuated = evacuated?;
-    let services = services?.into_iter().map(|service| evacuate(service, &evacuated));
+    let services = services?.into_iter().map(|service| evacuate_targets(service, &evacuated));
     Some(Bundle {
         version: Version(version?),
         site: SiteName::new(site?),
@@ -83,27 +84,29 @@
     })
 }
 
-/// The failure domains that get nothing new. A misspelt one would leave the right one in use.
-fn evacuated(node: &Node<'_>, services: &[Arc<Service>]) -> Option<Vec<DomainName>> {
+/// Parses the evacuated failure domains. Each must have a target: with a
+/// misspelt name the intended domain would stay in use.
+fn parse_evacuated(node: &Node<'_>, services: &[Arc<Service>]) -> Option<Vec<DomainName>> {
     let targets = || services.iter().flat_map(|service| &service.targets);
     let mut found = Vec::<DomainName>::new();
     for item in node.items()? {
         let domain = DomainName::new(item.name()?);
         if found.contains(&domain) {
             let (found, other) = (domain.to_string(), node.path().clone());
-            return item.fault(Fault::Repeated { what: "the failure domain", found, other });
+            return item.fail(Fault::Duplicate { what: "the failure domain", found, other });
         }
-        // With a fault among the services, their domains are not known.
+        // If a service has a fault, the list is empty and the domains are unknown.
         if !services.is_empty() && targets().all(|target| target.domain != domain) {
-            return item.fault(Fault::NoTargets { found: domain.to_string() });
+            return item.fail(Fault::NoTargetInDomain { found: domain.to_string() });
         }
         found.push(domain);
     }
     Some(found)
 }
 
-/// Has targets of evacuated domains take no new flows. Those that leave do so anyway.
-fn evacuate(service: Arc<Service>, evacuated: &[DomainName]) -> Arc<Service> {
+/// Marks active targets of evacuated domains as evacuated. Leaving targets take
+/// no new flows in any case.
+fn evacuate_targets(service: Arc<Service>, evacuated: &[DomainName]) -> Arc<Service> {
     let is_evacuated =
         |target: &Target| target.state == TargetState::Active && evacuated.contains(&target.domain);
     if !service.targets.iter().any(is_evacuated) {
@@ -116,14 +119,15 @@
     Arc::new(service)
 }
 
-fn limits(node: &Node<'_>) -> Option<Limits> {
+fn parse_limits(node: &Node<'_>) -> Option<Limits> {
     let fields = node.fields(LIMIT_FIELDS)?;
-    let reserve = fields.maybe("reserve", |node| node.small(0..=90));
-    let caller = fields.maybe("caller", |node| node.small(1..=100));
-    let network = fields.maybe("network", |node| node.small(1..=100));
-    let booking = fields.maybe("booking", |node| node.small(100..=400));
-    let patience = fields.maybe("patience", |node| node.span(Millis(0)..=Millis::secs(5)));
-    let retries = fields.maybe("retries", |node| node.small(0..=100));
+    let reserve = fields.parse_optional("reserve", |node| node.integer_as(0..=90));
+    let caller = fields.parse_optional("caller", |node| node.integer_as(1..=100));
+    let network = fields.parse_optional("network", |node| node.integer_as(1..=100));
+    let booking = fields.parse_optional("booking", |node| node.integer_as(100..=400));
+    let patience =
+        fields.parse_optional("patience", |node| node.duration(Millis(0)..=Millis::secs(5)));
+    let retries = fields.parse_optional("retries", |node| node.integer_as(0..=100));
     Some(Limits {
         reserve: reserve?,
         caller: caller?,
@@ -134,39 +138,40 @@
     })
 }
 
-fn seed(node: &Node<'_>) -> Option<Seed> {
-    node.checked("32 hexadecimal digits", |text| {
+fn parse_seed(node: &Node<'_>) -> Option<Seed> {
+    node.parse_with("32 hexadecimal digits", |text| {
         let mut seed = [0; 16];
         hex::decode_to_slice(text, &mut seed).ok().map(|()| Seed(seed))
     })
 }
 
-fn services(node: &Node<'_>) -> Option<Vec<Arc<Service>>> {
-    let nodes = node.some_items()?;
+fn parse_services(node: &Node<'_>) -> Option<Vec<Arc<Service>>> {
+    let nodes = node.non_empty_items()?;
     if nodes.len() > usize::from(u16::MAX) {
-        let most = u16::MAX.to_string();
+        let max = u16::MAX.to_string();
         let found = format!("{} services", nodes.len());
-        return node.fault(Fault::Range { found, least: "1".into(), most });
+        return node.fail(Fault::OutOfRange { found, min: "1".into(), max });
     }
-    check::unique(&nodes);
-    all(nodes.iter().map(|node| service(node).map(Arc::new)))
+    check::record_duplicates(&nodes);
+    collect_all(nodes.iter().map(|node| parse_service(node).map(Arc::new)))
 }
 
-fn service(node: &Node<'_>) -> Option<Service> {
+fn parse_service(node: &Node<'_>) -> Option<Service> {
     let fields = node.fields(SERVICE_FIELDS)?;
     let name = fields.required("name").and_then(|node| node.name());
-    let address = fields.required("address").and_then(|node| unicast(&node));
-    let ports = fields.required("ports").and_then(|node| ports(&node));
-    let targets = fields.required("targets").and_then(|node| targets(&node));
+    let address = fields.required("address").and_then(|node| parse_unicast(&node));
+    let ports = fields.required("ports").and_then(|node| parse_ports(&node));
+    let targets = fields.required("targets").and_then(|node| parse_targets(&node));
     let count = targets.as_ref().map_or(0, Vec::len);
     let buckets = match fields.optional("buckets") {
-        Some(node) => buckets(&node, count),
+        Some(node) => parse_buckets(&node, count),
         None => default_buckets(node, count),
     };
-    let keepalive =
-        fields.or("keepalive", KEEPALIVE, |node| node.span(Millis::secs(1)..=Millis::secs(3600)));
-    let refusal = fields.maybe("refusal", refusal);
-    let balance = fields.or("balance", BALANCE, |node| node.small(0..=100));
+    let keepalive = fields.parse_or("keepalive", DEFAULT_KEEPALIVE, |node| {
+        node.duration(Millis::secs(1)..=Millis::secs(3600))
+    });
+    let refusal = fields.parse_optional("refusal", parse_refusal);
+    let balance = fields.parse_or("balance", DEFAULT_BALANCE, |node| node.integer_as(0..=100));
     Some(Service {
         name: ServiceName::new(name?),
         address: address?,
@@ -179,8 +184,8 @@
     })
 }
 
-fn unicast(node: &Node<'_>) -> Option<Ipv4Addr> {
-    node.checked("an IPv4 address of one host, such as 10.70.0.1", |text| {
+fn parse_unicast(node: &Node<'_>) -> Option<Ipv4Addr> {
+    node.parse_with("an IPv4 address of one host, such as 10.70.0.1", |text| {
         text.parse().ok().filter(is_unicast)
     })
 }
@@ -189,56 +194,57 @@
     !address.is_unspecified() && !address.is_multicast() && !address.is_broadcast()
 }
 
-fn least_buckets(targets: usize) -> u64 {
-    (targets as u64).saturating_mul(BUCKETS_PER_TARGET).next_power_of_two()
+fn min_buckets(targets: usize) -> u64 {
+    (targets as u64).saturating_mul(MIN_BUCKETS_PER_TARGET).next_power_of_two()
 }
 
-fn buckets(node: &Node<'_>, targets: usize) -> Option<u16> {
-    let found = node.integer(BUCKETS_PER_TARGET..=MAX_BUCKETS)?;
+fn parse_buckets(node: &Node<'_>, targets: usize) -> Option<u16> {
+    let found = node.integer(MIN_BUCKETS_PER_TARGET..=MAX_BUCKETS)?;
     if !found.is_power_of_two() {
-        return node.fault(Fault::NotPower { found });
+        return node.fail(Fault::NotPowerOfTwo { found });
     }
-    few_buckets(node, found, targets)
+    check_buckets(node, found, targets)
 }
 
 fn default_buckets(service: &Node<'_>, targets: usize) -> Option<u16> {
-    few_buckets(service, u64::from(BUCKETS), targets)
+    check_buckets(service, u64::from(DEFAULT_BUCKETS), targets)
 }
 
-fn few_buckets(node: &Node<'_>, found: u64, targets: usize) -> Option<u16> {
-    let least = least_buckets(targets);
-    if found < least {
-        return node.fault(Fault::FewBuckets { found, targets, least });
+fn check_buckets(node: &Node<'_>, found: u64, targets: usize) -> Option<u16> {
+    let min = min_buckets(targets);
+    if found < min {
+        return node.fail(Fault::TooFewBuckets { found, targets, min });
     }
     u16::try_from(found).ok()
 }
 
-fn refusal(node: &Node<'_>) -> Option<Arc<str>> {
+fn parse_refusal(node: &Node<'_>) -> Option<Arc<str>> {
     let text = node.text()?;
     if text.is_empty() || text.len() > MAX_REFUSAL {
         let found = format!("{} bytes", text.len());
-        let most = format!("{MAX_REFUSAL} bytes");
-        return node.fault(Fault::Range { found, least: "1 byte".into(), most });
+        let max = format!("{MAX_REFUSAL} bytes");
+        return node.fail(Fault::OutOfRange { found, min: "1 byte".into(), max });
     }
     Some(text.into())
 }
 
-fn ports(node: &Node<'_>) -> Option<Vec<Port>> {
-    let nodes = node.some_items()?;
-    all(nodes.iter().map(port))
+fn parse_ports(node: &Node<'_>) -> Option<Vec<Port>> {
+    let nodes = node.non_empty_items()?;
+    collect_all(nodes.iter().map(parse_port))
 }
 
-fn port(node: &Node<'_>) -> Option<Port> {
+fn parse_port(node: &Node<'_>) -> Option<Port> {
     let fields = node.fields(PORT_FIELDS)?;
-    let number = fields.required("number").and_then(|node| node.small(1..=65535));
-    let protocol =
-        fields.or("protocol", Protocol::Tcp, |node| node.checked("tcp or udp", protocol));
-    let class =
-        fields.required("class").and_then(|node| node.checked("feed, request or upload", class));
+    let number = fields.required("number").and_then(|node| node.integer_as(1..=65535));
+    let protocol = fields
+        .parse_or("protocol", Protocol::Tcp, |node| node.parse_with("tcp or udp", parse_protocol));
+    let class = fields
+        .required("class")
+        .and_then(|node| node.parse_with("feed, request or upload", parse_class));
     Some(Port { number: number?, protocol: protocol?, class: class? })
 }
 
-pub(super) fn protocol(text: &str) -> Option<Protocol> {
+pub(super) fn parse_protocol(text: &str) -> Option<Protocol> {
     match text {
         "tcp" => Some(Protocol::Tcp),
         "udp" => Some(Protocol::Udp),
@@ -246,7 +252,7 @@
     }
 }
 
-fn class(text: &str) -> Option<Class> {
+fn parse_class(text: &str) -> Option<Class> {
     match text {
         "feed" => Some(Class::Feed),
         "request" => Some(Class::Request),
@@ -255,22 +261,24 @@
     }
 }
 
-fn targets(node: &Node<'_>) -> Option<Vec<Target>> {
-    let nodes = node.some_items()?;
-    all(nodes.iter().map(target))
+fn parse_targets(node: &Node<'_>) -> Option<Vec<Target>> {
+    let nodes = node.non_empty_items()?;
+    collect_all(nodes.iter().map(parse_target))
 }
 
-fn target(node: &Node<'_>) -> Option<Target> {
+fn parse_target(node: &Node<'_>) -> Option<Target> {
     let fields = node.fields(TARGET_FIELDS)?;
     let name = fields.required("name").and_then(|node| node.name());
-    let address = fields.required("address").and_then(|node| socket(&node));
+    let address = fields.required("address").and_then(|node| parse_socket(&node));
     let domain = fields.required("domain").and_then(|node| node.name());
-    let weight = fields.or("weight", WEIGHT, |node| node.small(1..=1000));
-    let slots = fields.or("slots", SLOTS, |node| node.small(1..=65535));
-    let connections = fields.or("connections", CONNECTIONS, |node| node.small(1..=10_000_000));
-    let state =
-        fields.or("state", TargetState::Active, |node| node.checked("active or leaving", state));
-    let probe = fields.maybe("probe", socket);
+    let weight = fields.parse_or("weight", DEFAULT_WEIGHT, |node| node.integer_as(1..=1000));
+    let slots = fields.parse_or("slots", DEFAULT_SLOTS, |node| node.integer_as(1..=65535));
+    let connections =
+        fields.parse_or("connections", DEFAULT_CONNECTIONS, |node| node.integer_as(1..=10_000_000));
+    let state = fields.parse_or("state", TargetState::Active, |node| {
+        node.parse_with("active or leaving", parse_state)
+    });
+    let probe = fields.parse_optional("probe", parse_socket);
     Some(Target {
         name: TargetName::new(name?),
         address: address?,
@@ -283,14 +291,14 @@
     })
 }
 
-pub(super) fn socket(node: &Node<'_>) -> Option<SocketAddrV4> {
-    node.checked("an IPv4 address and port, such as 10.1.0.1:6080", |text| {
+pub(super) fn parse_socket(node: &Node<'_>) -> Option<SocketAddrV4> {
+    node.parse_with("an IPv4 address and port, such as 10.1.0.1:6080", |text| {
         let address: SocketAddrV4 = text.parse().ok()?;
         (is_unicast(address.ip()) && address.port() != 0).then_some(address)
     })
 }
 
-fn state(text: &str) -> Option<TargetState> {
+fn parse_state(text: &str) -> Option<TargetState> {
     match text {
         "active" => Some(TargetState::Active),
         "leaving" => Some(TargetState::Leaving),
@@ -298,9 +306,9 @@
     }
 }
 
-/// All values, or none if one is missing; visits each one either way, so that
-/// the faults of all are noted.
-fn all<T>(values: impl Iterator<Item = Option<T>>) -> Option<Vec<T>> {
+/// Returns all values, or `None` if any is missing. Visits all of them in
+/// either case, so that the faults of all are recorded.
+fn collect_all<T>(values: impl Iterator<Item = Option<T>>) -> Option<Vec<T>> {
     let values: Vec<Option<T>> = values.collect();
     values.into_iter().collect()
 }
--- a/lib/tests/product/test_bundle.rs
+++ b/lib/tests/product/test_bundle.rs
@@ -1,27 +1,27 @@
-//! Reading and checking bundles.
+//! Tests of parsing and checking bundles.
 
 use super::fixtures::bundle_text;
 use expect_test::{Expect, expect};
 use medlarspur_lib::{
-    bundle::{Bundle, Class, Limits, MAX_TEXT, Protocol, TargetState},
+    bundle::{Bundle, Class, Limits, MAX_BUNDLE_SIZE, Protocol, TargetState},
     ids::Version,
     time::Millis,
 };
 
-fn faults(text: &str, expected: Expect) {
+fn assert_faults(text: &str, expected: Expect) {
     let report = Bundle::parse(text).expect_err("the text has faults");
     expected.assert_eq(&report.to_string());
 }
 
-fn faults_with(from: &str, to: &str, expected: Expect) {
+fn assert_faults_with(from: &str, to: &str, expected: Expect) {
     let text = bundle_text();
     assert!(text.contains(from), "the fixture lost {from:?}");
-    faults(&text.replacen(from, to, 1), expected);
+    assert_faults(&text.replacen(from, to, 1), expected);
 }
 
 #[test]
-fn a_sound_bundle_keeps_its_values() {
-    let bundle = Bundle::parse(&bundle_text()).expect("sound");
+fn a_valid_bundle_keeps_its_values() {
+    let bundle = Bundle::parse(&bundle_text()).expect("valid");
 
     assert_eq!(bundle.version, Version(7));
     let ingest = &bundle.services[1];
@@ -34,8 +34,8 @@
 }
 
 #[test]
-fn fields_left_out_have_their_defaults() {
-    let bundle = Bundle::parse(&bundle_text()).expect("sound");
+fn omitted_fields_have_their_defaults() {
+    let bundle = Bundle::parse(&bundle_text()).expect("valid");
 
     let desk = &bundle.services[0];
     assert_eq!((desk.buckets, desk.keepalive, desk.balance), (1024, Millis::secs(30), 50));
@@ -47,10 +47,10 @@
 }
 
 #[test]
-fn limits_are_read_one_by_one() {
+fn limits_are_optional() {
     let text = bundle_text() + "limits: {reserve: 40, patience: 100ms}\n";
 
-    let limits = Bundle::parse(&text).expect("sound").limits;
+    let limits = Bundle::parse(&text).expect("valid").limits;
 
     let (reserve, patience) = (Some(40), Some(Millis(100)));
     assert_eq!(limits, Limits { reserve, patience, ..Limits::default() });
@@ -60,7 +60,7 @@
 fn limits_out_of_range_are_refused() {
     let text = bundle_text() + "limits: {reserve: 91, booking: 99, patience: 6s, callers: 5}\n";
 
-    faults(
+    assert_faults(
         &text,
         expect![[r#"
         line 28: limits.callers: unknown field; remove it, or use one of reserve, caller, network, booking, patience, retries
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn all_faults_come_in_one_report() {
-    faults(
+fn one_report_lists_all_faults() {
+    assert_faults(
         "\
 version: 0
 site: Sofia
@@ -106,53 +106,54 @@
 
 #[test]
 fn a_service_without_targets_is_refused() {
-    faults_with(
+    assert_faults_with(
         "targets: [{name: in-1, address: 10.1.0.3:6080, domain: obelya, slots: 3, connections: 10}]",
         "targets: []",
         expect!["line 27: services[1].targets: the list is empty; add at least one item"],
     );
 }
 
-/// Two services get the same address and port, as when a block is copied and
-/// only its name changed. Packets for alert delivery would reach ingestion.
+/// Guards against two services with the same address and port, as when a block
+/// is copied and only its name changed. Packets for alert delivery would reach
+/// ingestion.
 #[test]
 fn an_address_and_port_in_two_services_is_refused() {
-    faults_with(
+    assert_faults_with(
         "address: 10.70.0.2",
         "address: 10.70.0.1",
         expect![
-            "line 22: services[1].ports[0]: the address and port `tcp 10.70.0.1:7001` stands at services[0].ports[0] already; change or remove it here or at services[0].ports[0]"
+            "line 22: services[1].ports[0]: the address and port `tcp 10.70.0.1:7001` is already used at services[0].ports[0]; change or remove it here or at services[0].ports[0]"
         ],
     );
 }
 
-/// A host is moved from one service to another and left in both lists. It
-/// would get packets of a service that it does not serve.
+/// Guards against a host that is moved to another service and stays in both
+/// lists. It would get packets of a service that it doesn't serve.
 #[test]
 fn a_target_in_two_services_is_refused() {
-    faults_with(
+    assert_faults_with(
         "in-1, address: 10.1.0.3:6080",
         "alert-1, address: 10.1.0.1:6080",
         expect![[r#"
-        line 27: services[1].targets[0].name: the target name `alert-1` stands at services[0].targets[0].name already; change or remove it here or at services[0].targets[0].name
-        line 27: services[1].targets[0].address: the target address `10.1.0.1:6080` stands at services[0].targets[0].address already; change or remove it here or at services[0].targets[0].address"#]],
+        line 27: services[1].targets[0].name: the target name `alert-1` is already used at services[0].targets[0].name; change or remove it here or at services[0].targets[0].name
+        line 27: services[1].targets[0].address: the target address `10.1.0.1:6080` is already used at services[0].targets[0].address; change or remove it here or at services[0].targets[0].address"#]],
     );
 }
 
 #[test]
-fn a_service_name_that_stands_twice_is_refused() {
-    faults_with(
+fn a_duplicate_service_name_is_refused() {
+    assert_faults_with(
         "name: ingest",
         "name: alertdesk",
         expect![
-            "line 20: services[1].name: the service name `alertdesk` stands at services[0].name already; change or remove it here or at services[0].name"
+            "line 20: services[1].name: the service name `alertdesk` is already used at services[0].name; change or remove it here or at services[0].name"
         ],
     );
 }
 
 #[test]
 fn too_few_buckets_are_refused() {
-    faults_with(
+    assert_faults_with(
         "state: leaving",
         "state: leaving\n    buckets: 8",
         expect![
@@ -162,33 +163,33 @@
 }
 
 #[test]
-fn a_key_that_stands_twice_is_refused() {
-    faults_with(
+fn a_duplicate_key_is_refused() {
+    assert_faults_with(
         "site: sofia",
         "site: sofia\nsite: plovdiv",
         expect![[
-            r#"line 1: (top): not readable as YAML: duplicate entry with key "site"; mend the YAML at this place, often its indentation"#
+            r#"line 1: (top): not readable as YAML: duplicate entry with key "site"; fix the YAML here; often the indentation is wrong"#
         ]],
     );
 }
 
 #[test]
 fn text_that_is_no_mapping_is_refused() {
-    faults("- 1", expect!["line 1: (top): found a list; write a mapping"]);
+    assert_faults("- 1", expect!["line 1: (top): found a list; write a mapping"]);
 }
 
 #[test]
-fn a_text_over_the_limit_is_refused_unread() {
-    faults(
-        &"#".repeat(MAX_TEXT + 1),
+fn a_text_over_the_limit_is_refused_without_parsing() {
+    assert_faults(
+        &"#".repeat(MAX_BUNDLE_SIZE + 1),
         expect![
-            "(top): 1048577 bytes long, where at most 1048576 are taken; leave out fields that have their default, or use the short form `{a: b}`"
+            "(top): 1048577 bytes long, more than the maximum of 1048576; leave out fields that have their default, or use the short form `{a: b}`"
         ],
     );
 }
 
-/// A few lines of aliases stand for billions of values. A reader that follows
-/// them all runs out of memory, and the instance dies.
+/// A few lines of aliases can stand for billions of values. Guards against a
+/// parser that expands them all, runs out of memory and ends the instance.
 #[test]
 fn aliases_that_multiply_are_refused() {
     let mut text = "a: &a [x, x, x, x, x, x, x, x, x]\n".to_owned();
@@ -202,8 +203,9 @@
     assert!(report.to_string().contains("repetition limit"), "{report}");
 }
 
-/// A file of brackets only. A reader that goes one call deep for each runs out
-/// of stack, and one that looks at all open ones for each is busy for minutes.
+/// Guards against stack overflow in a parser that recurses for each bracket,
+/// and against minutes of work in one that examines all open brackets for each
+/// token.
 #[test]
 fn deep_nesting_is_refused() {
     let first_lines = |open: &str| {
@@ -219,10 +221,10 @@
     assert!(first_lines("? ").contains("recursion limit"));
 }
 
-/// A bundle with one mistake in thousands of places. Finding the line of each
-/// would take minutes, and the log would have a line for each.
+/// One mistake may occur in thousands of places. Guards against minutes spent
+/// on finding the line of each, and against one log line for each.
 #[test]
-fn thousands_of_faults_are_all_kept_and_some_are_shown() {
+fn thousands_of_faults_are_kept_and_the_first_ones_shown() {
     let target = "      - {name: A, address: x, domain: d}\n".repeat(2000);
     let text = bundle_text() + &target.replace("      - ", "  - ");
 
@@ -234,13 +236,13 @@
     assert_eq!(report.to_string().lines().count(), 65);
 }
 
-/// Operators empty a failure domain. Its targets take nothing new and keep what they have;
-/// one that leaves anyway is said to leave.
+/// Targets of an evacuated failure domain take no new flows and keep their
+/// existing ones. A target that is leaving anyway is reported as leaving.
 #[test]
 fn targets_of_an_evacuated_domain_take_no_new_flows() {
     let text = bundle_text() + "evacuated: [lozenets, druzhba]\n";
 
-    let bundle = Bundle::parse(&text).expect("sound");
+    let bundle = Bundle::parse(&text).expect("valid");
 
     let states: Vec<_> = bundle.services[0].targets.iter().map(|it| it.state).collect();
     assert_eq!(states, [TargetState::Evacuated, TargetState::Leaving]);
@@ -252,13 +254,13 @@
 #[test]
 fn evacuated_domains_are_checked() {
     let text = bundle_text() + "evacuated: [lozenets, lozenetz, lozenets]\n";
-    faults(
+    assert_faults(
         &text,
         expect![
-            "line 28: evacuated[1]: no target is in the failure domain `lozenetz`; remove it, or write it as targets name it"
+            "line 28: evacuated[1]: no target is in the failure domain `lozenetz`; remove it, or use the domain of a target"
         ],
     );
-    faults(
+    assert_faults(
         &(bundle_text() + "evacuated: lozenets\n"),
         expect!["line 28: evacuated: found text; write a list"],
     );
--- a/marked/examples/slopes.rs
+++ b/marked/examples/slopes.rs
@@ -1,7 +1,7 @@
-//! What the decisions where marks are used cost, by size: time and memory.
+//! Costs of forwarding by marks depending on size, in time and memory.
 //!
-//! Prints one row a measure; `docs/measures/marks.md` has a run and says what
-//! follows from it for the size aimed for.
+//! Prints one row for each measure. `docs/measures/marks.md` shows the output of a run and its
+//! consequences for the intended scale.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -9,17 +9,18 @@
     time::Millis,
 };
 use medlarspur_marked::{
-    Catalog, Change, Config, Content, FlowKey, Forwarder, Incarnation, Kind, Mark, News, Note,
-    Output, Revision, Route, Scope, Segment, Share, Span, Start, Target, Tuning, message,
+    Catalog, Change, Config, Content, FlowKey, Forwarder, ForwarderOptions, Incarnation, Kind,
+    Mark, Note, Output, Revision, Route, Scope, Segment, Share, Span, Start, Target, Update,
+    message,
 };
 use std::{fs, hint::black_box, net::SocketAddrV4, time::Instant};
 
-/// How many packets or openings a time is the mean of.
+/// Number of packets or openings that a mean time is taken over.
 const ROUNDS: u32 = 200_000;
 
-struct Nowhere;
+struct NoOutput;
 
-impl Output for Nowhere {
+impl Output for NoOutput {
     fn forward(&mut self, target: &Target, mark: Mark, packet: &[u8]) {
         black_box((target.address, mark, packet));
     }
@@ -28,7 +29,7 @@
         black_box((flow, seq));
     }
 
-    fn ask(&mut self, target: &Target, _path: &str) {
+    fn probe(&mut self, target: &Target, _path: &str) {
         black_box(target.address);
     }
 
@@ -79,14 +80,14 @@
     }
 }
 
-/// A site with that many targets and 0.6 routes a target, as at the size aimed
-/// for; `services` share them.
-fn site(targets: usize, services: usize) -> News {
+/// A snapshot of a site with `targets` targets, which `services` services share, and 0.6 routes a
+/// target, as at the intended scale.
+fn site(targets: usize, services: usize) -> Update {
     let routes = (targets * 6 / 10).max(1);
     let route = |number: usize| Route {
         address: address(198, number, 8443),
         class: Class::Feed,
-        goal: Some(Millis(250)),
+        objective: Some(Millis(250)),
         shares: vec![Share {
             service: ServiceName::new(&format!("service-{}", number % services)),
             weight: 1,
@@ -106,10 +107,10 @@
         revision: Revision::new(0, number as u64 + 2),
         content: Content::Target(target(number, number % services)),
     }));
-    News::new(Revision::new(0, targets as u64 + 2), Scope::All, changes)
+    Update::new(Revision::new(0, targets as u64 + 2), Scope::Snapshot, changes)
 }
 
-/// The resident memory of this process in bytes.
+/// Resident memory of this process in bytes.
 fn resident() -> f64 {
     let text = fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: f64 = text.split(' ').nth(1).and_then(|it| it.parse().ok()).unwrap_or_default();
@@ -118,17 +119,17 @@
 
 fn catalog(targets: usize) {
     let before = resident();
-    let news = site(targets, (targets / 8).max(2));
-    let bytes = message::encode_news(&news).map_or(0, |it| it.len());
+    let snapshot = site(targets, (targets / 8).max(2));
+    let bytes = message::encode_update(&snapshot).map_or(0, |it| it.len());
     row("whole picture, bytes to another instance", targets, bytes as f64, "B");
     let mut catalog = Catalog::default();
     let start = Instant::now();
-    catalog.merge(news, Millis(0));
+    catalog.merge(snapshot, Millis(0));
     row("whole picture, merged", targets, start.elapsed().as_secs_f64() * 1e6, "us");
     row("whole picture, resident", targets, (resident() - before) / 1024.0, "KiB");
-    let change = |nth: u32| News {
+    let change = |nth: u32| Update {
         revision: Revision::new(0, 1_000_000 + u64::from(nth)),
-        scope: Scope::Since(Revision::new(0, 0)),
+        scope: Scope::Incremental(Revision::new(0, 0)),
         changes: vec![Change {
             revision: Revision::new(0, 1_000_000 + u64::from(nth)),
             content: Content::Target(target(nth as usize % targets, 0)),
@@ -142,16 +143,17 @@
     row("one change, merged", targets, start.elapsed().as_secs_f64() * 1e3, "us");
     let start = Instant::now();
     for nth in 0..100 {
-        black_box(catalog.since(Revision::new(0, 1_000_990 + nth % 5), Millis(0)));
+        black_box(catalog.update_since(Revision::new(0, 1_000_990 + nth % 5), Millis(0)));
     }
     row("the last changes, gathered", targets, start.elapsed().as_secs_f64() * 1e4, "us");
     std::mem::forget(catalog);
 }
 
 fn forwarder(targets: usize, services: usize) -> Forwarder {
-    let tuning = Tuning { domain: DomainName::new("north"), regions: Default::default(), seed: 1 };
-    let mut forwarder = Forwarder::new(tuning);
-    forwarder.learn(site(targets, services), Millis(0), &mut Nowhere);
+    let options =
+        ForwarderOptions { domain: DomainName::new("north"), regions: Default::default(), seed: 1 };
+    let mut forwarder = Forwarder::new(options);
+    forwarder.apply_update(site(targets, services), Millis(0), &mut NoOutput);
     forwarder
 }
 
@@ -170,11 +172,11 @@
         let at = target(nth % 700 + 700 * (nth % 8), 0).incarnation;
         let mark = Some(Mark::new(at, &key));
         let seq = 1_000 + round * 100;
-        Segment { key, kind: Kind::Middle, seq, ack: 1, len: 100, mark }
+        Segment { key, kind: Kind::Continue, seq, ack: 1, len: 100, mark }
     };
     let all: Vec<Segment> = (0..flows).map(|nth| segment(nth, 0)).collect();
     for segment in &all {
-        forwarder.packet(segment, &[0; 134], Millis(1), &mut Nowhere);
+        forwarder.handle_packet(segment, &[0; 134], Millis(1), &mut NoOutput);
     }
     let held = (resident() - base) / flows as f64;
     row("a flow, resident (upper bound)", flows, held, "B");
@@ -184,7 +186,7 @@
         let known = all[nth % flows];
         let seq = known.seq + (nth / flows) as u32 * 100 + 100;
         let segment = Segment { seq, ..known };
-        forwarder.packet(&segment, &[0; 134], Millis(2), &mut Nowhere);
+        forwarder.handle_packet(&segment, &[0; 134], Millis(2), &mut NoOutput);
     }
     let nanos = start.elapsed().as_nanos() as f64 / rounds.max(flows) as f64;
     row("a packet in mid-flow, 5,600 targets", flows, nanos, "ns");
@@ -198,7 +200,7 @@
     for nth in 0..count {
         let key = flow(nth, 1);
         let open = Segment { key, kind: Kind::Open, seq: 1, ack: 0, len: 0, mark: None };
-        forwarder.packet(&open, &[0; 34], Millis(nth as u64 / 50), &mut Nowhere);
+        forwarder.handle_packet(&open, &[0; 34], Millis(nth as u64 / 50), &mut NoOutput);
     }
     let nanos = start.elapsed().as_nanos() as f64 / count as f64;
     row("an opening, targets of its service", targets, nanos, "ns");
--- a/marked/src/catalog/merge.rs
+++ b/marked/src/catalog/merge.rs
@@ -1,11 +1,11 @@
-//! Merging news into a catalog.
+//! Merging updates into the catalog.
 
 use super::{
-    Catalog, Changed, MAX_DELTAS, RETENTION, Restored, Step, Withdrawal, restore::Verdict,
+    Catalog, ConfigStep, MAX_DELTAS, MergeOutcome, RETENTION, Restored, Tombstone, restore::Verdict,
 };
 use crate::{
-    Change, Config, Content, Entry, Former, Incarnation, News, Presence, Revision, Scope, Start,
-    Target, delta::Delta, mark::Index,
+    Change, Config, Content, Entry, FormerTarget, Incarnation, Presence, Revision, Scope, Start,
+    Target, Update, delta::Delta, mark::Index,
 };
 use medlarspur_lib::{
     collections::Set,
@@ -13,89 +13,89 @@
     time::Millis,
 };
 
-/// What a whole reading lists.
+/// Names of the items that a snapshot lists.
 #[derive(Default)]
-pub(super) struct Listed {
+pub(super) struct SnapshotItems {
     pub(super) targets: Set<TargetName>,
     pub(super) domains: Set<DomainName>,
 }
 
 impl Catalog {
-    /// Takes in news. That of an earlier era is none.
-    pub fn merge(&mut self, news: News, now: Millis) -> Changed {
-        let mut changed = self.confirm(now);
-        let is_covered = !self.lacks(&news);
-        let News { revision, scope, changes, mut unconfirmed } = news;
+    /// Merges an update. An update of an earlier era changes nothing.
+    pub fn merge(&mut self, update: Update, now: Millis) -> MergeOutcome {
+        let mut outcome = self.confirm(now);
+        let is_contiguous = !self.has_gap_before(&update);
+        let Update { revision, scope, changes, mut unconfirmed } = update;
         let before = self.revision;
         if revision.era < before.era {
-            return changed;
+            return outcome;
         }
-        let is_later = revision.era > before.era && before > Revision::default();
-        let mut is_whole = is_covered;
-        if scope == Scope::All {
-            let is_copy = is_later || self.restore.is_open(now);
-            self.take_all(revision, changes, &mut unconfirmed, is_copy, now, &mut changed);
+        let is_later_era = revision.era > before.era && before > Revision::default();
+        let mut is_complete = is_contiguous;
+        if scope == Scope::Snapshot {
+            let is_copy = is_later_era || self.restore.is_open(now);
+            self.merge_snapshot(revision, changes, &mut unconfirmed, is_copy, now, &mut outcome);
         } else {
             for change in changes {
-                is_whole &= self.take(change, now, &mut changed);
+                is_complete &= self.apply(change, now, &mut outcome);
             }
         }
-        if let Scope::Across { listed, .. } = scope
-            && is_whole
-            && listed != self.listed()
+        if let Scope::WithDigest { digest, .. } = scope
+            && is_complete
+            && digest != self.listing_digest()
         {
-            self.astray = true;
-            is_whole = false;
+            self.needs_snapshot = true;
+            is_complete = false;
         }
-        let is_restored = is_whole && is_later;
+        let is_restored = is_complete && is_later_era;
         if is_restored {
-            self.restore.enter(now);
+            self.restore.begin_era(now);
         }
-        if is_whole {
-            if !matches!(scope, Scope::Since(_)) {
-                self.read = self.read.max(revision);
-                self.restore.replace(unconfirmed, now);
+        if is_complete {
+            if !matches!(scope, Scope::Incremental(_)) {
+                self.full_read = self.full_read.max(revision);
+                self.restore.replace_unconfirmed(unconfirmed, now);
             }
-            if is_restored && scope != Scope::All {
-                self.list_all_again(revision.era);
+            if is_restored && scope != Scope::Snapshot {
+                self.relist_all(revision.era);
             }
             self.revision = self.revision.max(revision);
         }
         self.drop_superseded();
         if is_restored {
-            changed.restore = Some(Restored {
+            outcome.restore = Some(Restored {
                 from: before,
                 to: self.revision,
-                changed: changed.targets.len(),
+                changed: outcome.targets.len(),
                 unconfirmed: self.restore.len(),
             });
         }
-        self.forget(now);
-        changed
+        self.purge_expired(now);
+        outcome
     }
 
-    /// Takes in a whole reading, which may be of a copy; what it says against what is known is
-    /// then added to what is unconfirmed.
-    fn take_all(
+    /// Merges a snapshot. If the store may still show its restored copy (`is_copy`), what
+    /// contradicts the catalog is not applied but added to `unconfirmed`.
+    fn merge_snapshot(
         &mut self,
         revision: Revision,
         changes: Vec<Change>,
         unconfirmed: &mut Vec<Change>,
         is_copy: bool,
         now: Millis,
-        changed: &mut Changed,
+        outcome: &mut MergeOutcome,
     ) {
-        self.astray = false;
-        let (mut listed, mut doubted) = (Listed::default(), Vec::new());
-        // What may be there is not missing.
+        self.needs_snapshot = false;
+        let (mut listed, mut deferred) = (SnapshotItems::default(), Vec::new());
+        // Unconfirmed items may exist, so they do not count as missing.
         unconfirmed.iter().for_each(|change| listed.add(&change.content));
         for change in changes {
             listed.add(&change.content);
-            match self.judge(&change, is_copy) {
-                Verdict::Take => drop(self.take(change, now, changed)),
+            match self.classify(&change, is_copy) {
+                Verdict::Apply => drop(self.apply(change, now, outcome)),
                 Verdict::Skip => {}
-                Verdict::Same => self.list_again(&change),
-                Verdict::Doubt => doubted.push(change),
+                Verdict::Unchanged => self.relist(&change),
+                Verdict::Defer => deferred.push(change),
             }
         }
         for (known, content) in self.missing(revision, &listed) {
@@ -103,69 +103,72 @@
             if is_copy && known.era < revision.era {
                 unconfirmed.push(change);
             } else {
-                self.take(change, now, changed);
+                self.apply(change, now, outcome);
             }
         }
-        // What the teller has judged goes last, and counts where both say something.
-        doubted.append(unconfirmed);
-        *unconfirmed = doubted;
+        // The sender's own unconfirmed changes come last: they take precedence for the same
+        // subject.
+        deferred.append(unconfirmed);
+        *unconfirmed = deferred;
     }
 
-    /// Takes in what a copy said, once there was time to write it again.
-    pub fn confirm(&mut self, now: Millis) -> Changed {
-        let mut changed = Changed::default();
+    /// Applies unconfirmed changes for which writers have had enough time to repeat what the copy
+    /// lacks.
+    pub fn confirm(&mut self, now: Millis) -> MergeOutcome {
+        let mut outcome = MergeOutcome::default();
         for change in self.restore.take_due(now) {
-            self.take(change, now, &mut changed);
+            self.apply(change, now, &mut outcome);
         }
-        changed
+        outcome
     }
 
-    /// When [`confirm`](Self::confirm) has something to do next.
+    /// Time at which [`confirm`](Self::confirm) has to be called next.
     pub fn deadline(&self) -> Option<Millis> {
-        self.restore.due()
+        self.restore.next_due()
     }
 
-    /// Takes a change in by its revision; answers whether it could be.
-    fn take(&mut self, change: Change, now: Millis, changed: &mut Changed) -> bool {
+    /// Applies a change if its revision is later than what is known. Returns false if it is a delta
+    /// of a config that is not known here.
+    fn apply(&mut self, change: Change, now: Millis, outcome: &mut MergeOutcome) -> bool {
         let Change { revision, content } = change;
         match content {
             Content::Config(config) => self.merge_config(revision, config),
             Content::Delta(delta) => return self.merge_delta(revision, delta),
             Content::Target(target) => {
-                self.merge_target(revision, target, now, &mut changed.targets);
+                self.merge_target(revision, target, now, &mut outcome.targets);
             }
             Content::Removed(name) => {
-                let withdrawal = Withdrawal::new(revision, Presence::Removed(now));
-                self.withdraw(&name, withdrawal, &mut changed.targets);
+                let tombstone = Tombstone::new(revision, Presence::Removed(now));
+                self.unlist(&name, tombstone, &mut outcome.targets);
             }
             Content::Unusable(name) => {
-                let withdrawal = Withdrawal::new(revision, Presence::Unusable(now));
-                self.withdraw(&name, withdrawal, &mut changed.targets);
+                let tombstone = Tombstone::new(revision, Presence::Unusable(now));
+                self.unlist(&name, tombstone, &mut outcome.targets);
             }
-            Content::Former(former) => {
-                changed.formers.extend(self.merge_former(revision, former, now));
+            Content::FormerTarget(former) => {
+                outcome.former_targets.extend(self.merge_former(revision, former, now));
             }
             Content::Evacuated(domain) => {
                 let is_new = self.evacuations.set(&domain, revision, None);
-                changed.domains.extend(is_new.then_some(domain));
+                outcome.domains.extend(is_new.then_some(domain));
             }
-            Content::Restored(domain) => {
+            Content::EvacuationEnded(domain) => {
                 let is_new = self.evacuations.set(&domain, revision, Some(now));
-                changed.domains.extend(is_new.then_some(domain));
+                outcome.domains.extend(is_new.then_some(domain));
             }
         }
         true
     }
 
-    /// The larger version wins, whatever the revisions: a copy of the source may have an
-    /// older one.
+    /// The larger version wins, whatever the revisions, because a copy of the store may contain an
+    /// older config.
     fn merge_config(&mut self, revision: Revision, config: Config) {
         if let Some((from, old)) = &self.config {
             if (old.version, *from) >= (config.version, revision) {
                 return;
             }
             let delta = Delta::between(old, &config);
-            self.deltas.push_back(Step { from: *from, to: revision, delta });
+            self.deltas.push_back(ConfigStep { from: *from, to: revision, delta });
             if self.deltas.len() > MAX_DELTAS {
                 self.deltas.pop_front();
             }
@@ -175,14 +178,13 @@
         self.config = Some((revision, config));
     }
 
-    /// Answers whether the config that it changes is the one in force, or is
-    /// older.
+    /// Returns false if the delta is newer than the config in force but based on another version.
     fn merge_delta(&mut self, revision: Revision, delta: Delta) -> bool {
         let config = match &self.config {
             Some((at, known)) if (known.version, *at) >= (delta.version, revision) => return true,
             Some((_, known)) if known.version == delta.base => delta.apply(known),
             _ => {
-                self.astray = true;
+                self.needs_snapshot = true;
                 return false;
             }
         };
@@ -198,17 +200,17 @@
         changed: &mut Vec<Incarnation>,
     ) {
         let incarnation = target.incarnation;
-        if self.is_clash(&target) {
-            self.clashes += 1;
+        if self.collides(&target) {
+            self.collisions += 1;
             return;
         }
         let listing = self.names.entry(target.name.clone()).or_default();
-        let unusable = |revision| Withdrawal::new(revision, Presence::Unusable(now));
+        let unusable = |revision| Tombstone::new(revision, Presence::Unusable(now));
         if target.start < listing.start {
-            // Whoever says when it started says so always: without it, the entry comes
-            // from another writer, and names no target.
+            // A target that gives its start time always does. An entry without it comes from
+            // another writer and describes no usable target.
             if target.start == Start::default() {
-                self.withdraw(&target.name, unusable(revision), changed);
+                self.unlist(&target.name, unusable(revision), changed);
             }
             return;
         }
@@ -220,17 +222,23 @@
                 earlier.presence = Presence::Replaced(now);
                 changed.push(earlier.target.incarnation);
                 let known = earlier.revision;
-                if is_foreign && listing.withdrawn.is_none_or(|it| it.revision < known) {
-                    listing.withdrawn = Some(unusable(known));
+                if is_foreign && listing.tombstone.is_none_or(|it| it.revision < known) {
+                    listing.tombstone = Some(unusable(known));
                 }
             }
         }
-        if listing.withdrawn.is_some_and(|it| it.revision >= revision) {
+        if listing.tombstone.is_some_and(|it| it.revision >= revision) {
             return;
         }
         listing.current = Some(incarnation);
-        let cold = now + target.cold;
-        let fresh = Entry { target, revision, since: revision, presence: Presence::Listed, cold };
+        let cold_until = now + target.cold;
+        let fresh = Entry {
+            target,
+            revision,
+            content_revision: revision,
+            presence: Presence::Listed,
+            cold_until,
+        };
         if self.targets.get(&incarnation).is_some_and(|known| known.revision >= revision) {
             return;
         }
@@ -238,21 +246,21 @@
         changed.push(incarnation);
     }
 
-    /// Takes in a target that is not listed any more; answers it if it is new here.
+    /// Adds a target that is no longer listed. Returns it if it was not known here.
     fn merge_former(
         &mut self,
         revision: Revision,
-        former: Former,
+        former: FormerTarget,
         now: Millis,
     ) -> Option<Incarnation> {
-        let Former { target, age } = former;
+        let FormerTarget { target, age } = former;
         let incarnation = target.incarnation;
         if age >= RETENTION || self.targets.contains_key(&incarnation) {
             return None;
         }
         let listing = self.names.entry(target.name.clone()).or_default();
         let ended = Millis(now.0.saturating_sub(age.0));
-        let presence = match (listing.current, listing.withdrawn.map(|it| it.presence)) {
+        let presence = match (listing.current, listing.tombstone.map(|it| it.presence)) {
             (Some(_), _) => Presence::Replaced(ended),
             (None, Some(Presence::Unusable(_))) => Presence::Unusable(ended),
             (None, _) => Presence::Removed(ended),
@@ -260,9 +268,15 @@
         if listing.current.is_none() {
             listing.start = listing.start.max(target.start);
             listing.current = Some(incarnation);
-            listing.withdrawn.get_or_insert(Withdrawal::new(revision, presence));
+            listing.tombstone.get_or_insert(Tombstone::new(revision, presence));
         }
-        self.insert(Entry { target, revision, since: revision, presence, cold: now });
+        self.insert(Entry {
+            target,
+            revision,
+            content_revision: revision,
+            presence,
+            cold_until: now,
+        });
         Some(incarnation)
     }
 
@@ -278,48 +292,44 @@
         self.targets.insert(incarnation, entry);
     }
 
-    /// Whether another target has the same number. Packets in mid-flow would go to
-    /// either of the two, and be answered by a reset at the wrong one.
-    fn is_clash(&self, target: &Target) -> bool {
+    /// Whether another target has the same incarnation. Packets in mid-flow would then go to either
+    /// of the two, and the wrong one would reset the flow.
+    fn collides(&self, target: &Target) -> bool {
         let known = self.targets.get(&target.incarnation).map(|entry| &entry.target);
         known.is_some_and(|it| (&it.name, it.start) != (&target.name, target.start))
     }
 
-    fn withdraw(
-        &mut self,
-        name: &TargetName,
-        withdrawal: Withdrawal,
-        changed: &mut Vec<Incarnation>,
-    ) {
-        let Withdrawal { revision, presence } = withdrawal;
+    fn unlist(&mut self, name: &TargetName, tombstone: Tombstone, changed: &mut Vec<Incarnation>) {
+        let Tombstone { revision, presence } = tombstone;
         let listing = self.names.entry(name.clone()).or_default();
-        if listing.withdrawn.is_none_or(|it| it.revision < revision) {
-            listing.withdrawn = Some(withdrawal);
+        if listing.tombstone.is_none_or(|it| it.revision < revision) {
+            listing.tombstone = Some(tombstone);
         }
         let Some(known) = listing.current.and_then(|it| self.targets.get_mut(&it)) else { return };
         if known.revision >= revision {
             return;
         }
-        (known.revision, known.since) = (revision, revision);
-        // An entry that named no target and then goes says nothing more of the target.
-        let is_news = match presence {
+        (known.revision, known.content_revision) = (revision, revision);
+        // The removal of an entry that was already unusable says nothing new about the target.
+        let is_change = match presence {
             Presence::Unusable(_) => !matches!(known.presence, Presence::Unusable(_)),
             _ => known.is_listed(),
         };
-        if is_news {
+        if is_change {
             known.presence = presence;
             changed.push(known.target.incarnation);
         }
     }
 
-    /// The end of all that a whole reading doesn't list, and since when each is known.
-    fn missing(&self, revision: Revision, listed: &Listed) -> Vec<(Revision, Content)> {
+    /// Returns the removals of all known items that a snapshot does not list, each with the
+    /// revision at which the item is known.
+    fn missing(&self, revision: Revision, listed: &SnapshotItems) -> Vec<(Revision, Content)> {
         let end = |known: &Content| match known {
             Content::Target(target) if !listed.targets.contains(&target.name) => {
                 Some(Content::Removed(target.name.clone()))
             }
             Content::Evacuated(domain) if !listed.domains.contains(domain) => {
-                Some(Content::Restored(domain.clone()))
+                Some(Content::EvacuationEnded(domain.clone()))
             }
             _ => None,
         };
@@ -328,20 +338,20 @@
         let gone = gone.map(|it| (it.revision, Content::Removed(it.target.name.clone())));
         let evacuations = self.evacuations.changes();
         let ended = evacuations.filter_map(|it| Some((it.revision, end(&it.content)?)));
-        let waiting = self.restore.waiting().filter(|it| it.revision.era == revision.era);
-        let waiting = waiting.filter_map(|it| Some((it.revision, end(&it.content)?)));
-        gone.chain(ended).chain(waiting).collect()
+        let unconfirmed = self.restore.unconfirmed().filter(|it| it.revision.era == revision.era);
+        let unconfirmed = unconfirmed.filter_map(|it| Some((it.revision, end(&it.content)?)));
+        gone.chain(ended).chain(unconfirmed).collect()
     }
 }
 
-impl Listed {
+impl SnapshotItems {
     fn add(&mut self, content: &Content) {
         match content {
             Content::Target(target) => drop(self.targets.insert(target.name.clone())),
             Content::Unusable(name) => drop(self.targets.insert(name.clone())),
             Content::Evacuated(domain) => drop(self.domains.insert(domain.clone())),
             Content::Config(_) | Content::Delta(_) | Content::Removed(_) => {}
-            Content::Former(_) | Content::Restored(_) => {}
+            Content::FormerTarget(_) | Content::EvacuationEnded(_) => {}
         }
     }
 }
--- a/marked/src/fleet/spread.rs
+++ b/marked/src/fleet/spread.rs
@@ -1,164 +1,167 @@
-//! Passing news on through a failure domain, as a tree.
+//! Propagation of updates through a failure domain, as a tree.
 
-use super::{Fleet, lack::NEWS_DELAY, presence::MAX_PEERS};
+use super::{Fleet, heartbeats::MAX_PEERS, pull::PROPAGATION_DELAY};
 use crate::{
-    Catalog, Change, News, Revision, Scope,
-    message::{self, MAX_DATAGRAM, Message, size},
+    Catalog, Change, Revision, Scope, Update,
+    message::{self, MAX_DATAGRAM, Message, change_size},
 };
 use medlarspur_lib::time::Millis;
 use medlarspur_load::warmup::Seat;
 use std::net::SocketAddrV4;
 
-/// To how many others an instance passes news on, unless [`MAX_BRANCH`] makes them more. Four
-/// levels reach a hundred instances of a domain twice over.
+/// Number of instances that an update is sent to, unless [`MAX_BRANCH`] requires more. Four levels
+/// are enough for twice the hundred instances of a domain.
 const FANOUT: usize = 5;
-/// To how many others each of these passes news on at most. Their addresses stand in the
-/// datagram, and must leave room for the news.
+/// Maximum number of instances in a branch: the receiver and those that it forwards the update to.
+/// Their addresses are part of the datagram and must leave space for changes.
 const MAX_BRANCH: usize = 80;
-/// How many bytes of a datagram hold neither changes nor addresses.
-const HEAD: usize = 60;
-/// How many bytes an address takes in a datagram at most.
-const ADDRESS: usize = 7;
+/// Bytes of a datagram that hold neither changes nor addresses.
+const HEADER_BYTES: usize = 60;
+/// Maximum size of an encoded address in bytes.
+const ADDRESS_BYTES: usize = 7;
 
 impl Fleet {
-    /// Tells the domain what is new since the last time; answers whether anything
-    /// is.
-    pub(super) fn pass_on(&mut self, catalog: &Catalog, now: Millis) -> bool {
+    /// Sends the changes since the last call to the domain. Returns whether an update was sent.
+    pub(super) fn propagate(&mut self, catalog: &Catalog, now: Millis) -> bool {
         let revision = catalog.revision();
-        if revision.era < self.told.era {
-            self.told = revision;
+        if revision.era < self.propagated.era {
+            self.propagated = revision;
         }
-        if revision <= self.told {
+        if revision <= self.propagated {
             return false;
         }
-        let news = catalog.since(self.told, now);
-        let is_first = self.told == Revision::default();
-        self.told = revision;
-        // The first picture is whole; the others read it or ask for it.
+        let update = catalog.update_since(self.propagated, now);
+        let is_first = self.propagated == Revision::default();
+        self.propagated = revision;
+        // The first snapshot is too large to send. Other instances read it or pull it.
         if is_first {
             return false;
         }
         let domain = self.domain_members();
-        if !news.is_divisible() && message::news_size(&news) > room(branch_size(domain.len())) {
-            // Heartbeats tell the revision, and whoever lacks it asks.
+        if !update.is_divisible()
+            && message::update_size(&update) > change_capacity(branch_size(domain.len()))
+        {
+            // Heartbeats announce the revision, and instances that lack changes pull them.
             return false;
         }
-        let seats = self.gives_seats(now).then(|| domain.len() as u32 + 1);
+        let seats = self.assigns_seats(now).then(|| domain.len() as u32 + 1);
         let first = seats.map(|count| Seat { position: 0, count });
-        self.spread(self.me, &news, domain, first);
+        self.send_branches(self.address, &update, domain, first);
         true
     }
 
-    /// Sends news to a few instances, each with a part of the others to pass it
-    /// on to. The first of all of them gets the seat `first`, the others follow.
-    fn spread(
+    /// Sends an update to a few instances, each with a branch of the others to forward it to. The
+    /// first of all instances gets the seat `first`, and the others get the seats that follow.
+    fn send_branches(
         &mut self,
         reader: SocketAddrV4,
-        news: &News,
+        update: &Update,
         mut others: Vec<SocketAddrV4>,
         first: Option<Seat>,
     ) {
         others.sort_unstable();
-        let part = branch_size(others.len());
-        let pieces = pieces(news, room(part));
-        for (nth, branch) in others.chunks(part).enumerate() {
+        let branch_len = branch_size(others.len());
+        let parts = split_update(update, change_capacity(branch_len));
+        for (nth, branch) in others.chunks(branch_len).enumerate() {
             let seat = first.map(|seat| {
-                // The reader has a seat among them, and is not in the list.
-                let is_behind = reader >= self.me && branch[0] > reader;
-                let before = (nth * part) as u32 + u32::from(is_behind);
+                // The reader has a seat in this order but is not in the list.
+                let is_behind = reader >= self.address && branch[0] > reader;
+                let before = (nth * branch_len) as u32 + u32::from(is_behind);
                 Seat { position: seat.position.saturating_add(before), ..seat }
             });
-            for news in &pieces {
+            for update in &parts {
                 let to = branch[1..].to_vec();
-                self.send(branch[0], &Message::News { reader, news: news.clone(), to, seat });
+                self.send(branch[0], &Message::Update { reader, update: update.clone(), to, seat });
             }
         }
     }
 
-    /// Passes news of a reader on; answers it if this instance doesn't know it yet.
-    pub(super) fn receive_news(
+    /// Forwards an update of a reader. Returns the update if it is new to this instance.
+    pub(super) fn receive_update(
         &mut self,
         reader: SocketAddrV4,
-        news: News,
+        update: Update,
         mut others: Vec<SocketAddrV4>,
         seat: Option<Seat>,
         catalog: &Catalog,
         now: Millis,
-    ) -> Option<News> {
-        self.take_seat(seat, reader, now);
-        // Passed on also if it is known here already: the others may not know it.
-        others.retain(|it| *it != self.me);
+    ) -> Option<Update> {
+        self.accept_seat(seat, reader, now);
+        // The update is forwarded even if it is already known here: the receivers may not know it.
+        others.retain(|it| *it != self.address);
         others.truncate(MAX_PEERS);
         let next = seat.map(|seat| Seat { position: seat.position.saturating_add(1), ..seat });
-        self.spread(reader, &news, others, next);
+        self.send_branches(reader, &update, others, next);
         let known = catalog.revision();
-        if news.revision <= known || !self.is_credible(news.revision, known) {
+        if update.revision <= known || !self.is_credible(update.revision, known) {
             return None;
         }
-        if catalog.lacks(&news) {
-            // Whoever passed it on may lack the same, and what it knows was never
-            // told. The reader has it all. Without this question an instance stays
-            // behind for as long as news keeps coming, because a reader that has news to
-            // tell sends no heartbeats.
-            self.lack(reader, news.revision, now + NEWS_DELAY);
+        if catalog.has_gap_before(&update) {
+            // The instance that forwarded the update may lack the same changes, and nothing is
+            // known about it. The reader has them all. Without this pull an instance would stay
+            // behind for as long as updates keep coming, because a reader with changes to send
+            // sends no heartbeats.
+            self.schedule_pull(reader, update.revision, now + PROPAGATION_DELAY);
         }
-        // What came from another reader need not be told again by this one.
-        let is_told = match news.scope {
-            Scope::Since(known) | Scope::Across { since: known, .. } => known <= self.told,
-            Scope::All => false,
+        // Changes that came from another reader need not be sent again by this one.
+        let is_propagated = match update.scope {
+            Scope::Incremental(known) | Scope::WithDigest { since: known, .. } => {
+                known <= self.propagated
+            }
+            Scope::Snapshot => false,
         };
-        if is_told {
-            self.told = self.told.max(news.revision);
+        if is_propagated {
+            self.propagated = self.propagated.max(update.revision);
         }
-        Some(news)
+        Some(update)
     }
 }
 
-/// To how many of `count` others each of the first ones passes news on, itself included.
+/// Number of instances in each branch of `count` receivers, including the one that the update is
+/// sent to.
 fn branch_size(count: usize) -> usize {
     count.div_ceil(FANOUT).clamp(1, MAX_BRANCH)
 }
 
-/// How many bytes a datagram has for changes beside a branch's addresses.
-fn room(branch: usize) -> usize {
-    MAX_DATAGRAM - HEAD - ADDRESS * branch
+/// Bytes of a datagram left for changes beside the addresses of a branch.
+fn change_capacity(branch: usize) -> usize {
+    MAX_DATAGRAM - HEADER_BYTES - ADDRESS_BYTES * branch
 }
 
-/// Cuts news into parts that fit into `room` bytes of a datagram. In the order of revisions each
-/// part is complete from one revision to another, so a lost one is noticed like
-/// any lost news.
-fn pieces(news: &News, room: usize) -> Vec<News> {
-    let Scope::Since(mut known) = news.scope else { return vec![news.clone()] };
-    let mut changes = news.changes.clone();
+/// Splits an update into parts whose changes take at most `capacity` bytes each. In the order of
+/// revisions, each part covers all changes from one revision to another, so a lost part is detected
+/// like any lost update.
+fn split_update(update: &Update, capacity: usize) -> Vec<Update> {
+    let Scope::Incremental(mut known) = update.scope else { return vec![update.clone()] };
+    let mut changes = update.changes.clone();
     changes.sort_by_key(|change| change.revision);
-    let mut pieces: Vec<News> = Vec::new();
-    for changes in packed(changes, room) {
+    let mut parts: Vec<Update> = Vec::new();
+    for changes in group_changes(changes, capacity) {
         let revision = changes[changes.len() - 1].revision;
-        pieces.push(News::new(revision, Scope::Since(known), changes));
+        parts.push(Update::new(revision, Scope::Incremental(known), changes));
         known = revision;
     }
-    match pieces.last_mut() {
-        Some(last) => last.revision = news.revision,
-        None => pieces.push(news.clone()),
+    match parts.last_mut() {
+        Some(last) => last.revision = update.revision,
+        None => parts.push(update.clone()),
     }
-    pieces
+    parts
 }
 
-/// Groups changes, in their order, so that each group has `most` bytes at most, or
-/// one change.
-fn packed(changes: Vec<Change>, most: usize) -> Vec<Vec<Change>> {
+/// Groups changes, in their order, into groups of at most `capacity` bytes or of one change.
+fn group_changes(changes: Vec<Change>, capacity: usize) -> Vec<Vec<Change>> {
     let mut groups: Vec<Vec<Change>> = Vec::new();
-    let mut room = 0;
+    let mut free = 0;
     for change in changes {
-        let size = size(&change);
+        let size = change_size(&change);
         match groups.last_mut() {
-            Some(group) if size <= room => group.push(change),
+            Some(group) if size <= free => group.push(change),
             _ => {
                 groups.push(vec![change]);
-                room = most;
+                free = capacity;
             }
         }
-        room = room.saturating_sub(size);
+        free = free.saturating_sub(size);
     }
     groups
 }
--- a/marked/src/forwarder/explain.rs
+++ b/marked/src/forwarder/explain.rs
@@ -1,8 +1,8 @@
-//! What the forwarder knows and why flows go where they go, for operators.
+//! Status and explanations of routing decisions for operators.
 
 use super::{
     Forwarder,
-    closed::{Bounds, Closed},
+    exclusion::{Exclusion, Restrictions},
 };
 use crate::{Entry, FlowKey, Presence, Revision};
 use medlarspur_lib::{
@@ -11,25 +11,25 @@
     ids::{DomainName, ServiceName},
     packet,
     status::{
-        EvacuatedDomain, MarkedExplanation, MarkedReason, MarkedService, MarkedTarget, Picture,
-        TargetUse,
+        CatalogStatus, EvacuatedDomain, MarkedExplanation, MarkedReason, MarkedService,
+        MarkedTarget, TargetUse,
     },
     time::Millis,
 };
 use medlarspur_load::choice::Tier;
 
 impl Forwarder {
-    /// Where a flow goes and why. `age` is that of the picture.
+    /// Explains where a flow goes and why. `age` is the age of the catalog.
     pub fn explain(&self, key: &FlowKey, age: Option<Millis>, now: Millis) -> MarkedExplanation {
         let route = self.catalog.route(key.service);
         let services = route.iter().flat_map(|route| &route.shares);
         let services: Vec<_> = services.map(|share| &share.service).collect();
         let entries = services.into_iter().flat_map(|service| self.catalog.targets(service));
-        let bounds = |entry: &Entry| self.bounds(&entry.target.service, key);
-        let shown = |entry| self.shown(entry, bounds(entry), now);
-        let candidates: Vec<_> = entries.map(shown).collect();
+        let restrictions = |entry: &Entry| self.restrictions(&entry.target.service, key);
+        let target_status = |entry| self.target_status(entry, restrictions(entry), now);
+        let candidates: Vec<_> = entries.map(target_status).collect();
         let known = self.flows.get(key).and_then(|flow| self.catalog.entry(flow.target));
-        let takes = |it: &MarkedTarget| {
+        let can_take = |it: &MarkedTarget| {
             matches!(it.usage, TargetUse::Good | TargetUse::Unlisted | TargetUse::Doubtful)
         };
         let reason = if known.is_some() {
@@ -38,7 +38,7 @@
             MarkedReason::Waiting
         } else if route.is_none() {
             MarkedReason::NoRoute
-        } else if candidates.iter().any(takes) {
+        } else if candidates.iter().any(can_take) {
             MarkedReason::Unknown
         } else {
             MarkedReason::NoTarget
@@ -51,46 +51,51 @@
             },
             reason,
             class: route.map(|route| route.class),
-            target: known.map(shown),
+            target: known.map(target_status),
             candidates,
             picture: self.picture(age),
         }
     }
 
-    /// Up to where the config and the targets are known.
-    pub fn picture(&self, age: Option<Millis>) -> Picture {
+    /// The state up to which the config and the targets are known.
+    pub fn picture(&self, age: Option<Millis>) -> CatalogStatus {
         let version = self.catalog.config().map(|config| config.version);
         let mut evacuated: Vec<_> =
-            self.catalog.evacuated().map(|it| self.shown_domain(it)).collect();
+            self.catalog.evacuated().map(|it| self.domain_status(it)).collect();
         evacuated.sort_by(|one, other| one.domain.cmp(&other.domain));
         let omitted = self.catalog.config().map_or(0, |config| config.omitted);
         let Revision { era, count } = self.revision();
-        Picture { version, era, revision: count, age, evacuated, omitted }
+        CatalogStatus { version, era, revision: count, age, evacuated, omitted }
     }
 
-    fn shown_domain(&self, domain: &DomainName) -> EvacuatedDomain {
-        let revision = self.catalog.evacuation(domain).unwrap_or_default();
+    fn domain_status(&self, domain: &DomainName) -> EvacuatedDomain {
+        let revision = self.catalog.evacuation_revision(domain).unwrap_or_default();
         EvacuatedDomain { domain: domain.clone(), revision: revision.count }
     }
 
-    /// All services that have targets.
+    /// Status of all services that have targets.
     pub fn services(&self, now: Millis) -> Vec<MarkedService> {
         let names: Set<&ServiceName> =
             self.catalog.entries().map(|it| &it.target.service).collect();
         let mut names: Vec<_> = names.into_iter().collect();
         names.sort_unstable();
-        names.into_iter().map(|name| self.service(name, now)).collect()
+        names.into_iter().map(|name| self.service_status(name, now)).collect()
     }
 
-    fn service(&self, name: &ServiceName, now: Millis) -> MarkedService {
-        let (pressure, waiting) = self.room(name);
-        let bounds = self.service_bounds(name);
+    fn service_status(&self, name: &ServiceName, now: Millis) -> MarkedService {
+        let (pressure, waiting) = self.pressure_and_backlog(name);
+        let restrictions = self.service_restrictions(name);
         let targets = self.catalog.targets(name);
-        let targets = targets.map(|entry| self.shown(entry, bounds, now)).collect();
+        let targets = targets.map(|entry| self.target_status(entry, restrictions, now)).collect();
         MarkedService { name: name.clone(), pressure, waiting, targets }
     }
 
-    fn shown(&self, entry: &Entry, bounds: Bounds<'_>, now: Millis) -> MarkedTarget {
+    fn target_status(
+        &self,
+        entry: &Entry,
+        restrictions: Restrictions<'_>,
+        now: Millis,
+    ) -> MarkedTarget {
         let target = &entry.target;
         let state = self.states.get(&target.incarnation);
         MarkedTarget {
@@ -98,26 +103,26 @@
             start: target.start.0,
             address: target.address,
             domain: target.domain.clone(),
-            usage: self.usage(entry, bounds, now),
-            work: state.map_or(0, |state| state.working + state.opening),
-            feeds: state.map_or(0, |state| state.feeds),
+            usage: self.usage(entry, restrictions, now),
+            work: state.map_or(0, |state| state.in_flight + state.opening),
+            feeds: state.map_or(0, |state| state.idle_feeds),
         }
     }
 
-    fn usage(&self, entry: &Entry, bounds: Bounds<'_>, now: Millis) -> TargetUse {
+    fn usage(&self, entry: &Entry, restrictions: Restrictions<'_>, now: Millis) -> TargetUse {
         let is_lost =
             self.states.get(&entry.target.incarnation).is_some_and(|it| it.health.is_lost());
-        let closed = self.closed(entry, bounds, now);
+        let exclusion = self.exclusion(entry, restrictions, now);
         if entry.is_listed() && !is_lost && !entry.target.leaving {
-            match closed {
-                Some(Closed::Evacuated) => return TargetUse::Evacuated,
-                Some(Closed::Away) => return TargetUse::Away,
-                Some(Closed::Warming) => return TargetUse::Warming,
+            match exclusion {
+                Some(Exclusion::Evacuated) => return TargetUse::Evacuated,
+                Some(Exclusion::Away) => return TargetUse::Away,
+                Some(Exclusion::Warming) => return TargetUse::Warming,
                 None if self.is_full(entry) => return TargetUse::Full,
                 None => {}
             }
         }
-        let candidate = self.candidate(entry, Class::Request, now).filter(|_| closed.is_none());
+        let candidate = self.candidate(entry, Class::Request, now).filter(|_| exclusion.is_none());
         match candidate.map(|it| it.tier) {
             Some(Tier::Good) => TargetUse::Good,
             Some(Tier::Unlisted) => TargetUse::Unlisted,
--- a/operator/tests/fixtures.rs
+++ b/operator/tests/fixtures.rs
@@ -1,4 +1,4 @@
-//! An instance that answers from fixed values, and a client.
+//! An instance with a fixed state, and an HTTP client.
 
 use medlarspur_lib::{
     bundle::Class,
@@ -7,7 +7,7 @@
     status::{BundleStatus, Explanation, FlowStatus, Life, Reason, Status, Unready},
     time::Millis,
 };
-use medlarspur_operator::{Meters, Operator, Source};
+use medlarspur_operator::{Meters, OperatorServer, Source};
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
     sync::{
@@ -16,7 +16,7 @@
     },
 };
 
-/// An instance with a thousand flows, ready or not.
+/// An instance with a thousand flows, which is ready or not.
 pub struct Instance {
     pub ready: AtomicBool,
 }
@@ -82,22 +82,23 @@
     }
 }
 
-/// Any free port of the loopback address.
-pub const ANY: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
+/// The loopback address with port 0, for which the system chooses a free port.
+pub const ANY_PORT: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
-/// A server on a free port, and what it answers from.
-pub fn server(ready: bool) -> (Operator, Arc<Instance>, Meters) {
+/// Starts a server on a free port. Returns it with its instance and metrics.
+pub fn start_server(ready: bool) -> (OperatorServer, Arc<Instance>, Meters) {
     let instance = Arc::new(Instance { ready: ready.into() });
     let meters = Meters::new().expect("metrics");
-    let operator = Operator::start(ANY, instance.clone(), meters.clone()).expect("starts");
+    let operator =
+        OperatorServer::start(ANY_PORT, instance.clone(), meters.clone()).expect("starts");
     (operator, instance, meters)
 }
 
-/// The code and body of a `GET`.
-pub fn get(operator: &Operator, path: &str) -> (u16, String) {
+/// Sends a `GET`. Returns the status code and the body.
+pub fn get(operator: &OperatorServer, path: &str) -> (u16, String) {
     let config = ureq::Agent::config_builder().http_status_as_error(false).build();
     let url = format!("http://{}{path}", operator.address());
-    let mut answer = ureq::Agent::from(config).get(url).call().expect("an answer");
+    let mut answer = ureq::Agent::from(config).get(url).call().expect("a response");
     let body = answer.body_mut().read_to_string().expect("text");
     (answer.status().as_u16(), body)
 }
--- a/peer/src/encode.rs
+++ b/peer/src/encode.rs
@@ -1,4 +1,4 @@
-//! From messages to their wire form.
+//! Encoding of messages into their wire format.
 
 use crate::generated as wire;
 use medlarspur_lib::{
@@ -8,47 +8,48 @@
     message::{self, Message},
 };
 use std::net::SocketAddrV4;
-use wire::envelope::Message as Kind;
+use wire::envelope::Message as WireMessage;
 
-/// The wire form of `message`.
+/// Encodes `message`.
 pub fn encode(message: &Message) -> wire::Envelope {
-    let kind = match message {
-        Message::Heartbeat(m) => Kind::Heartbeat(heartbeat(m)),
-        Message::MembersRequest(m) => Kind::MembersRequest(wire::MembersRequest {
+    let message = match message {
+        Message::Heartbeat(m) => WireMessage::Heartbeat(heartbeat(m)),
+        Message::MembersRequest(m) => WireMessage::MembersRequest(wire::MembersRequest {
             sender: addr(m.sender),
             groups: m.groups.clone(),
         }),
-        Message::MembersAnswer(m) => Kind::MembersAnswer(wire::MembersAnswer {
+        Message::MembersAnswer(m) => WireMessage::MembersAnswer(wire::MembersAnswer {
             members: m.members.iter().map(member).collect(),
         }),
-        Message::BundleRequest(m) => Kind::BundleRequest(wire::BundleRequest {
+        Message::BundleRequest(m) => WireMessage::BundleRequest(wire::BundleRequest {
             sender: addr(m.sender),
             base: m.base.map(Vec::from).unwrap_or_default(),
         }),
-        Message::BundleDelta(m) => Kind::BundleDelta(delta(m)),
-        Message::BundleOutline(m) => Kind::BundleOutline(wire::BundleOutline {
+        Message::BundleDelta(m) => WireMessage::BundleDelta(delta(m)),
+        Message::BundleOutline(m) => WireMessage::BundleOutline(wire::BundleOutline {
             sender: addr(m.sender),
             version: m.version.0,
             digest: m.digest.into(),
             pieces: m.pieces.clone(),
         }),
-        Message::PieceRequest(m) => Kind::PieceRequest(piece_request(m)),
-        Message::Pieces(m) => Kind::Pieces(pieces(m)),
-        Message::PlanRequest(m) => Kind::PlanRequest(wire::PlanRequest {
+        Message::PieceRequest(m) => WireMessage::PieceRequest(piece_request(m)),
+        Message::Pieces(m) => WireMessage::Pieces(pieces(m)),
+        Message::PlanRequest(m) => WireMessage::PlanRequest(wire::PlanRequest {
             sender: addr(m.sender),
             groups: m.groups.clone(),
         }),
-        Message::Plan(m) => Kind::Plan(plan(m)),
-        Message::Advert(m) => Kind::Advert(advert(m)),
+        Message::Plan(m) => WireMessage::Plan(plan(m)),
+        Message::Advert(m) => WireMessage::Advert(advert(m)),
         Message::HistoryRequest(m) => {
-            Kind::HistoryRequest(wire::HistoryRequest { sender: addr(m.sender) })
-        }
-        Message::History(m) => Kind::History(history(m)),
-        Message::Leave(m) => {
-            Kind::Leave(wire::Leave { sender: m.sender.to_string(), incarnation: m.incarnation.0 })
+            WireMessage::HistoryRequest(wire::HistoryRequest { sender: addr(m.sender) })
         }
+        Message::History(m) => WireMessage::History(history(m)),
+        Message::Leave(m) => WireMessage::Leave(wire::Leave {
+            sender: m.sender.to_string(),
+            incarnation: m.incarnation.0,
+        }),
     };
-    wire::Envelope { message: Some(kind) }
+    wire::Envelope { message: Some(message) }
 }
 
 fn addr(addr: SocketAddrV4) -> Option<wire::Addr> {
@@ -71,7 +72,7 @@
         questions: addr(m.addresses.questions),
         control: addr(m.addresses.control),
         version: m.version.0,
-        told: m.told,
+        told: m.advertised,
     }
 }
 
@@ -129,34 +130,34 @@
     }
 }
 
-/// A target's name goes once an advert and not once a flow.
+/// Encodes an advert. Each target's name is sent once; flows refer to it by its position.
 fn advert(m: &message::Advert) -> wire::Advert {
-    let mut places: Map<&TargetName, u32> = Map::default();
+    let mut positions: Map<&TargetName, u32> = Map::default();
     let mut targets = Vec::new();
     let mut flows = Vec::with_capacity(m.flows.len());
     for (flow, target) in &m.flows {
-        let at = *places.entry(target).or_insert_with(|| {
+        let position = *positions.entry(target).or_insert_with(|| {
             targets.push(target.to_string());
             targets.len() as u32 - 1
         });
-        flows.push(wire::KnownFlow { flow: flow.0, target: at });
+        flows.push(wire::KnownFlow { flow: flow.0, target: position });
     }
     wire::Advert {
         sender: m.sender.to_string(),
         service: m.service.to_string(),
         targets,
         flows,
-        told: m.told,
+        told: m.advertised,
     }
 }
 
 fn history(m: &message::History) -> wire::History {
     let owners = m.owners.iter();
-    let owner = |loss: &message::Loss| wire::Owner {
-        bucket: loss.bucket.0.into(),
-        target: loss.target.to_string(),
-        age: loss.age,
-        called_off: !loss.owned,
+    let owner = |entry: &message::HistoryEntry| wire::Owner {
+        bucket: entry.bucket.0.into(),
+        target: entry.target.to_string(),
+        age: entry.age,
+        called_off: !entry.owned,
     };
     wire::History { service: m.service.to_string(), owners: owners.map(owner).collect() }
 }
--- a/peer/src/lib.rs
+++ b/peer/src/lib.rs
@@ -1,9 +1,9 @@
-//! The control connections to the other instances of a site.
+//! Control connections between the instances of a site, over gRPC.
 //!
-//! One runtime in a thread of its own serves and calls; bounded channels join
-//! it to the control thread, which never waits for the network. A message
-//! that finds a channel full is counted and dropped: whatever a message says
-//! is said again by later heartbeats. See `docs/design/members.md`.
+//! One thread with a runtime of its own runs both the server and the clients. Bounded
+//! channels connect it to the control thread, which never waits for the network. If a
+//! channel is full, the message is counted and dropped, since later heartbeats convey the
+//! same information. See `docs/design/members.md`.
 
 mod client;
 mod counters;
@@ -18,14 +18,14 @@
 mod start;
 
 pub use self::{
-    counters::{Bytes, Counters, Kind},
+    counters::{Counters, MessageKind, Traffic},
     decode::decode,
     encode::encode,
-    error::{PeerError, Refused, WireError},
+    error::{BatchError, PeerError, WireError},
     settings::{PeerSettings, PeerTls},
     start::{PeerHandle, Peers},
 };
 
-/// The largest batch that is looked at: a bundle's megabyte as one difference
-/// that shares nothing with its base, and room for its neighbours.
-pub const MAX_BATCH: usize = 2 << 20;
+/// Maximum size of a received batch, in bytes. A batch can contain a bundle of one megabyte,
+/// sent as a delta that shares nothing with its base, and other messages.
+pub const MAX_BATCH_BYTES: usize = 2 << 20;
--- a/peer/src/start.rs
+++ b/peer/src/start.rs
@@ -1,9 +1,9 @@
-//! The thread of the control connections and the handle on it.
+//! Start of the control connections' thread, and the handle to it.
 
 use crate::{
-    Counters, MAX_BATCH, PeerSettings, PeerTls,
-    client::{self, Caller},
-    counters::{Live, bump},
+    Counters, MAX_BATCH_BYTES, PeerSettings, PeerTls,
+    client::{self, ClientContext},
+    counters::{LiveCounters, increment},
     error::{ListenSnafu, PeerError, ThreadSnafu, TlsSnafu},
     generated::peer_server::PeerServer,
     server::Server,
@@ -27,34 +27,34 @@
     Certificate, ClientTlsConfig, Identity, ServerTlsConfig, server::TcpIncoming,
 };
 
-/// How many messages wait in each direction between the threads. A fleet of a
-/// thousand sends a node some tens a second; this is room for a long pause of
+/// Maximum number of messages that wait between the threads, in each direction. In a fleet
+/// of a thousand, an instance receives some tens a second, so this outlasts a long pause of
 /// the control thread.
-const RING: usize = 4_096;
-/// How long the first answer of a request may take; the handler only queues.
-const SERVE_LIMIT: Duration = Duration::from_secs(2);
+const CHANNEL_CAPACITY: usize = 4_096;
+/// Timeout of the request handler, which only queues messages.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Starts the control connections.
 #[derive(Debug)]
 pub struct Peers;
 
-/// The control thread's end. Dropping it ends the connections.
+/// The control thread's handle to the connections. Dropping it closes them.
 #[derive(Debug)]
 pub struct PeerHandle {
     addr: SocketAddrV4,
     outbox: Sender<(SocketAddrV4, Message)>,
     inbox: Receiver<Message>,
-    counters: Arc<Live>,
+    counters: Arc<LiveCounters>,
     _stop: oneshot::Sender<()>,
 }
 
 impl Peers {
-    /// Listens and starts the thread.
+    /// Binds the address and starts the thread.
     ///
     /// # Errors
     ///
-    /// If the address can't be listened at, the keys are unusable, or the
-    /// thread can't be started.
+    /// Fails if the address can't be bound, the keys are unusable, or the thread can't be
+    /// started.
     pub fn start(settings: PeerSettings) -> Result<PeerHandle, PeerError> {
         let addr = settings.listen;
         let listener = TcpListener::bind(addr).context(ListenSnafu { addr })?;
@@ -63,23 +63,24 @@
             SocketAddr::V4(bound) => bound,
             SocketAddr::V6(_) => addr,
         };
-        let counters = Arc::new(Live::default());
-        let (inbox_in, inbox) = mpsc::sync_channel(RING);
-        let (outbox, outbox_out) = channel(RING);
+        let counters = Arc::new(LiveCounters::default());
+        let (inbox_sender, inbox) = mpsc::sync_channel(CHANNEL_CAPACITY);
+        let (outbox, outbox_receiver) = channel(CHANNEL_CAPACITY);
         let (stop, stopped) = oneshot::channel::<()>();
         let server =
-            Server { site: settings.site.clone(), inbox: inbox_in, counters: counters.clone() };
-        let builder = builder(settings.tls.as_ref())?;
-        // Twice the limit, so that what is somewhat too large is read and counted.
-        let service = PeerServer::new(server).max_decoding_message_size(2 * MAX_BATCH);
+            Server { site: settings.site.clone(), inbox: inbox_sender, counters: counters.clone() };
+        let builder = server_builder(settings.tls.as_ref())?;
+        // Twice the maximum, so that a batch slightly above it is read and counted.
+        let service = PeerServer::new(server).max_decoding_message_size(2 * MAX_BATCH_BYTES);
         let tls = settings.tls.as_ref().map(client_tls);
-        let caller = Arc::new(Caller { site: settings.site, tls, counters: counters.clone() });
+        let context =
+            Arc::new(ClientContext { site: settings.site, tls, counters: counters.clone() });
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()
             .context(ThreadSnafu)?;
         let run = move || {
-            runtime.block_on(serve(listener, builder, service, caller, outbox_out, stopped))
+            runtime.block_on(serve(listener, builder, service, context, outbox_receiver, stopped))
         };
         thread::Builder::new().name("peers".into()).spawn(run).context(ThreadSnafu)?;
         Ok(PeerHandle { addr: bound, outbox, inbox, counters, _stop: stop })
@@ -90,11 +91,11 @@
     listener: TcpListener,
     builder: tonic::transport::Server,
     service: PeerServer<Server>,
-    caller: Arc<Caller>,
+    context: Arc<ClientContext>,
     outbox: tokio::sync::mpsc::Receiver<(SocketAddrV4, Message)>,
     stopped: oneshot::Receiver<()>,
 ) {
-    tokio::spawn(client::dispatch(caller, outbox));
+    tokio::spawn(client::dispatch(context, outbox));
     let listener = match tokio::net::TcpListener::from_std(listener) {
         Ok(listener) => listener,
         Err(e) => {
@@ -111,8 +112,8 @@
     }
 }
 
-fn builder(tls: Option<&PeerTls>) -> Result<tonic::transport::Server, PeerError> {
-    let builder = tonic::transport::Server::builder().timeout(SERVE_LIMIT);
+fn server_builder(tls: Option<&PeerTls>) -> Result<tonic::transport::Server, PeerError> {
+    let builder = tonic::transport::Server::builder().timeout(SERVE_TIMEOUT);
     let Some(tls) = tls else { return Ok(builder) };
     let config = ServerTlsConfig::new()
         .identity(Identity::from_pem(&tls.certificate, &tls.key))
@@ -128,30 +129,30 @@
 }
 
 impl PeerHandle {
-    /// Where peers reach this instance.
+    /// Returns the address at which this instance accepts connections.
     pub fn addr(&self) -> SocketAddrV4 {
         self.addr
     }
 
-    /// Sends `message` to the instance at `to`, if there is room and it is
-    /// reached; it is not told whether.
+    /// Sends `message` to the instance at `to`. If the channel is full or the instance can't
+    /// be reached, the message is dropped without an error.
     pub fn send(&self, to: SocketAddrV4, message: Message) {
         if self.outbox.try_send((to, message)).is_err() {
-            bump(&self.counters.dropped);
+            increment(&self.counters.dropped);
         }
     }
 
-    /// The next message that a peer sent, if there is one.
+    /// Returns the next received message, if any.
     pub fn try_recv(&self) -> Option<Message> {
         self.inbox.try_recv().ok()
     }
 
-    /// The next message that a peer sent, waiting for it up to `limit`.
-    pub fn recv_timeout(&self, limit: Duration) -> Option<Message> {
-        self.inbox.recv_timeout(limit).ok()
+    /// Returns the next received message, and waits for one up to `timeout`.
+    pub fn recv_timeout(&self, timeout: Duration) -> Option<Message> {
+        self.inbox.recv_timeout(timeout).ok()
     }
 
-    /// What was sent, received, dropped and refused until now.
+    /// Returns the current values of the counters.
     pub fn counters(&self) -> Counters {
         self.counters.read()
     }
--- a/targets/tests/test_verdict.rs
+++ b/targets/tests/test_verdict.rs
@@ -1,8 +1,10 @@
-use medlarspur_target::{Judge, Outcome, Verdict};
+//! Verdicts on a target's health.
+
+use medlarspur_target::{HealthTracker, HealthVerdict, Outcome};
 use proptest::prelude::*;
 
-fn observe(judge: &mut Judge, outcomes: &[Outcome]) -> Vec<Option<Verdict>> {
-    outcomes.iter().map(|&it| judge.observe(it)).collect()
+fn record(tracker: &mut HealthTracker, outcomes: &[Outcome]) -> Vec<Option<HealthVerdict>> {
+    outcomes.iter().map(|&it| tracker.record(it)).collect()
 }
 
 fn any_outcome() -> impl Strategy<Value = Outcome> {
@@ -15,75 +17,74 @@
 }
 
 #[test]
-fn the_first_good_answer_is_enough_for_a_start() {
-    let mut judge = Judge::default();
+fn first_good_answer_suffices_for_a_verdict() {
+    let mut tracker = HealthTracker::default();
 
-    assert_eq!(judge.observe(Outcome::Healthy), Some(Verdict::Healthy));
+    assert_eq!(tracker.record(Outcome::Healthy), Some(HealthVerdict::Healthy));
 }
 
 #[test]
-fn without_good_answers_there_is_no_verdict_before_the_third() {
-    let mut judge = Judge::default();
+fn three_bad_answers_are_needed_for_a_first_verdict() {
+    let mut tracker = HealthTracker::default();
 
-    let verdicts = observe(&mut judge, &[Outcome::Refused, Outcome::Refused, Outcome::Refused]);
+    let verdicts = record(&mut tracker, &[Outcome::Refused, Outcome::Refused, Outcome::Refused]);
 
-    assert_eq!(verdicts, [None, None, Some(Verdict::Refused)]);
+    assert_eq!(verdicts, [None, None, Some(HealthVerdict::Refused)]);
 }
 
-/// A health endpoint answers too late now and then, as under a collection of
-/// garbage. Moving work away for one such answer would overrun the others and
-/// callers would wait there.
+/// Guards against moving work away because of a few late answers, for example during a garbage
+/// collection: the other targets would be overloaded and callers would wait there.
 #[test]
-fn one_or_two_bad_answers_change_nothing() {
-    let mut judge = Judge::default();
+fn two_bad_answers_do_not_change_the_verdict() {
+    let mut tracker = HealthTracker::default();
     let (good, late) = (Outcome::Healthy, Outcome::Unreachable);
 
     let verdicts =
-        observe(&mut judge, &[good, late, late, good, good, good, late, good, good, late]);
+        record(&mut tracker, &[good, late, late, good, good, good, late, good, good, late]);
 
-    assert!(verdicts.iter().all(|it| *it == Some(Verdict::Healthy)));
+    assert!(verdicts.iter().all(|it| *it == Some(HealthVerdict::Healthy)));
 }
 
-/// An endpoint that misleads alternates between good and bad. Following each
-/// answer, new work would come and go with it and all others would swing too.
+/// Guards against following each answer of an endpoint that alternates between good and bad: new
+/// work would move with each answer, and the load of all other targets would oscillate too.
 #[test]
-fn an_alternating_endpoint_changes_the_verdict_at_most_once() {
-    let mut judge = Judge::default();
+fn alternating_endpoint_changes_the_verdict_at_most_once() {
+    let mut tracker = HealthTracker::default();
     let outcomes: Vec<_> =
         (0..100).map(|ix| [Outcome::Healthy, Outcome::Unhealthy][ix % 2]).collect();
 
-    let verdicts = observe(&mut judge, &outcomes);
+    let verdicts = record(&mut tracker, &outcomes);
 
     let changes = verdicts.windows(2).filter(|it| it[0] != it[1]).count();
     assert!(changes <= 1, "{changes}");
 }
 
 #[test]
-fn a_bad_target_is_good_again_after_four_good_answers_of_five() {
-    let mut judge = Judge::default();
-    observe(&mut judge, &[Outcome::Healthy; 5]);
-    observe(&mut judge, &[Outcome::Refused; 5]);
+fn bad_target_recovers_after_four_good_answers_of_five() {
+    let mut tracker = HealthTracker::default();
+    record(&mut tracker, &[Outcome::Healthy; 5]);
+    record(&mut tracker, &[Outcome::Refused; 5]);
 
-    let verdicts = observe(&mut judge, &[Outcome::Healthy; 4]);
+    let verdicts = record(&mut tracker, &[Outcome::Healthy; 4]);
 
-    let refused = Some(Verdict::Refused);
-    assert_eq!(verdicts, [refused, refused, refused, Some(Verdict::Healthy)]);
+    let refused = Some(HealthVerdict::Refused);
+    assert_eq!(verdicts, [refused, refused, refused, Some(HealthVerdict::Healthy)]);
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn five_like_answers_settle_it_whatever_was_before(
+    fn five_equal_answers_decide_the_verdict(
         before in prop::collection::vec(any_outcome(), 0..50),
         last in any_outcome(),
     ) {
-        let mut judge = Judge::default();
-        observe(&mut judge, &before);
+        let mut tracker = HealthTracker::default();
+        record(&mut tracker, &before);
 
-        let verdicts = observe(&mut judge, &[last; 5]);
+        let verdicts = record(&mut tracker, &[last; 5]);
 
-        let mut fresh = Judge::default();
-        prop_assert_eq!(verdicts[4], observe(&mut fresh, &[last; 5])[4]);
+        let mut fresh = HealthTracker::default();
+        prop_assert_eq!(verdicts[4], record(&mut fresh, &[last; 5])[4]);
     }
 }
--- a/testutils/src/bin/standin.rs
+++ b/testutils/src/bin/standin.rs
@@ -1,7 +1,7 @@
-//! The stand-ins as processes: platform, fabric, targets and callers.
+//! Runs a stand-in as a process: platform, fabric, targets or callers.
 //!
-//! Each prints one line of JSON with its addresses and runs until it is ended;
-//! the callers run for their seconds and print their report.
+//! Platform, fabric and targets print their addresses as one line of JSON and run
+//! until they are ended. Callers run for a number of seconds and print their report.
 
 use medlarspur_lib::{bundle::Class, time::Millis};
 use medlarspur_testutils::{
@@ -85,7 +85,7 @@
 
 use flags::MedlarspurStandinCmd;
 
-/// How long work under way is awaited at the end.
+/// Maximum time to wait for work in progress at the end.
 const GRACE: Duration = Duration::from_secs(10);
 
 fn main() -> Result<(), Box<dyn Error>> {
@@ -98,12 +98,12 @@
     }
 }
 
-fn any() -> SocketAddrV4 {
+fn any_port() -> SocketAddrV4 {
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0)
 }
 
 fn platform(flags: &flags::Platform) -> Result<(), Box<dyn Error>> {
-    let platform = Platform::start(flags.listen.unwrap_or(any()))?;
+    let platform = Platform::start(flags.listen.unwrap_or(any_port()))?;
     println!("{}", serde_json::json!({ "platform": platform.addr }));
     run()
 }
@@ -111,8 +111,8 @@
 fn fabric(flags: &flags::Fabric) -> Result<(), Box<dyn Error>> {
     let mut settings = fabric::Settings::new(flags.mode.unwrap_or(Mode::Spray));
     settings.platform = Some(flags.platform);
-    settings.callers = flags.callers.unwrap_or(any());
-    settings.returns = flags.returns.unwrap_or(any());
+    settings.callers = flags.callers.unwrap_or(any_port());
+    settings.returns = flags.returns.unwrap_or(any_port());
     settings.delay = flags.delay.map_or(settings.delay, Millis);
     settings.lag = flags.lag.map_or(settings.lag, Millis);
     let fabric = Fabric::start(&settings)?;
@@ -132,7 +132,7 @@
         let name = format!("{}-{number}", flags.service);
         let mut profile = Profile::new(&name, &flags.service, flags.address, &ports);
         profile.slots = flags.slots.unwrap_or(profile.slots);
-        profile.work = flags.work.map_or(profile.work, Millis);
+        profile.work_time = flags.work.map_or(profile.work_time, Millis);
         profile
     });
     let targets = Targets::start(profiles.collect(), flags.fabric)?;
@@ -154,7 +154,7 @@
     Ok(())
 }
 
-/// Runs until somebody ends the process.
+/// Waits until the process is ended.
 fn run() -> Result<(), Box<dyn Error>> {
     loop {
         thread::park();
--- a/testutils/src/bundles.rs
+++ b/testutils/src/bundles.rs
@@ -1,4 +1,4 @@
-//! Checked bundles for tests, built without text.
+//! Builds bundles for tests, without writing and parsing text.
 
 use medlarspur_lib::{
     bundle::{Bundle, Class, Limits, Port, Protocol, Seed, Service, Target, TargetState},
@@ -10,16 +10,16 @@
     sync::Arc,
 };
 
-/// The address and port of the first service's feeds.
+/// Address and port of the first service's feeds.
 pub const FEEDS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 1), 7001);
-/// The address and port of the first service's requests.
+/// Address and port of the first service's requests.
 pub const REQUESTS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 1), 7002);
-/// The address and port of the second service's uploads.
+/// Address and port of the second service's uploads.
 pub const UPLOADS: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::new(10, 70, 0, 2), 7003);
 
-/// A site with two services, like the two first sites.
+/// Builds the bundles of a site with two services, like the first two sites.
 #[derive(Debug, Clone)]
-pub struct Site {
+pub struct SiteBuilder {
     version: u64,
     targets: [usize; 2],
     leaving: Vec<String>,
@@ -28,10 +28,10 @@
     keepalive: Millis,
 }
 
-impl Site {
-    /// A site with this many targets for the first and the second service.
-    pub fn new(first: usize, second: usize) -> Site {
-        Site {
+impl SiteBuilder {
+    /// Creates a site with `first` targets of the first service and `second` of the second.
+    pub fn new(first: usize, second: usize) -> SiteBuilder {
+        SiteBuilder {
             version: 1,
             targets: [first, second],
             leaving: Vec::new(),
@@ -41,41 +41,41 @@
         }
     }
 
-    /// The next version, in which a target leaves.
-    pub fn leaving(mut self, name: &str) -> Site {
+    /// Returns the next version, in which a target is leaving.
+    pub fn leaving(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.leaving.push(name.to_owned());
         self
     }
 
-    /// The next version, in which a target is not named any more.
-    pub fn removed(mut self, name: &str) -> Site {
+    /// Returns the next version, in which a target is no longer listed.
+    pub fn removed(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.removed.push(name.to_owned());
         self
     }
 
-    /// The next version, in which a target that left takes work again.
-    pub fn returning(mut self, name: &str) -> Site {
+    /// Returns the next version, in which a leaving target is active again.
+    pub fn returning(mut self, name: &str) -> SiteBuilder {
         self.version += 1;
         self.leaving.retain(|other| other != name);
         self
     }
 
-    /// The next version, in which each service has one target more.
-    pub fn grown(mut self) -> Site {
+    /// Returns the next version, in which each service has one more target.
+    pub fn grown(mut self) -> SiteBuilder {
         self.version += 1;
         self.targets = self.targets.map(|count| count + 1);
         self
     }
 
-    /// Turns callers away with this text.
-    pub fn refusal(mut self, text: &str) -> Site {
+    /// Sets the text for refused callers.
+    pub fn refusal(mut self, text: &str) -> SiteBuilder {
         self.refusal = Some(text.into());
         self
     }
 
-    /// Its bundle.
+    /// Builds the bundle.
     pub fn bundle(&self) -> Arc<Bundle> {
         let ports = |numbers: &[(u16, Class)]| {
             let port = |&(number, class)| Port { number, protocol: Protocol::Tcp, class };
@@ -96,12 +96,18 @@
         })
     }
 
-    fn service(&self, at: usize, name: &str, address: Ipv4Addr, ports: Vec<Port>) -> Arc<Service> {
-        let names = (0..self.targets[at]).map(|ix| format!("{name}-{ix}"));
+    fn service(
+        &self,
+        service_ix: usize,
+        name: &str,
+        address: Ipv4Addr,
+        ports: Vec<Port>,
+    ) -> Arc<Service> {
+        let names = (0..self.targets[service_ix]).map(|ix| format!("{name}-{ix}"));
         let targets = names
             .enumerate()
             .filter(|(_, name)| !self.removed.contains(name))
-            .map(|(ix, name)| self.target(at, ix, &name))
+            .map(|(ix, name)| self.target(service_ix, ix, &name))
             .collect();
         Arc::new(Service {
             name: ServiceName::new(name),
@@ -115,11 +121,11 @@
         })
     }
 
-    fn target(&self, at: usize, ix: usize, name: &str) -> Target {
+    fn target(&self, service_ix: usize, ix: usize, name: &str) -> Target {
         let leaves = self.leaving.iter().any(|other| other == name);
         Target {
             name: TargetName::new(name),
-            address: SocketAddrV4::new(Ipv4Addr::new(127, 8, at as u8, ix as u8), 5555),
+            address: SocketAddrV4::new(Ipv4Addr::new(127, 8, service_ix as u8, ix as u8), 5555),
             domain: DomainName::new(&format!("d{}", ix % 4)),
             weight: 100,
             slots: 2,
--- a/testutils/src/caller.rs
+++ b/testutils/src/caller.rs
@@ -1,12 +1,12 @@
-//! Many callers over one UDP socket, with steady streams of work.
+//! Callers that share one UDP socket and start work at steady rates.
 
 use crate::{
-    client::{Client, Patience},
+    client::{Client, Timeouts},
     clock::Clock,
     fabric::lock,
     report::Report,
     task::Work,
-    udp::Inbox,
+    udp::BatchReceiver,
 };
 use medlarspur_lib::{bundle::Class, collections::Map, time::Millis};
 use std::{
@@ -20,64 +20,64 @@
     time::Duration,
 };
 
-/// A steady stream of work of one kind.
+/// A stream of similar work at a steady rate.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct Stream {
     /// The service that has to answer.
     pub service: String,
-    /// The kind of work.
+    /// Class of the work.
     pub class: Class,
-    /// Where the service is reached.
+    /// Address and port of the service.
     pub remote: SocketAddrV4,
-    /// How much work starts a second.
+    /// Pieces of work started per second.
     pub rate: f64,
-    /// How much work starts in all; 0 sets no end.
+    /// Total number of pieces of work; 0 for no limit.
     pub total: u64,
-    /// The bytes of an upload.
+    /// Size of an upload in bytes.
     pub size: usize,
-    /// How long a feed is held, in milliseconds.
+    /// Time in milliseconds after which the caller closes a feed.
     pub hold: u64,
 }
 
-/// Who calls.
+/// Settings of the callers.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where the fabric takes callers' packets.
+    /// Address of the fabric for callers' packets.
     pub fabric: SocketAddrV4,
-    /// The first address of the callers; the others follow it.
+    /// Address of the first caller; the others follow in steps of 257.
     pub first: Ipv4Addr,
-    /// How many addresses call.
+    /// Number of callers, each with its own address.
     pub count: u32,
-    /// How long they wait.
-    pub patience: Patience,
+    /// Timeouts of the callers.
+    pub timeouts: Timeouts,
 }
 
 impl Settings {
-    /// A few callers with ordinary patience.
+    /// Returns the settings of 32 callers with default timeouts.
     pub fn new(fabric: SocketAddrV4) -> Self {
         let first = Ipv4Addr::new(10, 64, 0, 1);
-        Self { fabric, first, count: 32, patience: Patience::default() }
+        Self { fabric, first, count: 32, timeouts: Timeouts::default() }
     }
 }
 
-/// The step from one caller's address to the next: ordinary callers come from
-/// networks of their own, and what one network may take is limited.
-const STRIDE: u32 = 257;
+/// Step from one caller's address to the next. It puts the callers into different
+/// networks, as real callers are, because a limit applies to each network.
+const ADDRESS_STRIDE: u32 = 257;
 
-/// Work goes on being opened.
+/// Phase in which work is started.
 const OPENING: u8 = 0;
-/// No more work is opened; feeds go on.
+/// Phase in which no work is started and feeds stay open.
 const HOLDING: u8 = 1;
-/// Feeds are ended and the rest is awaited.
+/// Phase in which feeds are closed and other work is finished.
 const ENDING: u8 = 2;
 
-/// How long the socket is waited for at most.
+/// Receive timeout of the socket.
 const TICK: Duration = Duration::from_millis(1);
-/// How many feeds of a caller end in one millisecond. Thousands that end at
-/// once overflow the sockets on their way, and their repeats do so again.
-const HANG_UPS: usize = 2;
+/// Maximum number of feeds closed in one millisecond. Thousands closed at once
+/// would overflow the sockets on their path, and so would their retransmissions.
+const MAX_CLOSED_FEEDS: usize = 2;
 
-/// Callers that run in a thread of their own.
+/// Callers that run in a thread.
 pub struct Callers {
     shared: Arc<Shared>,
     thread: JoinHandle<()>,
@@ -92,84 +92,92 @@
 }
 
 impl Callers {
-    /// Starts calling.
+    /// Starts the callers.
     pub fn start(settings: Settings, streams: Vec<Stream>) -> io::Result<Self> {
         let socket = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0))?;
         socket.connect(settings.fabric)?;
         let shared = Arc::new(Shared::default());
-        let mut crowd = Crowd::new(&settings, streams, Arc::clone(&shared));
-        let thread = thread::spawn(move || crowd.run(Inbox::new(socket)));
+        let mut caller_loop = CallerLoop::new(&settings, streams, Arc::clone(&shared));
+        let thread = thread::spawn(move || caller_loop.run(BatchReceiver::new(socket)));
         Ok(Self { shared, thread })
     }
 
-    /// What the callers have seen so far.
+    /// Returns the results so far.
     pub fn report(&self) -> Report {
-        lock(&self.shared.report).summed()
+        lock(&self.shared.report).with_totals()
     }
 
-    /// How much work is under way.
+    /// Number of pieces of work in progress.
     pub fn pending(&self) -> usize {
         self.shared.pending.load(Ordering::Relaxed)
     }
 
-    /// Opens nothing more; what is open goes on.
+    /// Stops starting work; work in progress continues.
     pub fn hold(&self) {
         self.shared.phase.store(HOLDING, Ordering::Relaxed);
     }
 
-    /// Ends the feeds, awaits the rest for `grace` and reports.
+    /// Closes the feeds, waits up to `grace` for the other work and returns the results.
     pub fn stop(self, grace: Duration) -> Report {
         self.shared.phase.store(ENDING, Ordering::Relaxed);
         let clock = Clock::start();
-        // The first ticks settle the count of what is under way.
+        // The first ticks bring the count of work in progress up to date.
         thread::sleep(10 * TICK);
         while self.pending() > 0 && clock.now() < grace.into() {
             thread::sleep(TICK);
         }
         self.shared.stopped.store(true, Ordering::Relaxed);
-        // A thread that panicked has nothing left to say.
+        // If the thread panicked, the results until then are returned.
         let _ = self.thread.join();
-        lock(&self.shared.report).summed()
+        lock(&self.shared.report).with_totals()
     }
 }
 
-/// The callers as their thread has them.
-struct Crowd {
+/// State of the callers' thread.
+struct CallerLoop {
     clients: Vec<Client>,
-    homes: Map<Ipv4Addr, usize>,
+    by_addr: Map<Ipv4Addr, usize>,
     streams: Vec<(Stream, u64)>,
     shared: Arc<Shared>,
     clock: Clock,
-    turn: usize,
-    ended: Millis,
+    current: usize,
+    last_closing: Millis,
 }
 
-impl Crowd {
+impl CallerLoop {
     fn new(settings: &Settings, streams: Vec<Stream>, shared: Arc<Shared>) -> Self {
         let addrs = (0..settings.count)
-            .map(|ix| Ipv4Addr::from_bits(settings.first.to_bits() + ix * STRIDE));
-        let homes = addrs.clone().enumerate().map(|(ix, addr)| (addr, ix)).collect();
-        let clients = addrs.map(|addr| Client::new(addr, settings.patience)).collect();
+            .map(|ix| Ipv4Addr::from_bits(settings.first.to_bits() + ix * ADDRESS_STRIDE));
+        let by_addr = addrs.clone().enumerate().map(|(ix, addr)| (addr, ix)).collect();
+        let clients = addrs.map(|addr| Client::new(addr, settings.timeouts)).collect();
         let streams = streams.into_iter().map(|stream| (stream, 0)).collect();
-        Self { clients, homes, streams, shared, clock: Clock::start(), turn: 0, ended: Millis(0) }
+        Self {
+            clients,
+            by_addr,
+            streams,
+            shared,
+            clock: Clock::start(),
+            current: 0,
+            last_closing: Millis(0),
+        }
     }
 
-    fn run(&mut self, mut inbox: Inbox) {
+    fn run(&mut self, mut receiver: BatchReceiver) {
         while !self.shared.stopped.load(Ordering::Relaxed) {
             let now = self.clock.now();
             match self.shared.phase.load(Ordering::Relaxed) {
                 OPENING => self.open(now),
-                ENDING if now > self.ended => self.end(now),
+                ENDING if now > self.last_closing => self.close_some_feeds(now),
                 _ => {}
             }
-            self.poll(now, &inbox.socket);
-            if inbox.take(TICK, |packet| self.receive(packet)).is_err() {
+            self.poll(now, &receiver.socket);
+            if receiver.receive(TICK, |packet| self.receive(packet)).is_err() {
                 return;
             }
         }
     }
 
-    /// Starts what the streams' rates say is due by now.
+    /// Starts the work that is due at `now` by the rates of the streams.
     fn open(&mut self, now: Millis) {
         for ix in 0..self.streams.len() {
             let (stream, started) = &self.streams[ix];
@@ -192,29 +200,29 @@
             size: stream.size,
             hold: Millis(stream.hold),
         };
-        lock(&self.shared.report).open(&work.service, work.class);
-        self.turn = (self.turn + 1) % self.clients.len();
-        self.clients[self.turn].open(now, work);
+        lock(&self.shared.report).record_start(&work.service, work.class);
+        self.current = (self.current + 1) % self.clients.len();
+        self.clients[self.current].open(now, work);
     }
 
-    /// Ends a few feeds of the next caller.
-    fn end(&mut self, now: Millis) {
-        self.turn = (self.turn + 1) % self.clients.len();
-        self.clients[self.turn].hang_up(HANG_UPS);
-        self.ended = now;
+    /// Closes a few feeds of the next caller.
+    fn close_some_feeds(&mut self, now: Millis) {
+        self.current = (self.current + 1) % self.clients.len();
+        self.clients[self.current].close_feeds(MAX_CLOSED_FEEDS);
+        self.last_closing = now;
     }
 
     fn poll(&mut self, now: Millis, socket: &UdpSocket) {
         for client in &mut self.clients {
-            if client.next().is_none_or(|due| due > now) {
+            if client.next_poll().is_none_or(|due| due > now) {
                 continue;
             }
             for packet in client.poll(now) {
                 // A packet that can't be sent is lost, as in a real network.
                 let _ = socket.send(&packet);
             }
-            for outcome in client.outcomes() {
-                lock(&self.shared.report).close(outcome);
+            for outcome in client.take_outcomes() {
+                lock(&self.shared.report).record_end(outcome);
             }
         }
         let pending = self.clients.iter().map(Client::pending).sum();
@@ -222,9 +230,9 @@
     }
 
     fn receive(&mut self, packet: &[u8]) {
-        let home =
-            crate::packet::Ends::parse(packet).and_then(|ends| self.homes.get(ends.dst.ip()));
-        if let Some(&ix) = home {
+        let position = crate::packet::PacketHeader::parse(packet)
+            .and_then(|header| self.by_addr.get(header.dst.ip()));
+        if let Some(&ix) = position {
             self.clients[ix].receive(packet);
         }
     }
--- a/testutils/src/fabric.rs
+++ b/testutils/src/fabric.rs
@@ -1,14 +1,15 @@
-//! The fabric over UDP: callers' packets to instances, answers to callers.
+//! A fabric over UDP, which carries callers' packets to instances and answers to
+//! callers.
 //!
-//! Two sockets stand for it. Callers send to `callers`, which learns where
-//! each source address lives; targets and instances send to `returns`.
+//! It has two sockets. Callers send to `callers`, where the fabric learns the
+//! socket behind each source address. Targets and instances send to `returns`.
 
 use crate::{
     clock::Clock,
-    list::{Listed, ListedState},
-    packet::Ends,
+    list::{ListedInstance, ListedState},
+    packet::PacketHeader,
     platform,
-    spread::{Mode, Spread},
+    spread::{Mode, Picker},
 };
 use medlarspur_lib::{
     collections::{Map, Set},
@@ -26,27 +27,29 @@
     time::Duration,
 };
 
-/// How a fabric behaves.
+/// Settings of a fabric.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Where callers send; port 0 lets the system choose.
+    /// Address for callers' packets; with port 0 the operating system chooses a port.
     pub callers: SocketAddrV4,
-    /// Where targets and instances send their answers.
+    /// Address for answers of targets and instances.
     pub returns: SocketAddrV4,
-    /// How packets are spread.
+    /// Method by which packets are spread over instances.
     pub mode: Mode,
-    /// Makes the spread repeat itself.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// How long each packet takes in each direction.
+    /// Delay of each packet, in each direction.
     pub delay: Millis,
-    /// How long a leaving instance still gets packets.
+    /// Time in which a leaving instance still gets packets.
     pub lag: Millis,
-    /// The platform to read the list from, if it isn't set directly.
+    /// Platform to read the list of instances from; `None` if the list is set by
+    /// [`Fabric::set_list`].
     pub platform: Option<SocketAddrV4>,
 }
 
 impl Settings {
-    /// A fabric without delay on ports of the system's choice.
+    /// Returns the settings of a fabric without delay, on ports that the operating
+    /// system chooses.
     pub fn new(mode: Mode) -> Self {
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         Self {
@@ -61,18 +64,18 @@
     }
 }
 
-/// How often the list is read; real lists lag by about as much.
-const LIST_EVERY: Duration = Duration::from_millis(200);
-/// How long a socket waits before it looks for delayed packets.
+/// Time between two reads of the list; lists of real fabrics lag by about as much.
+const LIST_INTERVAL: Duration = Duration::from_millis(200);
+/// Receive timeout while packets are delayed.
 const TICK: Duration = Duration::from_millis(1);
-/// The largest datagram.
-const LARGEST: usize = 65_536;
+/// Maximum size of a datagram in bytes.
+const MAX_DATAGRAM: usize = 65_536;
 
-/// A running fabric. Its threads end with the process.
+/// A running fabric. Its threads run until the process ends.
 pub struct Fabric {
-    /// Where callers send.
+    /// Address for callers' packets.
     pub callers: SocketAddrV4,
-    /// Where targets and instances send their answers.
+    /// Address for answers of targets and instances.
     pub returns: SocketAddrV4,
     shared: Arc<Shared>,
 }
@@ -80,13 +83,13 @@
 struct Shared {
     clock: Clock,
     routes: Mutex<Routes>,
-    homes: Mutex<Map<Ipv4Addr, SocketAddr>>,
+    caller_sockets: Mutex<Map<Ipv4Addr, SocketAddr>>,
     lost: AtomicU64,
 }
 
 #[derive(Default)]
 struct Routes {
-    entries: Vec<Listed>,
+    entries: Vec<ListedInstance>,
     leaving: Map<String, Millis>,
     blocked: Set<String>,
 }
@@ -97,30 +100,30 @@
         let callers = UdpSocket::bind(settings.callers)?;
         let returns = UdpSocket::bind(settings.returns)?;
         let fabric = Self {
-            callers: v4(callers.local_addr()?)?,
-            returns: v4(returns.local_addr()?)?,
+            callers: to_ipv4(callers.local_addr()?)?,
+            returns: to_ipv4(returns.local_addr()?)?,
             shared: Arc::new(Shared {
                 clock: Clock::start(),
                 routes: Mutex::default(),
-                homes: Mutex::default(),
+                caller_sockets: Mutex::default(),
                 lost: AtomicU64::new(0),
             }),
         };
         let (inward, outward) = (Arc::clone(&fabric.shared), Arc::clone(&fabric.shared));
         let (answers, delay, lag) = (callers.try_clone()?, settings.delay, settings.lag);
-        let spread = Spread::new(settings.mode, settings.seed);
+        let picker = Picker::new(settings.mode, settings.seed);
         let out = returns.try_clone()?;
-        thread::spawn(move || inward.carry_in(&callers, &out, spread, delay, lag));
-        thread::spawn(move || outward.carry_out(&returns, &answers, delay));
+        thread::spawn(move || inward.forward_to_instances(&callers, &out, picker, delay, lag));
+        thread::spawn(move || outward.return_to_callers(&returns, &answers, delay));
         if let Some(platform) = settings.platform {
             let shared = Arc::clone(&fabric.shared);
-            thread::spawn(move || shared.follow(platform));
+            thread::spawn(move || shared.poll_list(platform));
         }
         Ok(fabric)
     }
 
-    /// Sets the list directly.
-    pub fn set_list(&self, entries: Vec<Listed>) {
+    /// Sets the list of instances.
+    pub fn set_list(&self, entries: Vec<ListedInstance>) {
         self.shared.set_list(entries);
     }
 
@@ -130,14 +133,14 @@
         lock(&self.shared.routes).blocked = names.collect();
     }
 
-    /// How many packets found no instance or no caller.
+    /// Number of packets that were dropped because no instance or caller was known.
     pub fn lost(&self) -> u64 {
         self.shared.lost.load(Ordering::Relaxed)
     }
 }
 
 impl Shared {
-    fn set_list(&self, entries: Vec<Listed>) {
+    fn set_list(&self, entries: Vec<ListedInstance>) {
         let now = self.clock.now();
         let mut routes = lock(&self.routes);
         let leaving = entries.iter().filter(|entry| entry.state == ListedState::Leaving);
@@ -147,73 +150,76 @@
         routes.entries = entries;
     }
 
-    /// Reads the list again and again; the last one holds while it can't.
-    fn follow(&self, platform: SocketAddrV4) {
+    /// Reads the list periodically. If a read fails, the last list stays in use.
+    fn poll_list(&self, platform: SocketAddrV4) {
         loop {
             if let Ok(entries) = platform::read_list(platform) {
                 self.set_list(entries);
             }
-            thread::sleep(LIST_EVERY);
+            thread::sleep(LIST_INTERVAL);
         }
     }
 
-    fn carry_in(
+    fn forward_to_instances(
         &self,
         callers: &UdpSocket,
         out: &UdpSocket,
-        mut spread: Spread,
+        mut picker: Picker,
         delay: Millis,
         lag: Millis,
     ) {
-        let mut line = Line::new(delay);
+        let mut line = DelayLine::new(delay);
         line.run(callers, out, &self.clock, |packet, from| {
-            let ends = Ends::parse(packet)?;
-            lock(&self.homes).insert(*ends.src.ip(), from);
+            let header = PacketHeader::parse(packet)?;
+            lock(&self.caller_sockets).insert(*header.src.ip(), from);
             let routes = lock(&self.routes);
-            let open = routes.open(self.clock.now(), lag);
-            let names = open.iter().map(|entry| &entry.name).collect::<Vec<_>>();
-            let Some(ix) = spread.pick(&names, &ends) else {
+            let receivers = routes.receivers(self.clock.now(), lag);
+            let names = receivers.iter().map(|entry| &entry.name).collect::<Vec<_>>();
+            let Some(ix) = picker.pick(&names, &header) else {
                 self.lost.fetch_add(1, Ordering::Relaxed);
                 return None;
             };
-            Some(SocketAddr::V4(open[ix].packets))
+            Some(SocketAddr::V4(receivers[ix].packets))
         });
     }
 
-    fn carry_out(&self, returns: &UdpSocket, out: &UdpSocket, delay: Millis) {
-        let mut line = Line::new(delay);
+    fn return_to_callers(&self, returns: &UdpSocket, out: &UdpSocket, delay: Millis) {
+        let mut line = DelayLine::new(delay);
         line.run(returns, out, &self.clock, |packet, _| {
-            let ends = Ends::parse(packet)?;
-            let home = lock(&self.homes).get(ends.dst.ip()).copied();
-            if home.is_none() {
+            let header = PacketHeader::parse(packet)?;
+            let destination = lock(&self.caller_sockets).get(header.dst.ip()).copied();
+            if destination.is_none() {
                 self.lost.fetch_add(1, Ordering::Relaxed);
             }
-            home
+            destination
         });
     }
 }
 
 impl Routes {
-    /// The instances that get packets now, in the order of the list.
-    fn open(&self, now: Millis, lag: Millis) -> Vec<&Listed> {
-        let lags = |name| self.leaving.get(name).is_none_or(|&since| now.since(since) < lag);
+    /// Returns the instances that get packets at `now`, in the order of the list.
+    fn receivers(&self, now: Millis, lag: Millis) -> Vec<&ListedInstance> {
+        let within_lag = |name| self.leaving.get(name).is_none_or(|&since| now.since(since) < lag);
         let entries = self.entries.iter();
-        entries.filter(|entry| !self.blocked.contains(&entry.name) && lags(&entry.name)).collect()
+        entries
+            .filter(|entry| !self.blocked.contains(&entry.name) && within_lag(&entry.name))
+            .collect()
     }
 }
 
-/// Packets on their way in one direction, which all take the same time.
-struct Line {
+/// Queue of the packets in one direction, which all have the same delay.
+struct DelayLine {
     delay: Millis,
     queue: VecDeque<(Millis, SocketAddr, Vec<u8>)>,
 }
 
-impl Line {
+impl DelayLine {
     fn new(delay: Millis) -> Self {
         Self { delay, queue: VecDeque::new() }
     }
 
-    /// Carries packets for ever to where `route` says.
+    /// Receives packets and sends each, after the delay, to the address that `route`
+    /// returns. Runs until the socket fails.
     fn run(
         &mut self,
         from: &UdpSocket,
@@ -221,38 +227,43 @@
         clock: &Clock,
         mut route: impl FnMut(&[u8], SocketAddr) -> Option<SocketAddr>,
     ) {
-        let mut buffer = vec![0; LARGEST];
+        let mut buffer = vec![0; MAX_DATAGRAM];
         loop {
-            // With nothing delayed there is no reason to wake up.
+            // No timeout is needed while no packet is delayed.
             let wait = (!self.queue.is_empty()).then_some(TICK);
             if from.set_read_timeout(wait).is_err() {
                 return;
             }
             if let Ok((len, peer)) = from.recv_from(&mut buffer)
-                && let Some(home) = route(&buffer[..len], peer)
+                && let Some(destination) = route(&buffer[..len], peer)
             {
-                self.queue.push_back((clock.now() + self.delay, home, buffer[..len].to_vec()));
+                self.queue.push_back((
+                    clock.now() + self.delay,
+                    destination,
+                    buffer[..len].to_vec(),
+                ));
             }
-            while let Some((_, home, packet)) =
+            while let Some((_, destination, packet)) =
                 self.queue.pop_front_if(|(due, _, _)| *due <= clock.now())
             {
-                // A closed port reports itself on the socket; the packet is lost
-                // as it would be in a real network.
-                let _ = to.send_to(&packet, home);
+                // An earlier packet to a closed port makes a send fail; the packet
+                // is lost, as in a real network.
+                let _ = to.send_to(&packet, destination);
             }
         }
     }
 }
 
-/// The IPv4 form of an address; the stand-ins speak no other.
-pub(crate) fn v4(addr: SocketAddr) -> io::Result<SocketAddrV4> {
+/// Converts an address to IPv4, the only protocol of the stand-ins.
+pub(crate) fn to_ipv4(addr: SocketAddr) -> io::Result<SocketAddrV4> {
     match addr {
         SocketAddr::V4(addr) => Ok(addr),
         SocketAddr::V6(_) => Err(io::ErrorKind::Unsupported.into()),
     }
 }
 
-/// Locks state whose holder cannot leave it half changed.
+/// Locks a mutex, also if a thread panicked while holding it. No holder leaves the
+/// state half changed.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
 }
--- a/testutils/src/site.rs
+++ b/testutils/src/site.rs
@@ -1,14 +1,14 @@
-//! A whole small site: stand-ins in this process, instances in their own.
+//! A small test site: stand-ins in this process, and instances as child processes.
 
 use crate::{
     fabric::{self, Fabric},
     layout::{Layout, ServiceLayout, TargetLayout},
     list::ListedState,
     platform::Platform,
-    process::{Common, Instance, ProcessError},
+    process::{CommonSettings, Instance, ProcessError},
     profile::Profile,
     spread::Mode,
-    target::{Behaviour, Running, TargetError, Targets},
+    target::{Behaviour, RunningTarget, TargetError, Targets},
     web::WebError,
 };
 use medlarspur_lib::bundle::{Class, SecretKey, TargetState};
@@ -21,108 +21,109 @@
 };
 use tempfile::TempDir;
 
-/// The failure domains of the site.
+/// Failure domains of the site.
 pub const DOMAINS: [&str; 2] = ["lozenets", "druzhba"];
-/// The name of the site.
+/// Name of the site.
 const NAME: &str = "small";
-/// The longest silence of a feed in seconds.
+/// Maximum silence of a healthy feed in seconds.
 const KEEPALIVE: u64 = 8;
 
-/// A service that the site offers and how many targets serve it.
+/// A service of the site.
 #[derive(Debug, Clone)]
-pub struct Offer {
+pub struct SiteService {
     /// Its name.
     pub name: String,
     /// Its address.
     pub address: Ipv4Addr,
     /// Its ports.
     pub ports: Vec<(u16, Class)>,
-    /// How many targets serve it.
+    /// Number of its targets.
     pub targets: usize,
 }
 
-/// The two services of the small site: alerts and uploads.
-pub fn offers(alertdesk: usize, ingest: usize) -> Vec<Offer> {
-    let offer = |name: &str, last, ports: &[_], targets| Offer {
+/// Returns the site's two services, one for alerts and one for uploads, with these
+/// numbers of targets.
+pub fn site_services(alertdesk: usize, ingest: usize) -> Vec<SiteService> {
+    let service = |name: &str, last, ports: &[_], targets| SiteService {
         name: name.into(),
         address: Ipv4Addr::new(10, 70, 0, last),
         ports: ports.to_vec(),
         targets,
     };
     vec![
-        offer("alertdesk", 1, &[(7001, Class::Feed), (7002, Class::Request)], alertdesk),
-        offer("ingest", 2, &[(7003, Class::Upload)], ingest),
+        service("alertdesk", 1, &[(7001, Class::Feed), (7002, Class::Request)], alertdesk),
+        service("ingest", 2, &[(7003, Class::Upload)], ingest),
     ]
 }
 
-/// Why the site did not come up or did not follow.
+/// Failures of the site.
 #[derive(Debug, Snafu)]
 pub enum SiteError {
-    /// The folder for settings and logs could not be made.
-    #[snafu(display("the folder of the site can't be made"))]
+    /// The folder for settings and logs can't be created.
+    #[snafu(display("the folder of the site can't be created"))]
     Folder {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The platform did not start.
+    /// The platform can't be started.
     #[snafu(display("the platform can't be started"))]
     Platform {
-        /// What the server said.
+        /// Error of the HTTP server.
         source: WebError,
     },
-    /// The fabric did not start.
+    /// The fabric can't be started.
     #[snafu(display("the fabric can't be started"))]
     Fabric {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The targets did not start.
+    /// The targets can't be started.
     #[snafu(display("the targets can't be started"))]
     Target {
-        /// What the target said.
+        /// Error of the targets.
         source: TargetError,
     },
-    /// An instance did not follow.
+    /// An instance failed.
     #[snafu(display("an instance failed"))]
     Instance {
-        /// What happened to it.
+        /// Error of the instance.
         source: ProcessError,
     },
 }
 
-/// A site that runs until this is dropped.
+/// A running site. Its instances are killed on drop.
 pub struct Site {
     /// The fabric.
     pub fabric: Fabric,
     /// The platform.
     pub platform: Platform,
-    /// The targets of all services.
+    /// Targets of all services.
     pub targets: Targets,
-    /// The instances, leaving ones included.
+    /// The instances, including leaving ones.
     pub instances: Vec<Instance>,
-    /// The bundle in force.
+    /// Content of the latest bundle.
     pub layout: Layout,
-    common: Common,
+    common: CommonSettings,
     key: SecretKey,
     started: usize,
     _folder: TempDir,
 }
 
 impl Site {
-    /// Brings a site up without any instance.
-    pub fn start(program: &Path, mode: Mode, offers: &[Offer]) -> Result<Self, SiteError> {
+    /// Starts a site without instances. `program` is the daemon's executable.
+    pub fn start(program: &Path, mode: Mode, services: &[SiteService]) -> Result<Self, SiteError> {
         let folder = TempDir::new().context(FolderSnafu)?;
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         let platform = Platform::start(any).context(PlatformSnafu)?;
         let mut settings = fabric::Settings::new(mode);
         settings.platform = Some(platform.addr);
         let fabric = Fabric::start(&settings).context(FabricSnafu)?;
-        let profiles = offers.iter().flat_map(profiles).collect();
+        let profiles = services.iter().flat_map(profiles).collect();
         let targets = Targets::start(profiles, fabric.returns).context(TargetSnafu)?;
-        let layout = layout(offers, &targets);
+        let layout = layout(services, &targets);
         let key = SecretKey::generate();
         platform.publish(&layout.signed(&key));
-        let common = Common {
+        let common = CommonSettings {
             program: program.to_owned(),
             folder: folder.path().to_owned(),
             site: NAME.into(),
@@ -144,7 +145,7 @@
         })
     }
 
-    /// Starts an instance, waits until it is ready and lists it.
+    /// Starts an instance, waits until it is ready and publishes it in the list.
     pub fn join(&mut self) -> Result<(), SiteError> {
         let domain = DOMAINS[self.started % DOMAINS.len()];
         let name = format!("{domain}-{}", self.started / DOMAINS.len() + 1);
@@ -158,7 +159,7 @@
         Ok(())
     }
 
-    /// Asks the first live instance to leave.
+    /// Makes the first live instance leave by SIGTERM, and publishes that in the list.
     pub fn leave(&mut self) -> Result<(), SiteError> {
         if let Some(instance) = self.first_live() {
             instance.signal(Signal::SIGTERM).context(InstanceSnafu)?;
@@ -168,7 +169,7 @@
         Ok(())
     }
 
-    /// Kills the first live instance. The list shows it until [`Self::sweep`].
+    /// Kills the first live instance. It stays in the list until [`Self::remove_ended`].
     pub fn kill(&mut self) -> Result<(), SiteError> {
         match self.first_live() {
             Some(instance) => instance.signal(Signal::SIGKILL).context(InstanceSnafu),
@@ -176,8 +177,8 @@
         }
     }
 
-    /// Takes instances that have ended out of the list.
-    pub fn sweep(&mut self) {
+    /// Removes instances that have ended from the list.
+    pub fn remove_ended(&mut self) {
         let before = self.instances.len();
         self.instances.retain_mut(|instance| !instance.has_ended());
         if self.instances.len() != before {
@@ -185,22 +186,22 @@
         }
     }
 
-    /// Publishes a bundle in which the target leaves.
+    /// Publishes a bundle in which the target is leaving.
     pub fn publish_leaving(&mut self, target: &str) {
         self.layout.set_state(target, TargetState::Leaving);
         self.platform.publish(&self.signed());
     }
 
-    /// The text of the layout as it stands, signed off by the site's key.
+    /// Returns the text of the present layout, signed with the site's key.
     pub fn signed(&self) -> String {
         self.layout.signed(&self.key)
     }
 
-    /// Lets the target turn away openings from now on.
+    /// Makes the target refuse new connections.
     pub fn drain(&self, target: &str) {
         let running = self.targets.list.iter().find(|running| running.name == target);
         if let Some(running) = running {
-            running.behave(Behaviour { draining: true, ..Behaviour::default() });
+            running.set_behaviour(Behaviour { draining: true, ..Behaviour::default() });
         }
     }
 
@@ -215,26 +216,31 @@
     }
 }
 
-fn profiles(offer: &Offer) -> impl Iterator<Item = Profile> + '_ {
-    (1..=offer.targets).map(|number| {
-        Profile::new(&format!("{}-{number}", offer.name), &offer.name, offer.address, &offer.ports)
+fn profiles(service: &SiteService) -> impl Iterator<Item = Profile> + '_ {
+    (1..=service.targets).map(|number| {
+        Profile::new(
+            &format!("{}-{number}", service.name),
+            &service.name,
+            service.address,
+            &service.ports,
+        )
     })
 }
 
-fn layout(offers: &[Offer], targets: &Targets) -> Layout {
+fn layout(services: &[SiteService], targets: &Targets) -> Layout {
     let mut running = targets.list.iter();
-    let services = offers.iter().map(|offer| ServiceLayout {
-        name: offer.name.clone(),
-        address: offer.address,
-        ports: offer.ports.clone(),
+    let services = services.iter().map(|service| ServiceLayout {
+        name: service.name.clone(),
+        address: service.address,
+        ports: service.ports.clone(),
         keepalive: KEEPALIVE,
         refusal: None,
-        targets: running.by_ref().take(offer.targets).enumerate().map(target).collect(),
+        targets: running.by_ref().take(service.targets).enumerate().map(target).collect(),
     });
     Layout { site: NAME.into(), version: 1, services: services.collect() }
 }
 
-fn target((ix, running): (usize, &Running)) -> TargetLayout {
+fn target((ix, running): (usize, &RunningTarget)) -> TargetLayout {
     TargetLayout {
         name: running.name.clone(),
         domain: DOMAINS[ix % DOMAINS.len()].into(),
--- a/testutils/src/spread.rs
+++ b/testutils/src/spread.rs
@@ -1,26 +1,26 @@
-//! How a fabric picks the instance for a packet.
+//! Picks the instance for each packet of a fabric.
 
-use crate::packet::Ends;
+use crate::packet::PacketHeader;
 use rand::{Rng, SeedableRng, rngs::StdRng};
 use std::{
     hash::{BuildHasher, Hash},
     str::FromStr,
 };
 
-/// The ways in which fabrics spread packets over instances.
+/// Method by which a fabric spreads packets over instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Mode {
-    /// Any packet goes anywhere.
+    /// Each packet goes to a random instance.
     Spray,
-    /// A flow keeps its instance as long as that is in the list.
+    /// A flow keeps its instance while that is in the list.
     Hash,
-    /// A flow keeps its instance until the list changes at all.
+    /// A flow keeps its instance until the list changes.
     Reshuffle,
 }
 
-/// Says that a text names no [`Mode`].
+/// A text that is not the name of a [`Mode`].
 #[derive(Debug, snafu::Snafu)]
-#[snafu(display("no fabric mode {text:?}; use spray, hash or reshuffle"))]
+#[snafu(display("unknown fabric mode {text:?}; use spray, hash or reshuffle"))]
 pub struct UnknownMode {
     text: String,
 }
@@ -38,35 +38,37 @@
     }
 }
 
-/// Picks instances in one of the [`Mode`]s.
-pub struct Spread {
+/// Picks instances as a [`Mode`] says.
+pub struct Picker {
     mode: Mode,
     rng: StdRng,
 }
 
-impl Spread {
-    /// Makes a choice that repeats itself for the same `seed`.
+impl Picker {
+    /// Creates a picker whose choices depend only on `mode`, `seed` and its inputs.
     pub fn new(mode: Mode, seed: u64) -> Self {
         Self { mode, rng: StdRng::seed_from_u64(seed) }
     }
 
-    /// The position in `names` of the instance that gets the packet.
-    pub fn pick<T: Hash>(&mut self, names: &[T], ends: &Ends) -> Option<usize> {
+    /// Returns the position in `names` of the instance for a packet, or `None`
+    /// without instances.
+    pub fn pick<T: Hash>(&mut self, names: &[T], header: &PacketHeader) -> Option<usize> {
         if names.is_empty() {
             return None;
         }
         Some(match self.mode {
             Mode::Spray => self.rng.random_range(0..names.len()),
             Mode::Hash => {
-                let rank = |&ix: &usize| hash(&(ends.src, ends.dst, &names[ix]));
+                let rank = |&ix: &usize| hash(&(header.src, header.dst, &names[ix]));
                 (0..names.len()).max_by_key(rank).unwrap_or(0)
             }
-            Mode::Reshuffle => hash(&(ends.src, ends.dst)) as usize % names.len(),
+            Mode::Reshuffle => hash(&(header.src, header.dst)) as usize % names.len(),
         })
     }
 }
 
-/// A hash whose bits are all mixed, which the fast one's are not.
+/// Hashes a value with the quality variant of foldhash, as its fast variant mixes
+/// some bits too little for a choice by hash.
 fn hash(value: &impl Hash) -> u64 {
     foldhash::quality::FixedState::default().hash_one(value)
 }
--- a/testutils/src/target.rs
+++ b/testutils/src/target.rs
@@ -1,12 +1,12 @@
-//! Targets over UDP, each with its endpoints for health and load.
+//! Targets over UDP, each with HTTP endpoints for health and load.
 
 use crate::{
     clock::Clock,
-    fabric::{lock, v4},
-    profile::{Profile, Seen},
+    fabric::{lock, to_ipv4},
+    profile::{Profile, TargetCounts},
     server::Server,
-    udp::Inbox,
-    web::{self, Served},
+    udp::BatchReceiver,
+    web::{self, HttpServers},
 };
 use medlarspur_lib::time::Millis;
 use rocket::{State, get, http::Status, put, routes, serde::json::Json};
@@ -19,69 +19,71 @@
     time::Duration,
 };
 
-/// How a target and its endpoints behave; what is unset tells the truth.
+/// Simulated faults of a target and its endpoints. The endpoints report the real
+/// state where no value is set.
 #[derive(Debug, Default, Clone, serde::Serialize, serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Behaviour {
-    /// Turns away every opening.
+    /// Refuses new connections.
     pub draining: bool,
-    /// Hears and says nothing, like a host without power.
+    /// Drops all packets in both directions, like a host without power.
     pub dead: bool,
-    /// What `/health` says.
+    /// Health that `/health` reports.
     pub health: Option<bool>,
-    /// What `/load` says for the load.
+    /// Utilization that `/load` reports.
     pub load: Option<f64>,
-    /// How old `/load` may be.
+    /// Maximum age in milliseconds of the sample that `/load` reports.
     pub lag_ms: u64,
-    /// How long a request takes, in place of the profile's time.
+    /// Time in milliseconds that a request takes, in place of the profile's time.
     pub work_ms: Option<u64>,
 }
 
-/// What `/load` answers.
+/// The answer of `/load`.
 #[derive(Debug, Default, Clone, Copy, serde::Serialize, serde::Deserialize)]
 pub struct Load {
-    /// The connections that the target holds.
+    /// Number of open connections.
     pub connections: usize,
-    /// The slots that are taken, work that waits for one included.
+    /// Number of requests and uploads that have a slot or wait for one.
     pub slots: usize,
-    /// From 0, idle, to 1, full.
+    /// Utilization from 0, idle, to 1, full.
     pub load: f64,
 }
 
-/// Why the targets did not start.
+/// Reasons why the targets can't be started.
 #[derive(Debug, Snafu)]
 pub enum TargetError {
-    /// A socket could not be bound.
+    /// A socket can't be bound.
     #[snafu(display("a target's socket can't be bound"))]
     Socket {
-        /// What the system said.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The endpoints could not be served.
-    #[snafu(display("a target's endpoints can't be served"))]
+    /// The HTTP endpoints can't be started.
+    #[snafu(display("a target's HTTP endpoints can't be started"))]
     Probe {
-        /// What the server said.
+        /// Error of the HTTP server.
         source: web::WebError,
     },
 }
 
-/// How long a quiet target sleeps at most, so that it sees changes in time.
-const NAP: Millis = Millis(50);
+/// Maximum wait for a packet, so that an idle target notices a change of its
+/// behaviour in time.
+const MAX_WAIT: Millis = Millis(50);
 
-/// Targets in this process. Their threads end with it.
+/// Running targets. Their threads run until the process ends.
 pub struct Targets {
-    /// Each target, in the order of the profiles.
-    pub list: Vec<Running>,
-    _served: Served,
+    /// The targets, in the order of the profiles.
+    pub list: Vec<RunningTarget>,
+    _served: HttpServers,
 }
 
-/// One target that runs.
-pub struct Running {
+/// A running target.
+pub struct RunningTarget {
     /// Its name.
     pub name: String,
-    /// Where instances send packets.
+    /// Address for packets from instances.
     pub addr: SocketAddrV4,
-    /// Where its health and load are read.
+    /// Address of its health and load endpoints.
     pub probe: SocketAddrV4,
     shared: Arc<Shared>,
 }
@@ -94,20 +96,20 @@
 }
 
 impl Targets {
-    /// Starts a target for each profile; answers go to the fabric's `returns`.
+    /// Starts a target for each profile. Answers are sent to the fabric's address `returns`.
     pub fn start(profiles: Vec<Profile>, returns: SocketAddrV4) -> Result<Self, TargetError> {
         let any = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
         let mut list = Vec::new();
         let mut sites = Vec::new();
         for profile in profiles {
             let socket = UdpSocket::bind(any).context(SocketSnafu)?;
-            let addr = socket.local_addr().and_then(v4).context(SocketSnafu)?;
+            let addr = socket.local_addr().and_then(to_ipv4).context(SocketSnafu)?;
             let name = profile.name.clone();
             let shared = Arc::new(Shared::new(profile));
             let worker = Arc::clone(&shared);
-            thread::spawn(move || worker.run(Inbox::new(socket), returns));
-            sites.push((Arc::clone(&shared), routes![health, load, seen, behave]));
-            list.push(Running { name, addr, probe: any, shared });
+            thread::spawn(move || worker.run(BatchReceiver::new(socket), returns));
+            sites.push((Arc::clone(&shared), routes![health, load, counts, set_behaviour]));
+            list.push(RunningTarget { name, addr, probe: any, shared });
         }
         let served = web::serve(any, sites).context(ProbeSnafu)?;
         for (running, &probe) in list.iter_mut().zip(&served.addrs) {
@@ -117,15 +119,15 @@
     }
 }
 
-impl Running {
-    /// Changes how the target behaves.
-    pub fn behave(&self, behaviour: Behaviour) {
-        self.shared.behave(behaviour);
+impl RunningTarget {
+    /// Sets the simulated faults of the target.
+    pub fn set_behaviour(&self, behaviour: Behaviour) {
+        self.shared.set_behaviour(behaviour);
     }
 
-    /// What the target has seen so far.
-    pub fn seen(&self) -> Seen {
-        lock(&self.shared.server).seen.clone()
+    /// Counters of the target.
+    pub fn counts(&self) -> TargetCounts {
+        lock(&self.shared.server).counts.clone()
     }
 }
 
@@ -139,20 +141,20 @@
         }
     }
 
-    fn run(&self, mut inbox: Inbox, returns: SocketAddrV4) {
+    fn run(&self, mut receiver: BatchReceiver, returns: SocketAddrV4) {
         loop {
             let now = self.clock.now();
             let (packets, next) = {
                 let mut server = lock(&self.server);
-                (server.poll(now), server.next())
+                (server.poll(now), server.next_poll())
             };
             let dead = lock(&self.behaviour).dead;
             for packet in packets.iter().filter(|_| !dead) {
                 // A packet that can't be sent is lost, as in a real network.
-                let _ = inbox.socket.send_to(packet, returns);
+                let _ = receiver.socket.send_to(packet, returns);
             }
-            let wait = next.unwrap_or(now + NAP).since(now).clamp(Millis(1), NAP);
-            let taken = inbox.take(Duration::from_millis(wait.0), |packet| {
+            let wait = next.unwrap_or(now + MAX_WAIT).since(now).clamp(Millis(1), MAX_WAIT);
+            let taken = receiver.receive(Duration::from_millis(wait.0), |packet| {
                 if !dead {
                     lock(&self.server).receive(packet);
                 }
@@ -163,22 +165,23 @@
         }
     }
 
-    fn behave(&self, behaviour: Behaviour) {
+    fn set_behaviour(&self, behaviour: Behaviour) {
         let mut server = lock(&self.server);
         server.draining = behaviour.draining;
         if let Some(work) = behaviour.work_ms {
-            server.profile.work = Millis(work);
+            server.profile.work_time = Millis(work);
         }
         *lock(&self.behaviour) = behaviour;
     }
 
-    /// The load as the endpoint tells it: old, or a lie, if so set.
-    fn told(&self) -> Load {
+    /// Returns the load that the endpoint reports, which is old or false if the
+    /// behaviour says so.
+    fn reported_load(&self) -> Load {
         let behaviour = lock(&self.behaviour).clone();
         let now = self.clock.now();
         let mut sample = lock(&self.sample);
         let fresh = sample.filter(|(at, _)| now.since(*at) < Millis(behaviour.lag_ms));
-        let mut load = fresh.map_or_else(|| self.measure(), |(_, load)| load);
+        let mut load = fresh.map_or_else(|| self.current_load(), |(_, load)| load);
         if fresh.is_none() {
             *sample = Some((now, load));
         }
@@ -186,7 +189,7 @@
         load
     }
 
-    fn measure(&self) -> Load {
+    fn current_load(&self) -> Load {
         let server = lock(&self.server);
         let (connections, slots) = (server.connections(), server.work());
         Load { connections, slots, load: server.load() }
@@ -204,15 +207,15 @@
 
 #[get("/load")]
 fn load(shared: &State<Arc<Shared>>) -> Json<Load> {
-    Json(shared.told())
+    Json(shared.reported_load())
 }
 
 #[get("/seen")]
-fn seen(shared: &State<Arc<Shared>>) -> Json<Seen> {
-    Json(lock(&shared.server).seen.clone())
+fn counts(shared: &State<Arc<Shared>>) -> Json<TargetCounts> {
+    Json(lock(&shared.server).counts.clone())
 }
 
 #[put("/behaviour", data = "<behaviour>")]
-fn behave(shared: &State<Arc<Shared>>, behaviour: Json<Behaviour>) {
-    shared.behave(behaviour.into_inner());
+fn set_behaviour(shared: &State<Arc<Shared>>, behaviour: Json<Behaviour>) {
+    shared.set_behaviour(behaviour.into_inner());
 }
--- a/testutils/tests/test_spread.rs
+++ b/testutils/tests/test_spread.rs
@@ -1,21 +1,21 @@
-//! How fabrics spread packets.
+//! Tests of how fabrics spread packets over instances.
 
 use medlarspur_lib::collections::Set;
 use medlarspur_testutils::{
-    packet::{Ends, Kind},
-    spread::{Mode, Spread},
+    packet::{Kind, PacketHeader},
+    spread::{Mode, Picker},
 };
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-fn flow(port: u16) -> Ends {
+fn flow(port: u16) -> PacketHeader {
     let end = |last, port| SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, last), port);
-    Ends { src: end(1, port), dst: end(2, 80), kind: Kind::Segment }
+    PacketHeader { src: end(1, port), dst: end(2, 80), kind: Kind::Segment }
 }
 
-/// The instances of 1000 flows, by name.
+/// Returns the names of the instances of 1000 flows.
 fn picks(mode: Mode, names: &[&'static str]) -> Vec<&'static str> {
-    let mut spread = Spread::new(mode, 1);
-    (0..1000).map(|port| names[spread.pick(names, &flow(port)).unwrap()]).collect()
+    let mut picker = Picker::new(mode, 1);
+    (0..1000).map(|port| names[picker.pick(names, &flow(port)).unwrap()]).collect()
 }
 
 #[test]
@@ -30,15 +30,15 @@
 
 #[test]
 fn spray_sends_one_flow_to_many() {
-    let mut spread = Spread::new(Mode::Spray, 1);
+    let mut picker = Picker::new(Mode::Spray, 1);
 
-    let used = (0..100).map(|_| spread.pick(&["a", "b", "c"], &flow(1))).collect::<Set<_>>();
+    let used = (0..100).map(|_| picker.pick(&["a", "b", "c"], &flow(1))).collect::<Set<_>>();
 
     assert_eq!(used.len(), 3);
 }
 
 #[test]
-fn hash_moves_only_flows_of_the_instance_that_went() {
+fn hash_moves_only_flows_of_the_removed_instance() {
     let before = picks(Mode::Hash, &["a", "b", "c", "d"]);
     let after = picks(Mode::Hash, &["a", "b", "d"]);
 
